--- a/gorsethread/model.py
+++ b/gorsethread/model.py
@@ -191,8 +191,6 @@
     out: int = 0
     lanes: dict[int, list["Request"]] = field(default_factory=dict)  # waiting, by shard
     paces: dict[int, tuple[float, float]] = field(default_factory=dict)
-    ranking: list["Backend"] = field(default_factory=list)
-    ranked_from: dict[int, "Backend"] = field(default_factory=dict)  # what it was made of
 
 
 @dataclass(slots=True, eq=False)
--- a/gorsethread/policy.py
+++ b/gorsethread/policy.py
@@ -10,12 +10,12 @@
 from bisect import insort
 from collections import deque
 from collections.abc import Iterator
-from functools import partial
 from hashlib import blake2b
 
 from gorsethread.draws import Draws
 from gorsethread.host import Host
 from gorsethread.model import AttemptEnded, Backend, Ending, Request, RequestTaken, StartFacts, Volume
+from gorsethread.scheduling.shard_assignment import ShardAssignment
 
 FIRST_BOUND = 4.0  # the design's start and ceiling
 HIGHEST_BOUND = 32.0
@@ -41,10 +41,6 @@
     return (t.late, -t.profile.value / max(t.units, 1.0), t.promised_by, t.order)
 
 
-def _place(v: Volume, s: Backend) -> bytes:
-    return blake2b(f"{v.id.partition('/')[2]}/{s.id}".encode(), digest_size=8).digest()
-
-
 class Policy:
     def __init__(self, host: Host, facts: StartFacts, seed: int) -> None:
         self.host, self.facts = host, facts
@@ -68,8 +64,8 @@
         self.busy: dict[str, Volume] = {}  # volumes with something waiting or out; emptied with them
         self.stirred: dict[str, Volume] = {}  # got something to send since the last search, which empties it
         self.floor = self.overload_until = 0.0
-        self.backends: dict[int, Backend] = {}  # emptied as backends leave the list with nothing out
-        self.held_by: dict[int, Backend] = {}  # by shard, who now holds it; made anew at each list
+        self.shards = ShardAssignment()
+        self.backends, self.held_by = self.shards.backends, self.shards.serving
         self.wanted: dict[int, int] = {}  # how many wait, by shard; no more entries than shards
         self.list_whole, self.changed = False, True
         self.named: set[int] = set()
@@ -80,7 +76,7 @@
         self.lines: dict[str, deque[Request]] = {}  # emptied as keys fall idle and their rest ends
         self.key_rests: dict[str, float] = {}
         self.agenda: list[tuple[float, int, Request | str]] = []  # emptied as its times pass
-        self.alarm = self.look_at = self.drained_at = float("inf")
+        self.alarm = self.look_at = float("inf")
         self.taken: deque[float] = deque()  # both emptied as the budget's span passes
         self.further: deque[float] = deque()
 
@@ -209,24 +205,16 @@
             # Guards against a shard without a backend until another holds it. Told again, it has gone.
             usable = min(DRAIN_PART * self.facts.drain_grace, max(0.0, self.facts.drain_grace - HELD_UP))
             s.last_send = self.now + usable if s.ready else 0.0
-        s.zone, s.shard, s.ready, s.since = zone, shard, ready, max(since, s.since)
+        s.zone, s.ready, s.since = zone, ready, max(since, s.since)
+        self.shards.place(s, shard)
 
     def list_ended(self) -> None:
         for id in self.backends.keys() - self.named if self.list_whole else ():
-            self.backends[id].ready, self.backends[id].last_send = False, 0.0
+            self.shards.withdraw(self.backends[id])
         self._find_holders()
 
     def _find_holders(self) -> None:
-        self.held_by, self.drained_at = {}, float("inf")
-        for id, s in list(self.backends.items()):
-            if s.ready or s.last_send > self.now:
-                other = self.held_by.get(s.shard)
-                if other is None or (other.ready, other.since, other.id) < (s.ready, s.since, id):
-                    self.held_by[s.shard] = s
-                if not s.ready:
-                    self.drained_at = min(self.drained_at, s.last_send)
-            elif not s.out:
-                del self.backends[id]
+        self.shards.update(self.now)
         self.changed = True
 
     def batch_ended(self) -> None:
@@ -239,7 +227,7 @@
                 self._next_in_line(item)
         if now >= self.look_at:
             self.look_at, self.changed = float("inf"), True
-        if now >= self.drained_at:
+        if now >= self.shards.next_drain_end:
             self._find_holders()
         if now >= self.list_ask_at:
             self.list_ask_at = float("inf")
@@ -252,7 +240,7 @@
             self.changed = False
             self.stirred.clear()
         noted = self.agenda[0][0] if self.agenda else float("inf")
-        need = min(noted, self.list_ask_at, self.look_at, self.drained_at)
+        need = min(noted, self.list_ask_at, self.look_at, self.shards.next_drain_end)
         if need < self.alarm:
             self.alarm = need
             self.host.wake(max(0.0, need - now), "look")
@@ -385,18 +373,7 @@
             self.busy.pop(v.id, None)
 
     def _ranking(self, v: Volume) -> list[Backend]:
-        """Rendezvous hashing on raw ids, so every gateway ranks the same way."""
-        held, before = self.held_by, v.ranked_from
-        if before is not held:
-            v.ranked_from = held
-            v.ranking = [s for s in v.ranking if held.get(s.shard) is s is before.get(s.shard)]
-            joined = [s for shard, s in held.items() if before.get(shard) is not s]
-            # Guards against ranking thousands of backends again for a few; one is placed by a hash a bit.
-            if len(joined) * len(held).bit_length() > len(held):
-                v.ranking, joined = sorted(held.values(), key=partial(_place, v)), []
-            for s in joined:
-                insort(v.ranking, s, key=partial(_place, v))
-        return v.ranking
+        return self.shards.ranking.of(v.id.partition("/")[2])
 
     def _has_enough(self, s: Backend, chosen: int) -> bool:
         """A new object passes over a backend whose slots its pinned requests want, or that fails."""
@@ -413,6 +390,7 @@
                 self._refill(v)
                 if v.limit_store >= v.plan.limit_burst / v.heads:
                     del self.volumes[id]
+                    self.shards.ranking.forget(id.partition("/")[2])
         self.aged = self.now
         self.lent = {n: log for n, log in self.lent.items() if log[-1][0] > self.now - self.lent_kept}
 
@@ -461,7 +439,8 @@
 
     def _judge(self, s: Backend, how: Ending, elapsed: float, t: Request, sent: float) -> None:
         if not s.ready and how.never_ran:
-            s.last_send = self.drained_at = 0.0  # takes nothing new already, or is gone; no sign of overload
+            # It takes nothing new already, or is gone: no sign of overload.
+            s.last_send = self.shards.next_drain_end = 0.0
         if how in (Ending.CANCELLED, Ending.NOT_SENT) or not s.ready and how.never_ran:
             return  # says nothing of the backend's health
         if how in (Ending.SUCCEEDED, Ending.ERROR, Ending.TURNED_AWAY):
--- /dev/null
+++ b/gorsethread/scheduling/__init__.py
@@ -0,0 +1,1 @@
+"""The decisions on the request path, a module for each mechanism."""
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -1,13 +1,15 @@
 """The ranking of backends for a volume: after any changes as ranked anew, and cheap in large fleets."""
 
+from collections.abc import Iterable
 from unittest import mock
 
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gorsethread import policy as decisions
 from gorsethread.model import Backend, StartFacts, Volume
 from gorsethread.policy import Policy
+from gorsethread.scheduling import rendezvous_ranking
+from gorsethread.scheduling.rendezvous_ranking import RendezvousRanking
 from tests.harness import FACTS, OPEN_PLAN, PrintingHost
 
 SHARDS = 6
@@ -31,6 +33,16 @@
     return Volume(f"0/{name}", OPEN_PLAN, 0.0, 1, 0.0, PrintingHost().now)  # in use, so not forgotten
 
 
+def ranked_anew(told: Policy, name: str) -> list[Backend]:
+    return RendezvousRanking(told.held_by).of(name)
+
+
+def assigned_anew(told: Policy) -> dict[int, Backend]:
+    """By shard, of all backends known: the ready one before one that drains, then the newest."""
+    usable = [s for s in told.backends.values() if s.ready or s.last_send > told.now]
+    return {s.shard: s for s in sorted(usable, key=lambda s: (s.ready, s.since, s.id))}
+
+
 def tell(told: Policy, entries: list[tuple[int, int, bool]], whole: bool) -> None:
     told.list_begins(whole, False)
     for id, shard, ready in entries:
@@ -49,9 +61,9 @@
         tell(told, entries, whole)
         if time_passes:
             told.host.now += 0.5  # some of the grace of those that drain
-        anew = volume("a")
-        assert told._ranking(one) == told._ranking(anew)
+        assert told._ranking(one) == ranked_anew(told, "a")
         assert set(told._ranking(one)) == set(told.held_by.values())
+        assert told.held_by == assigned_anew(told)
 
 
 def test_a_change_of_one_backend_ranks_none_of_the_others_again() -> None:
@@ -62,16 +74,17 @@
         told.volumes[one.id] = one
         told._ranking(one)
     hashed: list[int] = []
-    honest = decisions._place
+    honest = rendezvous_ranking.positions
 
-    def place(one: Volume, backend: Backend) -> bytes:
-        hashed.append(backend.id)
-        return honest(one, backend)
+    def positions(name: str, backends: Iterable[Backend]) -> list[int]:
+        found = honest(name, backends)
+        hashed.extend(found)
+        return found
 
-    with mock.patch.object(decisions, "_place", place):
+    with mock.patch.object(rendezvous_ranking, "positions", positions):
         tell(told, [(1, 1, False)], False)  # drains, and holds its shard on
         tell(told, [(LARGE + 1, 1, True)], False)  # another takes its place
         for one in volumes:
             told._ranking(one)
     assert 0 < len(hashed) <= VOLUMES * HASHES_MOST
-    assert all(told._ranking(one) == told._ranking(volume(one.id[2:])) for one in volumes)
+    assert all(told._ranking(one) == ranked_anew(told, one.id[2:]) for one in volumes)
