--- a/gorsethread/accounts/causes.py
+++ b/gorsethread/accounts/causes.py
@@ -1,6 +1,6 @@
 """From windows of all heads to what made transactions wait: pure, at the time of asking.
 
-A head records what it saw: who held slots and queue, which cause the policy named. Here the heads' figures
+A head records what it saw: who held slots and queue, which cause the scheduler named. Here the heads' figures
 are added up first, so that a volume that floods through many heads, or a shelf whose slowness no single head
 sees enough of, stands out; then blame is put right: the part of waiting at a slow shelf that would not have
 been, had it worked as it usually does, is the shelf's and not that of the volumes that were there.
--- a/gorsethread/accounts/lives.py
+++ b/gorsethread/accounts/lives.py
@@ -12,7 +12,7 @@
 from gorsethread.accounts.ordinary import ORDINARY, count
 from gorsethread.accounts.stages import HEAD, LIST, SHELF, STAGE_OF, STAGES, UNKNOWN, Stage
 from gorsethread.accounts.window import ShelfRow, Window, shares
-from gorsethread.model import Ending, Held, Outcome
+from gorsethread.scheduling.model import AttemptOutcome, HoldReason, RequestOutcome
 
 LOOK_EVERY = 0.02  # seconds between looks at what holds the lanes
 LOOKS_MOST = 128  # lanes a look; further ones keep what was last seen until their turn
@@ -24,7 +24,12 @@
 SHORT = 20_000  # microseconds; a shorter wait at a shelf has one holder, drawn from those ahead in turn
 RECENT = 64  # a shelf's last forwards, of which a later one finds who was ahead of it
 TOGETHER = 4096
-LOST_TO_SHELF = (Ending.TIMED_OUT, Ending.UNREACHED, Ending.BROKEN, Ending.ERROR)
+LOST_TO_SHELF = (
+    AttemptOutcome.TIMED_OUT,
+    AttemptOutcome.UNREACHABLE,
+    AttemptOutcome.CONNECTION_LOST,
+    AttemptOutcome.ERROR,
+)
 HELD_STAGES = sorted({int(stage) for stage in STAGE_OF.values()})
 TO_HEAD = (Stage.RATE, Stage.LIMIT, Stage.BUDGET)
 TO_SHELF = (Stage.COLD, Stage.REST, Stage.SILENT)
@@ -277,7 +282,7 @@
         """What the last search left unsent, and held() does not know of yet."""
         return [*self._taken, *self._loose]
 
-    def held(self, id: int, why: Held, shelf: int, when: float) -> None:
+    def held(self, id: int, why: HoldReason, shelf: int, when: float) -> None:
         """A search has passed and it was not sent; or what holds its lane was asked again."""
         life = self._life(id)
         if life is None or life.state not in (LOOSE, HOLD):
@@ -303,7 +308,7 @@
             if shelf >= 0:
                 self._shelf(shelf).lanes += 1
         lane.stage, lane.shelf = STAGE_OF[why], shelf
-        lane.holders = self._shelf(shelf).out.copy() if why is Held.SLOTS else {}
+        lane.holders = self._shelf(shelf).out.copy() if why is HoldReason.SLOTS else {}
 
     def looks(self) -> list[int]:
         """The first of each lane whose cause should be asked again by held(), a bounded number in turn."""
@@ -349,11 +354,17 @@
         life.flights[forward] = _Flight(s, when, s.takes(life.volume, life.units, when), out)
 
     def ended(
-        self, id: int, forward: int, how: Ending, service: float, when: float, outcome: Outcome | None = None
+        self,
+        id: int,
+        forward: int,
+        how: AttemptOutcome,
+        service: float,
+        when: float,
+        outcome: RequestOutcome | None = None,
     ) -> None:
         """service: seconds in work as the shelf told; 0: it told none. outcome: the answer that this gave."""
         sent = self._sent.pop(id, None) if self._together and not forward else None
-        if sent is not None and outcome is Outcome.SUCCEEDED:
+        if sent is not None and outcome is RequestOutcome.SUCCEEDED:
             taken, s, at, turn, out = sent
             if when < self._now:
                 when = self._at(when)
@@ -407,7 +418,7 @@
         s.gives_back(life.volume, life.units, when)
         row = self.window.shelf(s.number)
         row.endings[how.value] = row.endings.get(how.value, 0) + 1
-        if how in (Ending.SUCCEEDED, Ending.TURNED_AWAY, Ending.ERROR):
+        if how in (AttemptOutcome.SUCCEEDED, AttemptOutcome.REJECTED, AttemptOutcome.ERROR):
             if quiet < when:
                 row.stalled_us += now - _us(quiet)
                 s.stall = (quiet, when)
@@ -425,7 +436,7 @@
         elif not life.flights:
             del self.lives[id]
 
-    def answered(self, id: int, outcome: Outcome, when: float) -> None:
+    def answered(self, id: int, outcome: RequestOutcome, when: float) -> None:
         """Its one answer, or its client left."""
         life = self._life(id)
         if life is None or life.state == DONE:
@@ -434,12 +445,12 @@
         self._settle(life, id, now)
         self._finish(life, id, outcome, now)
 
-    def _finish(self, life: _Life, id: int, outcome: Outcome, now: int) -> None:
+    def _finish(self, life: _Life, id: int, outcome: RequestOutcome, now: int) -> None:
         life.state = DONE
         self._loose.pop(id, None)
         life_us = now - life.arrived
-        late = outcome != Outcome.LEFT and (
-            outcome != Outcome.SUCCEEDED or life_us > self.promised[life.profile]
+        late = outcome != RequestOutcome.CLIENT_LEFT and (
+            outcome != RequestOutcome.SUCCEEDED or life_us > self.promised[life.profile]
         )
         self.window.life(life.volume, life.profile, life.units, outcome, late, life.stages, life_us)
         if not life.flights:
@@ -473,7 +484,9 @@
                 s.saw_work(works[s.number])
             if s.honoured:
                 endings = self.window.shelf(s.number).endings
-                endings[Ending.SUCCEEDED.value] = endings.get(Ending.SUCCEEDED.value, 0) + s.honoured
+                endings[AttemptOutcome.SUCCEEDED.value] = (
+                    endings.get(AttemptOutcome.SUCCEEDED.value, 0) + s.honoured
+                )
                 s.honoured = 0
 
     # ---- dividing
@@ -549,16 +562,16 @@
         s.pending.clear()
 
     def _split(
-        self, life: _Life, flight: _Flight, how: Ending, service: int, now: int, row: ShelfRow
+        self, life: _Life, flight: _Flight, how: AttemptOutcome, service: int, now: int, row: ShelfRow
     ) -> None:
         """One forward's time, from the later of its sending and what was already given away."""
         stages, s = life.stages, flight.shelf
         passed = now - life.since
-        if how is not Ending.SUCCEEDED:
+        if how is not AttemptOutcome.SUCCEEDED:
             stages[Stage.LOST_FORWARD] += passed
             if how in LOST_TO_SHELF:
                 self.window.blamed(life.volume, SHELF, s.number, Stage.LOST_FORWARD, passed)
-            elif how is Ending.TURNED_AWAY:
+            elif how is AttemptOutcome.REJECTED:
                 self.window.shared_out(life.volume, flight.ahead(), s.number, Stage.LOST_FORWARD, passed)
             else:
                 self.window.blamed(life.volume, HEAD, s.number, Stage.LOST_FORWARD, passed)
--- a/gorsethread/accounts/ordinary.py
+++ b/gorsethread/accounts/ordinary.py
@@ -7,7 +7,7 @@
 
 from gorsethread.accounts.stages import UNKNOWN, Stage
 from gorsethread.accounts.window import Numbers, Window, sums
-from gorsethread.model import Outcome
+from gorsethread.scheduling.model import RequestOutcome
 
 # Volume, profile, units, shelf, whom it waited behind; arrived, taken, sent, ended, and work as told (0:
 # untold), these in seconds.
@@ -45,7 +45,7 @@
         Stage.UNDIVIDED: undivided,
     }
     life = ended - arrived
-    honoured = numpy.full_like(life, Outcome.SUCCEEDED)
+    honoured = numpy.full_like(life, RequestOutcome.SUCCEEDED)
     late = (life > numpy.array(promised)[profile]).astype(numpy.int64)
     window.together(volume, profile, units, honoured, late, parts, life)
     _blame(volume, behind, shelf, parts[Stage.AT_SHELF], Stage.AT_SHELF, window)
--- a/gorsethread/accounts/snapshots.py
+++ b/gorsethread/accounts/snapshots.py
@@ -11,7 +11,7 @@
 from gorsethread.accounts.stages import STAGES
 from gorsethread.accounts.window import Blamed, Row, ShelfRow, Span, Window
 from gorsethread.errors import Trouble
-from gorsethread.model import Outcome
+from gorsethread.scheduling.model import RequestOutcome
 
 MAGIC = b"GTACC"
 VERSION = 1
@@ -82,7 +82,7 @@
 
 def _row(entry: pb.Row) -> Row:
     if (
-        len(entry.outcome) != len(Outcome)
+        len(entry.outcome) != len(RequestOutcome)
         or len(entry.stage) != STAGES
         or len(entry.bucket) != len(entry.count)
     ):
--- a/gorsethread/accounts/stages.py
+++ b/gorsethread/accounts/stages.py
@@ -2,7 +2,7 @@
 
 from enum import IntEnum
 
-from gorsethread.model import Held
+from gorsethread.scheduling.model import HoldReason
 
 
 class Stage(IntEnum):
@@ -10,7 +10,7 @@
     snapshots: they are added to, never changed."""
 
     ARRIVING = 0  # from its capsule until its data is here
-    HEAD = 1  # in the head's own work, until the policy has seen it
+    HEAD = 1  # in the head's own work, until the scheduler has seen it
     SLOTS = 2
     RATE = 3
     LIMIT = 4
@@ -51,17 +51,17 @@
     Stage.UNDIVIDED: "out, not divided",
 }
 STAGE_OF = {
-    Held.SLOTS: Stage.SLOTS,
-    Held.RATE: Stage.RATE,
-    Held.LIMIT: Stage.LIMIT,
-    Held.COLD: Stage.COLD,
-    Held.KEY_TURN: Stage.KEY_TURN,
-    Held.REST: Stage.REST,
-    Held.SILENT: Stage.SILENT,
-    Held.NO_SHELF: Stage.NO_SHELF,
-    Held.BUDGET: Stage.BUDGET,
-    Held.UNKNOWN: Stage.HELD_UNKNOWN,
-    Held.NOT: Stage.HELD_UNKNOWN,
+    HoldReason.SLOTS: Stage.SLOTS,
+    HoldReason.RATE: Stage.RATE,
+    HoldReason.LIMIT: Stage.LIMIT,
+    HoldReason.COLD: Stage.COLD,
+    HoldReason.KEY_TURN: Stage.KEY_TURN,
+    HoldReason.REST: Stage.REST,
+    HoldReason.SILENT: Stage.SILENT,
+    HoldReason.NO_SHELF: Stage.NO_SHELF,
+    HoldReason.BUDGET: Stage.BUDGET,
+    HoldReason.UNKNOWN: Stage.HELD_UNKNOWN,
+    HoldReason.NOT: Stage.HELD_UNKNOWN,
 }
 # Time that somebody or something made it wait; work and ways are what any transaction takes.
 WAITS = (
--- a/gorsethread/accounts/window.py
+++ b/gorsethread/accounts/window.py
@@ -12,7 +12,7 @@
 
 from gorsethread.accounts.sketch import WIDTH, Sketch
 from gorsethread.accounts.stages import OTHERS, STAGES, UNKNOWN, WAITS
-from gorsethread.model import Outcome
+from gorsethread.scheduling.model import RequestOutcome
 
 ROWS_MOST = 512  # volumes with a row of their own, by profile, in the window of one head
 BLAMES_MOST = 4096  # entries of the matrix; past them holders and then waiters are not told apart
@@ -48,7 +48,7 @@
     late: int = 0  # not honoured within the promised time, though the client stayed
     units: int = 0
     life_us: int = 0
-    outcomes: list[int] = field(default_factory=lambda: [0] * len(Outcome))
+    outcomes: list[int] = field(default_factory=lambda: [0] * len(RequestOutcome))
     stages: list[int] = field(default_factory=lambda: [0] * STAGES)
     # By stage * BUCKETS + bucket, the whole life under STAGES; as many as there are buckets at most.
     buckets: dict[int, int] = field(default_factory=dict)
@@ -154,7 +154,7 @@
         volume: int,
         profile: int,
         units: int,
-        outcome: Outcome,
+        outcome: RequestOutcome,
         late: bool,
         stages: list[int],
         life_us: int,
@@ -205,8 +205,8 @@
             row.life_us += all_life[n]
             for stage, each in by_stage.items():
                 row.stages[stage] += each[n]
-        for key, times in counted(group * len(Outcome) + outcome):
-            rows[key // len(Outcome)].outcomes[key % len(Outcome)] += times
+        for key, times in counted(group * len(RequestOutcome) + outcome):
+            rows[key // len(RequestOutcome)].outcomes[key % len(RequestOutcome)] += times
         every: list[tuple[int, Numbers]] = [*stages.items(), (STAGES, life)]
         for number, us in every:
             some = us > 0 if number != STAGES else us >= 0
--- a/gorsethread/cli/records.py
+++ b/gorsethread/cli/records.py
@@ -10,8 +10,8 @@
 from rich.table import Table
 
 from gorsethread.cli.options import tell, write_json
+from gorsethread.durable_log.recovery import ACCEPTED, Recovered, place_of, recover
 from gorsethread.errors import Trouble
-from gorsethread.records.recovery import ACCEPTED, Recovered, place_of, recover
 
 app = typer.Typer(name="records", no_args_is_help=True, help="What a folder of records holds.")
 Folder = Annotated[Path, typer.Argument(help="The folder given to a head by --records.")]
--- a/gorsethread/records/copying.py
+++ b/gorsethread/durable_log/copying.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from gorsethread.records.kinds import NONE, Number, Record, Table, pieces
+from gorsethread.durable_log.kinds import NONE, Number, Record, Table, pieces
 
 CHUNK = 256  # records of one message
 CHUNK_BYTES = 1 << 18  # and about as many bytes, but one record at least
--- a/gorsethread/records/frames.py
+++ b/gorsethread/durable_log/frames.py
@@ -11,8 +11,8 @@
 import google_crc32c
 import msgspec
 
+from gorsethread.durable_log.kinds import Fact, Number, Record
 from gorsethread.errors import Trouble
-from gorsethread.records.kinds import Fact, Number, Record
 
 VERSION = 1
 MARK = b"\xa7\x5e"
--- a/gorsethread/records/recovery.py
+++ b/gorsethread/durable_log/recovery.py
@@ -8,8 +8,8 @@
 
 from dataclasses import dataclass, field
 
-from gorsethread.records.frames import Segment, Unusable, read
-from gorsethread.records.kinds import Table
+from gorsethread.durable_log.frames import Segment, Unusable, read
+from gorsethread.durable_log.kinds import Table
 
 SUFFIX = ".seg"
 LOCK = "lock"
--- a/gorsethread/records/store.py
+++ b/gorsethread/durable_log/store.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
+from gorsethread.durable_log.disk import Disk
+from gorsethread.durable_log.frames import VERSION, Begin, Unusable, begun, framed, seed_of
+from gorsethread.durable_log.kinds import Number, Record, Table, pieces, size_of
+from gorsethread.durable_log.recovery import ACCEPTED, LOCK, Recovered, name_of, place_of, recover
 from gorsethread.errors import Trouble
-from gorsethread.records.disk import Disk
-from gorsethread.records.frames import VERSION, Begin, Unusable, begun, framed, seed_of
-from gorsethread.records.kinds import Number, Record, Table, pieces, size_of
-from gorsethread.records.recovery import ACCEPTED, LOCK, Recovered, name_of, place_of, recover
 from gorsethread.transport.base import Journal, Transport
 
 GROWS = 1 << 20  # bytes
--- a/gorsethread/records/talk.py
+++ b/gorsethread/durable_log/talk.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
+from gorsethread.durable_log.frames import Entry
+from gorsethread.durable_log.kinds import Number, Record
 from gorsethread.errors import Trouble
-from gorsethread.records.frames import Entry
-from gorsethread.records.kinds import Number, Record
 
 LENGTH = struct.Struct("<I")
 MESSAGE_MOST = 3 << 20  # bytes; a branch's write has 1 MiB of data at most
--- a/gorsethread/faults/branches.py
+++ b/gorsethread/faults/branches.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from gorsethread.durable_log.kinds import STEP, Queued, Step
+from gorsethread.durable_log.recovery import place_of, recover
 from gorsethread.nvme.command import Opcode
 from gorsethread.nvme.subsystem import BLOCK
-from gorsethread.records.kinds import STEP, Queued, Step
-from gorsethread.records.recovery import place_of, recover
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.standins.client import LoadClient
 
--- a/gorsethread/faults/branchmutants.py
+++ b/gorsethread/faults/branchmutants.py
@@ -3,15 +3,15 @@
 from collections.abc import Callable
 from typing import Any
 
-from gorsethread.branch.landing import Answer, Landing
-from gorsethread.branch.writes import Context
+from gorsethread.durable_log.kinds import Effect, Gone, Queued
 from gorsethread.faults.planting import kept_in
-from gorsethread.head.branching import BranchSide
-from gorsethread.head.landing import LandingSide
 from gorsethread.head.program import Head
-from gorsethread.head.promises import Promises
 from gorsethread.nvme.command import Opcode
-from gorsethread.records.kinds import Effect, Gone, Queued
+from gorsethread.nvme_gateway.branching import BranchSide
+from gorsethread.nvme_gateway.landing import LandingSide
+from gorsethread.nvme_gateway.promises import Promises
+from gorsethread.offline_writes.landing import Answer, Landing
+from gorsethread.offline_writes.writes import Context
 
 BRANCH_MUTANTS: dict[str, Callable[[Head], None]] = {}
 mutant = kept_in(BRANCH_MUTANTS)
--- a/gorsethread/faults/branchworld.py
+++ b/gorsethread/faults/branchworld.py
@@ -3,11 +3,11 @@
 
 from typing import Any
 
-from gorsethread.branch.queue import Stage
 from gorsethread.faults.branches import Accepted, BranchClient, judge, on_disks
 from gorsethread.faults.recordsworld import RecordsWorld
 from gorsethread.faults.script import Act
-from gorsethread.head.holding import own_of
+from gorsethread.nvme_gateway.holding import own_of
+from gorsethread.offline_writes.queue import Stage
 
 
 class BranchWorld(RecordsWorld):
--- a/gorsethread/faults/coldpart.py
+++ b/gorsethread/faults/coldpart.py
@@ -6,14 +6,14 @@
 from collections.abc import Callable
 from typing import Any
 
-from gorsethread.model import ColdRule
+from gorsethread.scheduling.model import SlowStartRule
 
 SAME_START = 1.0  # seconds between two heads' ideas of when one start was
 HEARD_WITHIN = 0.5  # seconds from when the list's word is there until the decisions go by it
 SLACK = 1.001  # clocks of heads may run apart
 
 
-def borne(rule: ColdRule, age: float) -> float:
+def borne(rule: SlowStartRule, age: float) -> float:
     """Units that all heads together may have sent within the span, at that age of a cold shelf: as the rule's
     page has it, not as the module works it out."""
     return rule.units * (1.0 + (1.0 / rule.first_part - 1.0) * age / rule.warm_after)
@@ -28,7 +28,7 @@
     PART = 2.0 / 3.0
     FEW = 30.0  # requests, under which the slack is the wider one
 
-    def __init__(self, rule: ColdRule, mean: float) -> None:
+    def __init__(self, rule: SlowStartRule, mean: float) -> None:
         self.rule, self.mean = rule, mean
         self.fell = self.broken = False
         self._came: deque[tuple[float, float, bool]] = deque()  # of the span: when, units, by one told
@@ -50,7 +50,7 @@
 class ColdPart:
     """rule: units that all heads may send within its span. broken: told of what was too much."""
 
-    def __init__(self, rule: ColdRule, broken: Callable[[str], None]) -> None:
+    def __init__(self, rule: SlowStartRule, broken: Callable[[str], None]) -> None:
         self.rule, self.broken = rule, broken
         # By shelf and start: when, units, of the span; as many as starts there are in a world.
         self.sent: dict[tuple[int, float], deque[tuple[float, float]]] = {}
@@ -72,24 +72,24 @@
 
         def record(event: tuple[Any, ...]) -> None:
             if event[1] == "send_attempt":
-                self._forward(driver.policy, head, event[2], event[3], now())
+                self._forward(driver.scheduler, head, event[2], event[3], now())
 
         driver.recorder = record
 
-    def _forward(self, policy: Any, head: int, request: int, shelf: int, now: float) -> None:
-        t, s = policy.requests.get(request), policy.backends.get(shelf)
+    def _forward(self, scheduler: Any, head: int, request: int, shelf: int, now: float) -> None:
+        t, s = scheduler.requests.get(request), scheduler.backends.get(shelf)
         if t is None or s is None:
             return
         told, truly = self.told_of.get((head, shelf), now), now - self.started.get(shelf, now)
         if (
             now > told + HEARD_WITHIN
             and truly < self.rule.warm_after - SAME_START
-            and (s.since <= 0 or policy.now - s.since > truly + SAME_START)
+            and (s.since <= 0 or scheduler.now - s.since > truly + SAME_START)
         ):
             self.broken(f"takes a cold shelf for a warm one: shelf {shelf}, head {head}")
         if s.since <= 0:
             return
-        age = policy.now - s.since
+        age = scheduler.now - s.since
         if age >= self.rule.warm_after:
             return
         self.seen += 1
--- a/gorsethread/faults/kept.py
+++ b/gorsethread/faults/kept.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 from typing import Any
 
+from gorsethread.durable_log.frames import read
 from gorsethread.nvme.command import Status
-from gorsethread.records.frames import read
 from gorsethread.standins.client import LoadClient
 
 
--- a/gorsethread/faults/mutants.py
+++ b/gorsethread/faults/mutants.py
@@ -7,12 +7,12 @@
 
 from gorsethread.faults.planted import plant
 from gorsethread.faults.planting import kept_in, sometimes, told_as
-from gorsethread.head.carrying import Attempt
-from gorsethread.head.driver import Open
+from gorsethread.gateway.carrying import Attempt
+from gorsethread.gateway.driver import Open
 from gorsethread.head.links import BackendLink
 from gorsethread.head.program import Head
-from gorsethread.model import Ending
 from gorsethread.nvme.command import Completion, Status
+from gorsethread.scheduling.model import AttemptOutcome
 
 Change = Callable[[Head], None]
 MOST_FORWARDS = 8  # forwards of one transaction; without an end such a world would hardly get on
@@ -21,8 +21,8 @@
 
 
 def _facts(head: Head, **changed: Any) -> None:
-    policy = head.driver.policy
-    policy.facts = replace(policy.facts, **changed)
+    scheduler = head.driver.scheduler
+    scheduler.facts = replace(scheduler.facts, **changed)
 
 
 def _on_links(head: Head, change: Callable[[BackendLink], None]) -> None:
@@ -112,7 +112,7 @@
 
 @mutant("driver: a time-out is told as never sent")
 def _timed_out_never_ran(head: Head) -> None:
-    told_as(head, {Ending.TIMED_OUT: Ending.NOT_SENT})
+    told_as(head, {AttemptOutcome.TIMED_OUT: AttemptOutcome.NOT_SENT})
 
 
 @mutant("driver: one wake in five is lost")
@@ -166,12 +166,12 @@
 
 @mutant("links: a broken connection is told as not reached")
 def _broken_never_ran(head: Head) -> None:
-    told_as(head, {Ending.BROKEN: Ending.UNREACHED})
+    told_as(head, {AttemptOutcome.CONNECTION_LOST: AttemptOutcome.UNREACHABLE})
 
 
 @mutant("links: a failure is told as turned away")
 def _error_never_ran(head: Head) -> None:
-    told_as(head, {Ending.ERROR: Ending.TURNED_AWAY})
+    told_as(head, {AttemptOutcome.ERROR: AttemptOutcome.REJECTED})
 
 
 @mutant("links: what is over is sent all the same once connected")
@@ -387,14 +387,14 @@
 @mutant("module: each head takes all that a cold shelf bears for its own")
 def _whole_cold_part(head: Head) -> None:
     _facts(head, heads=1)
-    head.driver.policy.lends = False
+    head.driver.scheduler.lends = False
 
 
 @mutant("module: no budget of further forwards")
 def _no_budget(head: Head) -> None:
     _facts(head, budget=None, most_forwards=50)
-    policy = head.driver.policy
-    honest = policy._may_go_again
+    scheduler = head.driver.scheduler
+    honest = scheduler._may_go_again
 
     def may_go_again(t: Any) -> bool:
         t.attempts, kept = 1 if t.attempts < MOST_FORWARDS else t.attempts, t.attempts
@@ -402,18 +402,18 @@
         t.attempts = kept
         return may
 
-    policy._may_go_again = may_go_again  # type: ignore[method-assign]
+    scheduler._may_go_again = may_go_again  # type: ignore[method-assign]
 
 
 @mutant("module: a waiting transaction is not looked at again")
 def _no_looks(head: Head) -> None:
-    head.driver.policy._look_at = lambda t: None  # type: ignore[method-assign]
+    head.driver.scheduler._look_at = lambda t: None  # type: ignore[method-assign]
 
 
 @mutant("module: an irreversible transaction may go again")
 def _goes_again(head: Head) -> None:
-    policy = head.driver.policy
-    honest = policy._may_go_again
+    scheduler = head.driver.scheduler
+    honest = scheduler._may_go_again
 
     def may_go_again(t: Any) -> bool:
         ran, t.ran_at = t.ran_at, None
@@ -421,16 +421,16 @@
         t.ran_at = ran
         return may
 
-    policy._may_go_again = may_go_again  # type: ignore[method-assign]
-    policy._may_go_to = lambda t, s: True  # type: ignore[method-assign]
+    scheduler._may_go_again = may_go_again  # type: ignore[method-assign]
+    scheduler._may_go_to = lambda t, s: True  # type: ignore[method-assign]
 
 
 @mutant("module: what is over keeps its key's line")
 def _line_stays(head: Head) -> None:
-    policy = head.driver.policy
-    honest = policy._next_in_line
+    scheduler = head.driver.scheduler
+    honest = scheduler._next_in_line
     now = sometimes(40)
-    policy._next_in_line = lambda key: None if now() else honest(key)  # type: ignore[method-assign]
+    scheduler._next_in_line = lambda key: None if now() else honest(key)  # type: ignore[method-assign]
 
 
 # ---- membership
--- a/gorsethread/faults/planted.py
+++ b/gorsethread/faults/planted.py
@@ -2,10 +2,10 @@
 
 from typing import Any
 
-from gorsethread.head.carrying import Attempt
-from gorsethread.head.driver import Driver, Open
+from gorsethread.gateway.carrying import Attempt
+from gorsethread.gateway.driver import Driver, Open
 from gorsethread.head.program import Head
-from gorsethread.model import Effect, Ending
+from gorsethread.scheduling.model import AttemptOutcome, Effect
 
 MANY = 40
 
@@ -21,7 +21,7 @@
     driver = head.driver
     honest = driver._ended
 
-    def ended(f: Attempt, how: Ending, told: Any) -> None:
+    def ended(f: Attempt, how: AttemptOutcome, told: Any) -> None:
         t = driver.open.get(f.request)
         if t is not None and t.id % 10 == 0:
             t.answered = True
@@ -51,10 +51,10 @@
 
 
 def _twice(head: Head) -> None:
-    profiles = head.driver.policy.facts.profiles
+    profiles = head.driver.scheduler.facts.profiles
 
     def act(t: Open, f: Attempt) -> None:
-        if profiles[t.client.profile].effect is Effect.IRREVERSIBLE:  # type: ignore[attr-defined]
+        if profiles[t.client.profile].effect is Effect.NON_IDEMPOTENT:  # type: ignore[attr-defined]
             _again(head.driver, f)
 
     _after_forward(head.driver, act)
@@ -103,11 +103,11 @@
 
 
 def _no_limit(head: Head) -> None:
-    policy = head.driver.policy
-    policy._limit_left = lambda v: float("inf")  # type: ignore[method-assign]
+    scheduler = head.driver.scheduler
+    scheduler._limit_left = lambda v: float("inf")  # type: ignore[method-assign]
     # Nothing else holds a volume back either, else a busy shelf hides that the limit does not hold.
-    policy._in_pace = lambda t, s, chosen: True  # type: ignore[method-assign]
-    policy._free_slots = lambda s: 32 - len(s.out)  # type: ignore[method-assign]
+    scheduler._in_pace = lambda t, s, chosen: True  # type: ignore[method-assign]
+    scheduler._free_slots = lambda s: 32 - len(s.out)  # type: ignore[method-assign]
 
 
 _PLANTS = {
--- a/gorsethread/faults/planting.py
+++ b/gorsethread/faults/planting.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any, TypeVar
 
-from gorsethread.model import Ending
+from gorsethread.scheduling.model import AttemptOutcome
 
 Planted = TypeVar("Planted", bound=Callable[..., Any])
 
@@ -21,7 +21,7 @@
     return mutant
 
 
-def told_as(head: Any, wrong: dict[Ending, Ending]) -> None:
+def told_as(head: Any, wrong: dict[AttemptOutcome, AttemptOutcome]) -> None:
     """The decisions hear another ending than the one there was. head: of either front."""
     honest = head.driver.happened
 
--- a/gorsethread/faults/recordsmutants.py
+++ b/gorsethread/faults/recordsmutants.py
@@ -4,12 +4,12 @@
 from dataclasses import replace
 from typing import Any
 
+from gorsethread.durable_log import talk
+from gorsethread.durable_log.kinds import NONE, Record, Table
 from gorsethread.faults.planting import kept_in
 from gorsethread.head.program import Head
-from gorsethread.head.promises import Promises
-from gorsethread.records import talk
-from gorsethread.records.kinds import NONE, Record, Table
-from gorsethread.returning.stages import Return
+from gorsethread.nvme_gateway.promises import Promises
+from gorsethread.recovery.stages import Return
 
 KEPT_MUTANTS: dict[str, Callable[[Head], None]] = {}
 mutant = kept_in(KEPT_MUTANTS)
--- a/gorsethread/faults/recordsworld.py
+++ b/gorsethread/faults/recordsworld.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
+from gorsethread.durable_log.recovery import SUFFIX
 from gorsethread.faults.kept import Forgetful, Numbers, rot
 from gorsethread.faults.script import Act, Script
 from gorsethread.faults.world import World
-from gorsethread.head.holding import own_of
 from gorsethread.nvme.subsystem import BLOCK
-from gorsethread.records.recovery import SUFFIX
+from gorsethread.nvme_gateway.holding import own_of
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.standins.client import LoadClient
 
--- a/gorsethread/faults/webmutants.py
+++ b/gorsethread/faults/webmutants.py
@@ -9,10 +9,10 @@
 
 from gorsethread.faults.planting import kept_in, told_as
 from gorsethread.http1 import asking, serving
-from gorsethread.model import Backend, Ending
-from gorsethread.platform import backends
-from gorsethread.platform.listing import ListAnswer
-from gorsethread.platform.program import Gateway
+from gorsethread.http_gateway import backends
+from gorsethread.http_gateway.listing import ListAnswer
+from gorsethread.http_gateway.program import Gateway
+from gorsethread.scheduling.model import AttemptOutcome, Backend
 
 Change = Callable[[Gateway], None]
 WEB_MUTANTS: dict[str, Change] = {}
@@ -50,17 +50,17 @@
 
 @mutant("shelves: a connection that ended under a request counts as never reached")
 def _broken_as_unreached(head: Gateway) -> None:
-    told_as(head, {Ending.BROKEN: Ending.UNREACHED})
+    told_as(head, {AttemptOutcome.CONNECTION_LOST: AttemptOutcome.UNREACHABLE})
 
 
 @mutant("shelves: a spoilt answer counts as turned away")
 def _spoilt_as_turned_away(head: Gateway) -> None:
-    told_as(head, {Ending.ERROR: Ending.TURNED_AWAY})
+    told_as(head, {AttemptOutcome.ERROR: AttemptOutcome.REJECTED})
 
 
 @mutant("shelves: a time-out counts as never sent")
 def _timed_out_as_unsent(head: Gateway) -> None:
-    told_as(head, {Ending.TIMED_OUT: Ending.NOT_SENT})
+    told_as(head, {AttemptOutcome.TIMED_OUT: AttemptOutcome.NOT_SENT})
 
 
 @mutant("shelves: a forward called off leaves its connection in use")
@@ -73,7 +73,7 @@
                 link.out -= 1
                 connection.asking.waiting = False
                 link._rest(connection)
-            link.end(f, Ending.CANCELLED)
+            link.end(f, AttemptOutcome.CANCELLED)
 
         link.cancel = cancel  # type: ignore[method-assign]
 
@@ -115,8 +115,8 @@
     def change(link: backends.BackendLink) -> None:
         honest, again = link.end, set[int]()
 
-        def end(f: Any, how: Ending, *told: Any) -> None:
-            if how is Ending.BROKEN and f.request not in again and not f.over:
+        def end(f: Any, how: AttemptOutcome, *told: Any) -> None:
+            if how is AttemptOutcome.CONNECTION_LOST and f.request not in again and not f.over:
                 again.add(f.request)
                 link.send(f)
             else:
@@ -339,34 +339,34 @@
 
 @mutant("lending: a home lends from its first moment, as if no earlier life had")
 def _lends_at_once(head: Gateway) -> None:
-    policy = head.driver.policy
-    honest = policy._lend
+    scheduler = head.driver.scheduler
+    honest = scheduler._lend
 
     def lend(shard: int, units: float, age: float) -> bool:
-        born, policy.born = policy.born, -1e9
+        born, scheduler.born = scheduler.born, -1e9
         lends = honest(shard, units, age)
-        policy.born = born
+        scheduler.born = born
         return lends
 
-    policy._lend = lend  # type: ignore[method-assign]
+    scheduler._lend = lend  # type: ignore[method-assign]
 
 
 @mutant("lending: what was lent counts for half of the span")
 def _lending_forgotten(head: Gateway) -> None:
-    head.driver.policy.lent_kept *= 0.5
+    head.driver.scheduler.lent_kept *= 0.5
 
 
 @mutant("lending: a doubled answer lends twice")
 def _lends_twice(head: Gateway) -> None:
-    policy = head.driver.policy
-    honest = policy._borrow
+    scheduler = head.driver.scheduler
+    honest = scheduler._borrow
 
     def borrow(s: Backend) -> None:
         asked = s.asked
         honest(s)
         s.asked = asked
 
-    policy._borrow = borrow  # type: ignore[method-assign]
+    scheduler._borrow = borrow  # type: ignore[method-assign]
 
 
 @mutant("shelves: what waited for its connection is sent whenever that comes up")
@@ -376,13 +376,13 @@
 
 @mutant("lending: every head is each shelf's home")
 def _all_homes(head: Gateway) -> None:
-    head.driver.policy._home = lambda shard: head.configuration.facts.index  # type: ignore[method-assign]
+    head.driver.scheduler._home = lambda shard: head.configuration.facts.index  # type: ignore[method-assign]
 
 
 @mutant("lending: each head takes all that a cold shelf bears")
 def _takes_all(head: Gateway) -> None:
-    head.driver.policy.lends = False
-    head.driver.policy.facts = replace(head.driver.policy.facts, heads=1)
+    head.driver.scheduler.lends = False
+    head.driver.scheduler.facts = replace(head.driver.scheduler.facts, heads=1)
 
 
 @mutant("clients: the room of connections that were refused or ended is not given back")
--- a/gorsethread/faults/webworld.py
+++ b/gorsethread/faults/webworld.py
@@ -7,9 +7,9 @@
 from gorsethread.faults.script import Act
 from gorsethread.faults.states import WEB_STATES
 from gorsethread.faults.world import Remembering, Silent, World
-from gorsethread.platform.config import read_configuration
-from gorsethread.platform.discovery import backend_number
-from gorsethread.platform.program import CLIENTS_PART, KILL_AFTER, LONGEST_COUNTED, Gateway
+from gorsethread.http_gateway.config import read_configuration
+from gorsethread.http_gateway.discovery import backend_number
+from gorsethread.http_gateway.program import CLIENTS_PART, KILL_AFTER, LONGEST_COUNTED, Gateway
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.sitefile.reading import split_address
 from gorsethread.standins.web.backend import WebShelf
@@ -197,7 +197,7 @@
 
     def _used(self, head: Any) -> set[int]:
         names = {backend_number(f"s-{s.number}"): s.number for s in self.site.shelf}
-        return {names[s.id] for s in head.driver.policy.backends.values() if s.ready}
+        return {names[s.id] for s in head.driver.scheduler.backends.values() if s.ready}
 
     def _check_owners(self, number: int, head: Any) -> None:
         """Each connection counted is one that is kept, carries a forward or comes up, and none carries a
--- a/gorsethread/faults/world.py
+++ b/gorsethread/faults/world.py
@@ -16,7 +16,7 @@
 from gorsethread.faults.script import KEPT_POINTS, KINDS, Act, Clock, Script
 from gorsethread.faults.states import STATES, met
 from gorsethread.head.program import Head
-from gorsethread.model import ColdRule
+from gorsethread.scheduling.model import SlowStartRule
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.sitefile.reading import split_address
 from gorsethread.sitefile.sizing import sized
@@ -205,7 +205,7 @@
                 self.network.weather, lost=0.05, doubled=0.05, late=0.05, late_most=1.0
             )
         self.cold_part = ColdPart(
-            ColdRule(cold.units, cold.span, cold.warm_after, cold.first_part), self._defect
+            SlowStartRule(cold.units, cold.span, cold.warm_after, cold.first_part), self._defect
         )
         self.zero = self.loop.time() + START_UP
         self.day = self._process("day")
@@ -583,7 +583,7 @@
 
     def _used(self, head: Any) -> set[int]:
         """Shelves that its decisions take as ready, by the list's numbers."""
-        return {s.id for s in head.driver.policy.backends.values() if s.ready}
+        return {s.id for s in head.driver.scheduler.backends.values() if s.ready}
 
     def _check_owners(self, number: int, head: Any) -> None:
         """No forward out without a transaction that owns it, and none awaited that no link holds."""
@@ -648,13 +648,13 @@
                 self._defect(f"a head did not come back: head {number}")
                 continue
             self._check_counts(number)
-            driver, policy = head.driver, head.driver.policy
+            driver, scheduler = head.driver, head.driver.scheduler
             left: dict[str, Sized] = {
                 "open transactions": driver.open,
-                "transactions of the policy": policy.requests,
-                "busy volumes": policy.busy,
-                "lines of keys": policy.lines,
-                "forwards at the policy's shelves": [o for s in policy.backends.values() for o in s.out],
+                "transactions of the policy": scheduler.requests,
+                "busy volumes": scheduler.busy,
+                "lines of keys": scheduler.lines,
+                "forwards at the policy's shelves": [o for s in scheduler.backends.values() for o in s.out],
             }
             for what, things in left.items():
                 if things:
--- a/gorsethread/head/carrying.py
+++ b/gorsethread/gateway/carrying.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple, Protocol
 
-from gorsethread.model import Ending, Held, Outcome
+from gorsethread.scheduling.model import AttemptOutcome, HoldReason, RequestOutcome
 
 UNPLACED = -1  # the shard of what nobody has written yet
 Place = tuple[int, int]  # volume and extent of what a first write may part
@@ -44,7 +44,7 @@
     backend: int
     sent_at: float
     payload: Any
-    ended: "Callable[[Attempt, Ending, Told], None]"
+    ended: "Callable[[Attempt, AttemptOutcome, Told], None]"
     cid: int = -1
     over: bool = False
     first_write: bool = False  # of an extent that nobody has placed yet
@@ -97,9 +97,15 @@
 
     def begun(self, id: int, taken: Taken) -> None: ...
     def unsent(self) -> list[int]: ...
-    def held(self, id: int, why: Held, backend: int, now: float) -> None: ...
+    def held(self, id: int, why: HoldReason, backend: int, now: float) -> None: ...
     def sent(self, id: int, forward: int, backend: int, when: float, taken: Taken | None = None) -> None: ...
     def ended(
-        self, id: int, forward: int, how: Ending, service: float, when: float, outcome: Outcome | None = None
+        self,
+        id: int,
+        forward: int,
+        how: AttemptOutcome,
+        service: float,
+        when: float,
+        outcome: RequestOutcome | None = None,
     ) -> None: ...
-    def answered(self, id: int, outcome: Outcome, when: float) -> None: ...
+    def answered(self, id: int, outcome: RequestOutcome, when: float) -> None: ...
--- a/gorsethread/head/driver.py
+++ b/gorsethread/gateway/driver.py
@@ -1,4 +1,4 @@
-"""Hands what happens to the policy, a batch a turn of the loop, and carries out its acts.
+"""Hands what happens to the scheduler, a batch a turn of the loop, and carries out its acts.
 
 One final answer a command is kept here mechanically: a request that was answered, or whose client left,
 takes no further act. A time-out at the deadline is the wire's; what follows from it is the policy's.
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from gorsethread.head.carrying import (
+from gorsethread.gateway.carrying import (
     NOTHING,
     UNPLACED,
     Accounts,
@@ -22,9 +22,16 @@
     Taken,
     Told,
 )
-from gorsethread.held_reasons import why_held
-from gorsethread.model import AttemptEnded, Ending, Held, Outcome, RequestTaken, StartFacts
-from gorsethread.policy import Policy
+from gorsethread.gateway.held_reasons import why_held
+from gorsethread.scheduling.model import (
+    AttemptEnded,
+    AttemptOutcome,
+    HoldReason,
+    RequestOutcome,
+    RequestTaken,
+    SchedulerSettings,
+)
+from gorsethread.scheduling.scheduler import Scheduler
 from gorsethread.transport.base import Timer, Transport
 
 NEVER = float("inf")
@@ -49,12 +56,12 @@
 
 
 class Driver:
-    """The host of one policy. All times are the transport's."""
+    """The host of one scheduler. All times are the transport's."""
 
     def __init__(
         self,
         transport: Transport,
-        facts: StartFacts,
+        facts: SchedulerSettings,
         seed: int,
         placement: Placement,
         follow_list: Callable[[], None],
@@ -79,7 +86,7 @@
         self._deadlines: list[tuple[float, int]] = []
         self._deadline_timer: Timer | None = None
         self._deadline_at = NEVER
-        self.policy = Policy(self, facts, seed)
+        self.scheduler = Scheduler(self, facts, seed)
         # Carries messages to other gateways, where a front has a way to them.
         self.teller: Callable[[int, str], None] | None = None
         self.recorder: Callable[[tuple[Any, ...]], None] | None = None  # sees events and acts, for replays
@@ -87,14 +94,14 @@
         self.keeper: Keeper | None = None  # where what is placed is to last
         self.unkept: dict[Attempt, None] = {}  # first writes that wait for that; emptied as it is told
         self._fresh: list[Open] = []  # taken since the last batch, which empties it
-        # The first batch is empty: the policy asks for the list in it.
+        # The first batch is empty: the scheduler asks for the list in it.
         self._due = True
         transport.soon(self._work)
 
     # ---- what happens
 
     def happened(self, method: str, *facts: Any) -> None:
-        """Queues one call on the policy; all of a turn are worked on together."""
+        """Queues one call on the scheduler; all of a turn are worked on together."""
         self._batch.append((method, facts))
         if not self._due:
             self._due = True
@@ -141,7 +148,7 @@
         if t.answered:
             return
         t.answered = True
-        self._account(t, Outcome.LEFT)
+        self._account(t, RequestOutcome.CLIENT_LEFT)
         self.counts["left"] += 1
         for f in list(t.out.values()):
             if link := self.links.get(f.backend):
@@ -180,10 +187,10 @@
         for method, facts in batch:
             if self.recorder:
                 self.recorder(("event", self._now, method, *facts))
-            getattr(self.policy, method)(*facts)
+            getattr(self.scheduler, method)(*facts)
         if self.recorder:
             self.recorder(("batch", self._now))
-        self.policy.batch_ended()
+        self.scheduler.batch_ended()
         if self.accounts is not None:
             for t in self._fresh:
                 if t.untold is not None:
@@ -221,7 +228,7 @@
         for f in list(t.out.values()):
             self._time_out(f)
 
-    def _account(self, t: Open, outcome: Outcome) -> None:
+    def _account(self, t: Open, outcome: RequestOutcome) -> None:
         if self.accounts is not None:
             if t.untold is not None:
                 self.accounts.begun(t.id, t.untold)
@@ -229,25 +236,25 @@
             self.accounts.answered(t.id, outcome, self.transport.now())
 
     def _account_held(self, accounts: Accounts, unsent: list[int]) -> None:
-        """Of what the last search left unsent, the policy says why; what it has not seen it does not hold."""
+        """Of what the last search left unsent, the scheduler says why; what it has not seen it holds not."""
         now = self.transport.now()
         for id in unsent:
-            why, backend = why_held(self.policy, id)
-            if why is not Held.NOT:
+            why, backend = why_held(self.scheduler, id)
+            if why is not HoldReason.NOT:
                 accounts.held(id, why, backend, now)
 
-    def _ended(self, f: Attempt, how: Ending, told: Told) -> None:
+    def _ended(self, f: Attempt, how: AttemptOutcome, told: Told) -> None:
         t = self.open.get(f.request)
         if t is None:
             return
         now = self.transport.now()
-        succeeded = how is Ending.SUCCEEDED and not t.answered
+        succeeded = how is AttemptOutcome.SUCCEEDED and not t.answered
         if self.accounts is not None:
             self.accounts.ended(
-                t.id, f.number, how, told.service, now, Outcome.SUCCEEDED if succeeded else None
+                t.id, f.number, how, told.service, now, RequestOutcome.SUCCEEDED if succeeded else None
             )
         t.out.pop(f.number, None)
-        self.counts["forwards honoured" if how is Ending.SUCCEEDED else f"forwards {how.value}"] += 1
+        self.counts["forwards honoured" if how is AttemptOutcome.SUCCEEDED else f"forwards {how.value}"] += 1
         if f.first_write:
             self._placing_ended(t, how)
         if succeeded:
@@ -265,7 +272,7 @@
         if t.answered and not t.out:
             self.open.pop(t.id, None)
 
-    # ---- the policy's acts (gorsethread/host.py)
+    # ---- the policy's acts (gorsethread/scheduling/actions.py)
 
     def clock(self) -> float:
         return self._now
@@ -287,7 +294,7 @@
             or not (t.shard == self.shards[backend] if t.shard != UNPLACED else self._holds(t, f))
         ):
             f.over = True
-            self._ended(f, Ending.NOT_SENT, NOTHING)
+            self._ended(f, AttemptOutcome.NOT_SENT, NOTHING)
             return
         self.counts["forwards"] += 1
         if wait > 0 and self._now + wait < t.deadline:
@@ -306,13 +313,17 @@
         self.unkept.pop(f, None)
         if f.over:
             return
-        t, link, s = self.open.get(f.request), self.links.get(f.backend), self.policy.backends.get(f.backend)
+        t, link, s = (
+            self.open.get(f.request),
+            self.links.get(f.backend),
+            self.scheduler.backends.get(f.backend),
+        )
         # While it waited its client may have left, or the backend begun to drain.
         if kept and link is not None and t is not None and not t.answered and s is not None and s.ready:
             link.send(f)
         else:
             f.over = True
-            self._ended(f, Ending.NOT_SENT, NOTHING)
+            self._ended(f, AttemptOutcome.NOT_SENT, NOTHING)
 
     def _holds(self, t: Open, f: Attempt) -> bool:
         """Two first writes of one extent must not part it: the second goes where the first went."""
@@ -330,7 +341,7 @@
             self._placing[t.place] = (placing[0] + 1, placing[1])
         return True
 
-    def _placing_ended(self, t: Open, how: Ending) -> None:
+    def _placing_ended(self, t: Open, how: AttemptOutcome) -> None:
         """An extent stays where a first write of it may have run; it is free again once none has."""
         assert t.place is not None
         out, ran = self._placing[t.place]
@@ -349,7 +360,7 @@
             f.over = True
             if link := self.links.get(f.backend):
                 link.cancel(f)
-            self._ended(f, Ending.TIMED_OUT, NOTHING)
+            self._ended(f, AttemptOutcome.TIMED_OUT, NOTHING)
 
     def cancel_attempt(self, request: int, number: int) -> None:
         if self.recorder:
@@ -359,7 +370,7 @@
             f.over = True
             if link := self.links.get(f.backend):
                 link.cancel(f)
-            self._ended(f, Ending.CANCELLED, NOTHING)
+            self._ended(f, AttemptOutcome.CANCELLED, NOTHING)
 
     def reject(self, request: int, return_after: float) -> None:
         if self.recorder:
@@ -367,7 +378,7 @@
         t = self.open.get(request)
         if t and not t.answered:
             t.answered = True
-            self._account(t, Outcome.REJECTED)
+            self._account(t, RequestOutcome.REJECTED)
             self.counts["pushed back"] += 1
             t.client.rejected(return_after)
             self._close(t)
@@ -378,7 +389,7 @@
         t = self.open.get(request)
         if t and not t.answered:
             t.answered = True
-            self._account(t, Outcome.FAILED)
+            self._account(t, RequestOutcome.FAILED)
             self.counts["given up"] += 1
             t.client.failed()
             self._close(t)
--- a/gorsethread/head/linktable.py
+++ b/gorsethread/gateway/linktable.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from gorsethread.head.driver import Driver
+from gorsethread.gateway.driver import Driver
 
 
 class LinkTable:
--- a/gorsethread/startfacts.py
+++ b/gorsethread/gateway/startfacts.py
@@ -3,10 +3,18 @@
 from typing import Any
 
 from gorsethread.errors import Trouble
-from gorsethread.model import ColdRule, Effect, ForwardBudget, Group, Plan, Profile, StartFacts
+from gorsethread.scheduling.model import (
+    Effect,
+    IdempotencyScope,
+    RequestClass,
+    RetryBudget,
+    SchedulerSettings,
+    ServiceTier,
+    SlowStartRule,
+)
 
-EFFECTS = {"free": Effect.REDOABLE, "guarded": Effect.LABELLED, "single_shot": Effect.IRREVERSIBLE}
-GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.SHARD}
+EFFECTS = {"free": Effect.IDEMPOTENT, "guarded": Effect.KEYED, "single_shot": Effect.NON_IDEMPOTENT}
+GROUPS = {"all": IdempotencyScope.ALL, "zone": IdempotencyScope.ZONE, "cell": IdempotencyScope.SHARD}
 
 
 class Malformed(Trouble):
@@ -28,16 +36,16 @@
     return table[value]
 
 
-def start_facts(setup: Fields) -> StartFacts:
+def start_facts(setup: Fields) -> SchedulerSettings:
     rules, may, facts = setup["contract"], setup["permissions"], setup["specifics"]
     budget = None
     if rules.get("furtherRatio") is not None or rules.get("freeResends") is not None:
-        budget = ForwardBudget(
+        budget = RetryBudget(
             rules.get("freeResends") or 0.0, rules.get("furtherRatio") or 0.0, rules["ratioSpan"]
         )
-    return StartFacts(
+    return SchedulerSettings(
         profiles=tuple(
-            Profile(
+            RequestClass(
                 s["aim"],
                 word(EFFECTS, s["effect"]),
                 word(GROUPS, s.get("group", "all")),
@@ -48,7 +56,7 @@
             for s in setup["services"]
         ),
         plans=tuple(
-            Plan(
+            ServiceTier(
                 g.get("floorRate", 0.0),
                 g.get("proportion", 1.0),
                 g.get("neverOver", 0.0),
@@ -61,7 +69,7 @@
         list_on_request=setup["membershipMode"] == "subscribe",
         ask_within=rules.get("askWithin", 0.0),
         drain_grace=rules["stopSendingWithin"],
-        cold=ColdRule(facts["coldUnits"], rules["fall"], rules["cold"], rules["coldFrom"]),
+        cold=SlowStartRule(facts["coldUnits"], rules["fall"], rules["cold"], rules["coldFrom"]),
         budget=budget,
         key_rest=rules.get("orderSettle") or 0.0,
         most_forwards=may["maxAttempts"],
--- a/gorsethread/harness/kept.py
+++ b/gorsethread/harness/kept.py
@@ -9,6 +9,7 @@
 from pathlib import Path
 from typing import Any
 
+from gorsethread.durable_log.recovery import SUFFIX
 from gorsethread.faults.kept import Forgetful, Numbers, rot
 from gorsethread.faults.recordsworld import parted
 from gorsethread.faults.script import Act, Script
@@ -16,8 +17,7 @@
 from gorsethread.harness.cast import FOLDERS
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.site import SiteTrial
-from gorsethread.head.holding import own_of
-from gorsethread.records.recovery import SUFFIX
+from gorsethread.nvme_gateway.holding import own_of
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.standins.client import LoadClient
 from gorsethread.transport.real import RealTransport
--- a/gorsethread/harness/service.py
+++ b/gorsethread/harness/service.py
@@ -37,7 +37,7 @@
 HELD = 0.3  # seconds after a pause in which a head works on what came meanwhile
 START_WITHIN = 30.0  # seconds until all heads listen
 TOLD_AFTER = 6.0  # seconds from a silence until what it hides counts as told
-HEAD = "import runpy; runpy.run_module('gorsethread.platform', run_name='__main__')"
+HEAD = "import runpy; runpy.run_module('gorsethread.http_gateway', run_name='__main__')"
 
 
 @dataclass
--- a/gorsethread/harness/site.py
+++ b/gorsethread/harness/site.py
@@ -9,13 +9,13 @@
 import msgspec
 from google.protobuf import text_format
 
-from gorsethread.branch import talk as branches
+from gorsethread.durable_log import talk
 from gorsethread.faults.script import Act, Script
 from gorsethread.harness.points import planted
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.service import ServiceTrial
 from gorsethread.head.listing import Ask
-from gorsethread.records import talk
+from gorsethread.offline_writes import talk as branches
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.sitefile.reading import split_address
 from gorsethread.standins.client import LoadClient
--- a/gorsethread/head/accounting.py
+++ b/gorsethread/head/accounting.py
@@ -5,8 +5,8 @@
 from gorsethread.accounts.lives import LOOK_EVERY, Accounts
 from gorsethread.accounts.snapshots import SUFFIX, encode
 from gorsethread.accounts.window import Span
-from gorsethread.head.driver import Driver
-from gorsethread.held_reasons import why_held
+from gorsethread.gateway.driver import Driver
+from gorsethread.gateway.held_reasons import why_held
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.transport.base import Transport
 
@@ -54,7 +54,7 @@
         now = self.transport.now()
         if self.accounts.lanes:
             for id in self.accounts.looks():
-                self.accounts.held(id, *why_held(self.driver.policy, id), now)
+                self.accounts.held(id, *why_held(self.driver.scheduler, id), now)
         self.transport.at(now + LOOK_EVERY, self._look)
 
     def _next(self) -> None:
--- a/gorsethread/head/clients.py
+++ b/gorsethread/head/clients.py
@@ -2,8 +2,8 @@
 
 from typing import Any, NamedTuple
 
-from gorsethread.head.carrying import UNPLACED, Keeper, Placement
-from gorsethread.head.driver import Driver, Open
+from gorsethread.gateway.carrying import UNPLACED, Keeper, Placement
+from gorsethread.gateway.driver import Driver, Open
 from gorsethread.head.facts import Sorter, units_of
 from gorsethread.head.links import Order
 from gorsethread.nvme.command import SGL_IN_CAPSULE, Completion, Opcode, Status
@@ -108,7 +108,7 @@
         self._shards = {s.shard for s in site.shelf}
         self.draining = False
         self.keeper: Keeper | None = None  # where what is placed is to last
-        self.branch: Any = None  # of a branch's head: gorsethread/head/branching.py
+        self.branch: Any = None  # of a branch's head: gorsethread/nvme_gateway/branching.py
 
     def announced(self, io: IoCommand) -> None:
         command = io.command
--- a/gorsethread/head/facts.py
+++ b/gorsethread/head/facts.py
@@ -1,32 +1,45 @@
-"""From the site file to what the policy starts with, and which profile, units and key a command has."""
+"""From the site file to what the scheduler starts with, and which profile, units and key a command has."""
 
-from gorsethread.model import ColdRule, Effect, ForwardBudget, Group, Plan, Profile, StartFacts
 from gorsethread.nvme.command import Opcode
+from gorsethread.scheduling.model import (
+    Effect,
+    IdempotencyScope,
+    RequestClass,
+    RetryBudget,
+    SchedulerSettings,
+    ServiceTier,
+    SlowStartRule,
+)
 from gorsethread.sitefile import site_pb2 as pb
 
-EFFECTS = {pb.REDOABLE: Effect.REDOABLE, pb.LABELLED: Effect.LABELLED, pb.IRREVERSIBLE: Effect.IRREVERSIBLE}
-GROUPS = {pb.GROUP_UNSET: Group.ALL, pb.ALL: Group.ALL, pb.ZONE: Group.ZONE, pb.SHARD: Group.SHARD}
+EFFECTS = {pb.REDOABLE: Effect.IDEMPOTENT, pb.LABELLED: Effect.KEYED, pb.IRREVERSIBLE: Effect.NON_IDEMPOTENT}
+GROUPS = {
+    pb.GROUP_UNSET: IdempotencyScope.ALL,
+    pb.ALL: IdempotencyScope.ALL,
+    pb.ZONE: IdempotencyScope.ZONE,
+    pb.SHARD: IdempotencyScope.SHARD,
+}
 NO_BOUND = 1 << 62
 ANY_HINTS = -1
 OPERATIONS = {pb.READ: Opcode.READ, pb.WRITE: Opcode.WRITE}
 
 
-def start_facts(site: pb.Site) -> StartFacts:
+def start_facts(site: pb.Site) -> SchedulerSettings:
     rules, cold = site.rules, site.rules.cold
     budget = None
     if rules.HasField("budget"):
-        budget = ForwardBudget(rules.budget.free, rules.budget.part, rules.budget.span)
-    return StartFacts(
+        budget = RetryBudget(rules.budget.free, rules.budget.part, rules.budget.span)
+    return SchedulerSettings(
         profiles=tuple(
-            Profile(p.promised, EFFECTS[p.effect], GROUPS[p.group], p.remembered, p.in_order, p.value)
+            RequestClass(p.promised, EFFECTS[p.effect], GROUPS[p.group], p.remembered, p.in_order, p.value)
             for p in site.profile
         ),
-        plans=tuple(Plan(p.reserve, p.weight, p.limit, p.limit_burst, p.usual) for p in site.plan),
+        plans=tuple(ServiceTier(p.reserve, p.weight, p.limit, p.limit_burst, p.usual) for p in site.plan),
         heads=len(site.head),
         list_on_request=True,
         ask_within=site.list.ask_within,
         drain_grace=rules.drain_grace,
-        cold=ColdRule(cold.units, cold.span, cold.warm_after, cold.first_part),
+        cold=SlowStartRule(cold.units, cold.span, cold.warm_after, cold.first_part),
         budget=budget,
         key_rest=rules.key_rest,
         most_forwards=rules.most_forwards,
--- a/gorsethread/head/links.py
+++ b/gorsethread/head/links.py
@@ -1,20 +1,23 @@
 """Links from a head to its shelves: many commands a connection, each forward's one ending told as it was.
 
 A link connects when a forward needs it and says nothing of its own accord about when to try again: a forward
-that finds no connection ends as UNREACHED, and the policy lets the shelf rest.
+that finds no connection ends as UNREACHED, and the scheduler lets the shelf rest.
 """
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from gorsethread.head.carrying import NOTHING, Attempt, Told
-from gorsethread.model import Ending
+from gorsethread.gateway.carrying import NOTHING, Attempt, Told
 from gorsethread.nvme.command import Command, Completion, Status, told_service
 from gorsethread.queues.dial import Association, Names, dial
+from gorsethread.scheduling.model import AttemptOutcome
 from gorsethread.transport.base import Transport, Unreachable
 
-ENDINGS: dict[int, Ending] = {Status.SUCCESS: Ending.SUCCEEDED, Status.ABORT_REQUESTED: Ending.CANCELLED}
+ENDINGS: dict[int, AttemptOutcome] = {
+    Status.SUCCESS: AttemptOutcome.SUCCEEDED,
+    Status.ABORT_REQUESTED: AttemptOutcome.CANCELLED,
+}
 
 
 class Order(NamedTuple):
@@ -59,14 +62,14 @@
         if self.unready:
             waiting, self.waiting = self.waiting, []
             for f in waiting:
-                self._end(f, Ending.NOT_SENT)
+                self._end(f, AttemptOutcome.NOT_SENT)
 
     def cancel(self, f: Attempt) -> None:
         """Asks the shelf to drop it; it still holds its command id until the shelf has answered. What waits
         for its connection is not sent at all."""
         if f in self.waiting:
             self.waiting.remove(f)
-            self._end(f, Ending.NOT_SENT)
+            self._end(f, AttemptOutcome.NOT_SENT)
             return
         if self.association is not None and f.cid in self.out and self.out[f.cid] is f:
             self.association.abort(f.cid)
@@ -102,7 +105,7 @@
             self.log.info("shelf not reached", shelf=self.shelf, reason=str(error))
             waiting, self.waiting = self.waiting, []
             for f in waiting:
-                self._end(f, Ending.UNREACHED)
+                self._end(f, AttemptOutcome.UNREACHABLE)
             return
         self.connecting = False
         if self.closed:
@@ -110,7 +113,7 @@
         if self.closed or association.io.queue.over or association.admin.queue.over:
             waiting, self.waiting = self.waiting, []
             for f in waiting:
-                self._end(f, Ending.UNREACHED)
+                self._end(f, AttemptOutcome.UNREACHABLE)
             return
         self.association = association
         association.io.ended = self._broke
@@ -149,9 +152,9 @@
             self.signs.heard()
         elsewhere, usage, service = told_service(completion)
         if completion.pushed_back:
-            how = Ending.TURNED_AWAY
+            how = AttemptOutcome.REJECTED
         else:
-            how = ENDINGS.get(completion.status, Ending.ERROR)
+            how = ENDINGS.get(completion.status, AttemptOutcome.ERROR)
         self._end(f, how, Told(data, elsewhere, usage, service))
 
     def _broke(self, reason: str) -> None:
@@ -162,9 +165,9 @@
         if not self.closed:
             self.log.info("shelf link broke", shelf=self.shelf, reason=reason, out=len(out))
         for f in out.values():
-            self._end(f, Ending.BROKEN)
+            self._end(f, AttemptOutcome.CONNECTION_LOST)
 
-    def _end(self, f: Attempt, how: Ending, told: Told = NOTHING) -> None:
+    def _end(self, f: Attempt, how: AttemptOutcome, told: Told = NOTHING) -> None:
         if not f.over:
             f.over = True
             f.ended(f, how, told)
--- a/gorsethread/head/listing.py
+++ b/gorsethread/head/listing.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from gorsethread.head.driver import Driver
+from gorsethread.gateway.driver import Driver
 from gorsethread.head.peers import PeerSide
 from gorsethread.sitefile.reading import split_address
 from gorsethread.transport.base import Stream, StreamClosed, Transport, Unreachable
--- a/gorsethread/head/peers.py
+++ b/gorsethread/head/peers.py
@@ -6,8 +6,8 @@
 from typing import Any
 from zlib import crc32
 
+from gorsethread.gateway.messages import WORDS_MOST, Allowance
 from gorsethread.head.fleet import FleetSide
-from gorsethread.head.messages import WORDS_MOST, Allowance
 from gorsethread.membership.news import EVERY, Membership, News
 from gorsethread.membership.words import Address, Kind, Message, State, Word
 from gorsethread.sitefile import site_pb2 as pb
--- a/gorsethread/head/program.py
+++ b/gorsethread/head/program.py
@@ -3,26 +3,26 @@
 from dataclasses import replace
 from typing import Any
 
+from gorsethread.durable_log.kinds import NONE
+from gorsethread.gateway.carrying import Place
+from gorsethread.gateway.driver import Driver
+from gorsethread.gateway.linktable import LinkTable
 from gorsethread.head.accounting import AccountBook
-from gorsethread.head.branching import BranchSide, as_json
-from gorsethread.head.carrying import Place
 from gorsethread.head.clients import ClientSide, Tenants
-from gorsethread.head.driver import Driver
 from gorsethread.head.facts import start_facts
-from gorsethread.head.holding import Holding
-from gorsethread.head.landing import LandingSide
 from gorsethread.head.links import BackendLink
-from gorsethread.head.linktable import LinkTable
 from gorsethread.head.listing import ListFollower
 from gorsethread.head.peers import PeerSide
 from gorsethread.head.placement import SitePlacement
-from gorsethread.head.promises import Promises
 from gorsethread.nvme.command import Opcode
 from gorsethread.nvme.subsystem import Subsystem
+from gorsethread.nvme_gateway.branching import BranchSide, as_json
+from gorsethread.nvme_gateway.holding import Holding
+from gorsethread.nvme_gateway.landing import LandingSide
+from gorsethread.nvme_gateway.promises import Promises
 from gorsethread.queues.dial import Names
 from gorsethread.queues.serve import QueueServer
-from gorsethread.records.kinds import NONE
-from gorsethread.returning.spacing import Opens
+from gorsethread.recovery.spacing import Opens
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.sitefile.reading import split_address
 from gorsethread.transport.base import Transport
--- a/gorsethread/platform/__main__.py
+++ b/gorsethread/http_gateway/__main__.py
@@ -1,13 +1,13 @@
-"""python -m gorsethread.platform: one gateway in service, as the platform starts it.
+"""python -m gorsethread.http_gateway: one gateway in service, as the platform starts it.
 
 Exit status 0: ended in order, 2: the configuration or the address can't be used, 1: a defect."""
 
 import os
 import sys
 
+from gorsethread.http_gateway.config import Unusable, read_configuration
+from gorsethread.http_gateway.program import CannotListen, Gateway
 from gorsethread.logs import log_for, start_logs
-from gorsethread.platform.config import Unusable, read_configuration
-from gorsethread.platform.program import CannotListen, Gateway
 from gorsethread.transport.real import RealTransport, run
 
 
--- a/gorsethread/platform/backends.py
+++ b/gorsethread/http_gateway/backends.py
@@ -7,11 +7,11 @@
 from collections import deque
 from typing import NamedTuple
 
-from gorsethread.head.carrying import NOTHING, Attempt, Told
+from gorsethread.gateway.carrying import NOTHING, Attempt, Told
 from gorsethread.http1.asking import Answer, Asking
 from gorsethread.http1.bounds import Headers, Spoilt
-from gorsethread.model import Ending
-from gorsethread.platform.pool import ConnectionPool
+from gorsethread.http_gateway.pool import ConnectionPool
+from gorsethread.scheduling.model import AttemptOutcome
 from gorsethread.transport.base import Stream, StreamClosed, StreamEnded, Timer, Unreachable
 
 DECLINED = b"srv-declined"
@@ -89,7 +89,7 @@
             self.out += 1
             self.transport.spawn(self._dial(f))
         elif self.unready:
-            self.end(f, Ending.NOT_SENT)
+            self.end(f, AttemptOutcome.NOT_SENT)
         else:
             self.out += 1
             self.pool.waiting.append((self, f))
@@ -99,7 +99,9 @@
         connection = self.pool.busy.get(f.request)
         if connection is not None and connection.out is f:
             connection.link.lose(connection)
-        self.end(f, Ending.CANCELLED)  # also where it only waited: not the backend, the client ended it
+        self.end(
+            f, AttemptOutcome.CANCELLED
+        )  # also where it only waited: not the backend, the client ended it
 
     # ---- connections
 
@@ -123,7 +125,7 @@
             self.out -= 1
             self.pool.held -= 1
             self.pool.log.debug("shelf not reached", backend=self.host.decode(), reason=str(error))
-            self.end(f, Ending.UNREACHED)
+            self.end(f, AttemptOutcome.UNREACHABLE)
             self.pool.freed()
             return
         self.out -= 1
@@ -135,7 +137,7 @@
             self._submit(connection, f)
         else:
             self._rest(connection)
-            self.end(f, Ending.NOT_SENT)
+            self.end(f, AttemptOutcome.NOT_SENT)
         await self._listen(connection)
 
     def may_begin(self, f: Attempt) -> bool:
@@ -172,7 +174,7 @@
             if f is not None:
                 if connection.uses > 1:
                     self.pool.trust.seen(True, self.transport.now())
-                self.end(f, Ending.UNREACHED if unsent else Ending.BROKEN)
+                self.end(f, AttemptOutcome.UNREACHABLE if unsent else AttemptOutcome.CONNECTION_LOST)
         except Spoilt as error:
             self._spoilt(connection, str(error))
         self.pool.freed()
@@ -211,7 +213,7 @@
         f = self.lose(connection)
         if f is not None:
             self.pool.spoilt[reason[:40]] += 1
-            self.end(f, Ending.ERROR)
+            self.end(f, AttemptOutcome.ERROR)
 
     def _answered(self, connection: BackendConnection, answer: Answer) -> None:
         f, connection.out = connection.out, None
@@ -228,13 +230,13 @@
         if answer.status == 200:
             self.end(
                 f,
-                Ending.SUCCEEDED,
+                AttemptOutcome.SUCCEEDED,
                 Told(answer.body, figure(answer.one(ELSEWHERE)), figure(answer.one(USAGE))),
             )
         elif answer.status in (503, 504) and answer.one(DECLINED) == b"1":
-            self.end(f, Ending.TURNED_AWAY)
+            self.end(f, AttemptOutcome.REJECTED)
         else:
-            self.end(f, Ending.ERROR)
+            self.end(f, AttemptOutcome.ERROR)
         self.pool.freed()
 
     def _rest(self, connection: BackendConnection) -> None:
@@ -259,7 +261,7 @@
             connection.stream.close()
         return f
 
-    def end(self, f: Attempt, how: Ending, told: Told = NOTHING) -> None:
+    def end(self, f: Attempt, how: AttemptOutcome, told: Told = NOTHING) -> None:
         if not f.over:
             f.over = True
             f.ended(f, how, told)
--- a/gorsethread/platform/clients.py
+++ b/gorsethread/http_gateway/clients.py
@@ -7,13 +7,13 @@
 from collections import Counter
 from typing import Any
 
-from gorsethread.head.driver import Driver
+from gorsethread.gateway.driver import Driver
 from gorsethread.http1.bounds import Unreadable
 from gorsethread.http1.serving import Request, last_words
-from gorsethread.platform.backends import OutgoingRequest
-from gorsethread.platform.config import Naming
-from gorsethread.platform.connection import Connection
-from gorsethread.platform.requests import ONWARD, RequestFields, read_request
+from gorsethread.http_gateway.backends import OutgoingRequest
+from gorsethread.http_gateway.config import Naming
+from gorsethread.http_gateway.connection import Connection
+from gorsethread.http_gateway.requests import ONWARD, RequestFields, read_request
 from gorsethread.transport.base import Stream, Transport
 
 READY = b"/healthz"
--- a/gorsethread/platform/config.py
+++ b/gorsethread/http_gateway/config.py
@@ -8,9 +8,9 @@
 import msgspec
 
 from gorsethread.errors import Trouble
-from gorsethread.model import StartFacts
-from gorsethread.platform.listing import ListAnswer
-from gorsethread.startfacts import Fields, Malformed, start_facts
+from gorsethread.gateway.startfacts import Fields, Malformed, start_facts
+from gorsethread.http_gateway.listing import ListAnswer
+from gorsethread.scheduling.model import SchedulerSettings
 
 Address = tuple[str, int]
 NOBODY_KNOWN = {"generation": 0, "reset": False, "instances": []}  # no list at all, so none that is whole
@@ -46,7 +46,7 @@
     seed: int
     sockets: int
     known: ListAnswer
-    facts: StartFacts
+    facts: SchedulerSettings
     naming: Naming
     dial_within: float
     idle: float
@@ -149,7 +149,7 @@
     )
 
 
-def _peers(given: Any, facts: StartFacts) -> tuple[Address | None, tuple[Address, ...]]:
+def _peers(given: Any, facts: SchedulerSettings) -> tuple[Address | None, tuple[Address, ...]]:
     """None where the settings allow no messages or no addresses are told. A number that means another gateway
     at each of two gateways would do harm, so a list that does not fit the settings is refused."""
     if not facts.may_tell or "peers" not in given or "peer_listen" not in given:
--- a/gorsethread/platform/connection.py
+++ b/gorsethread/http_gateway/connection.py
@@ -7,13 +7,13 @@
 
 from typing import TYPE_CHECKING
 
-from gorsethread.head.driver import Open
+from gorsethread.gateway.driver import Open
 from gorsethread.http1.bounds import MOST_HELD, Headers, Unreadable
 from gorsethread.http1.serving import Serving, last_words
 from gorsethread.transport.base import READ_MOST, Stream, StreamClosed
 
 if TYPE_CHECKING:
-    from gorsethread.platform.clients import ClientSide
+    from gorsethread.http_gateway.clients import ClientSide
 
 PAUSE = 0.25  # seconds that a client whose request was invalid waits for its next to be read
 LOOK_AGAIN = 0.02  # seconds until a client that was too far ahead, or reads no answers, is looked at again
--- a/gorsethread/platform/discovery.py
+++ b/gorsethread/http_gateway/discovery.py
@@ -7,13 +7,13 @@
 import msgspec
 
 from gorsethread.errors import Trouble
-from gorsethread.head.driver import Driver
-from gorsethread.head.linktable import LinkTable
+from gorsethread.gateway.driver import Driver
+from gorsethread.gateway.linktable import LinkTable
 from gorsethread.http1.asking import Answer, Asking
 from gorsethread.http1.bounds import Spoilt
-from gorsethread.platform.config import Address, Naming, Unusable, address_of
-from gorsethread.platform.listing import Instance, ListAnswer
-from gorsethread.platform.pool import ConnectionPool
+from gorsethread.http_gateway.config import Address, Naming, Unusable, address_of
+from gorsethread.http_gateway.listing import Instance, ListAnswer
+from gorsethread.http_gateway.pool import ConnectionPool
 from gorsethread.transport.base import Stream, StreamClosed, StreamEnded, Transport, Unreachable
 
 CONNECT_WITHIN = 2.0  # seconds: a system that got no answer asks for a connection again after one
--- a/gorsethread/platform/pool.py
+++ b/gorsethread/http_gateway/pool.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from gorsethread.head.carrying import Attempt
-from gorsethread.model import Ending
+from gorsethread.gateway.carrying import Attempt
+from gorsethread.scheduling.model import AttemptOutcome
 from gorsethread.transport.base import Transport
 
 if TYPE_CHECKING:
-    from gorsethread.platform.backends import BackendConnection, BackendLink
+    from gorsethread.http_gateway.backends import BackendConnection, BackendLink
 
 IDLE_PART = 0.8  # of the time after which a backend closes an idle connection: the gateway is first
 BREAKS_FREE, BREAKS_PART = 1.0, 0.04  # of kept connections used again: more, and none is kept for a while
@@ -89,7 +89,7 @@
             if link.may_begin(f):
                 link.send(f)
             else:
-                link.end(f, Ending.NOT_SENT)
+                link.end(f, AttemptOutcome.NOT_SENT)
 
     def withdraw(self, unready: dict[int, bool]) -> None:
         """Of backends that drain or are gone nothing waits for a connection: it could come after the
@@ -100,7 +100,7 @@
         for link, f in waiting:
             if link.unready or link.closed:
                 link.out -= 1
-                link.end(f, Ending.NOT_SENT)
+                link.end(f, AttemptOutcome.NOT_SENT)
             else:
                 self.waiting.append((link, f))
 
--- a/gorsethread/platform/program.py
+++ b/gorsethread/http_gateway/program.py
@@ -4,14 +4,14 @@
 from typing import Any
 
 from gorsethread.errors import Trouble
-from gorsethread.head.driver import Driver
-from gorsethread.head.linktable import LinkTable
-from gorsethread.head.messages import Messages
-from gorsethread.platform.backends import BackendLink
-from gorsethread.platform.clients import ClientSide
-from gorsethread.platform.config import Configuration, Unusable, read_configuration
-from gorsethread.platform.discovery import Discovery
-from gorsethread.platform.pool import ConnectionPool
+from gorsethread.gateway.driver import Driver
+from gorsethread.gateway.linktable import LinkTable
+from gorsethread.gateway.messages import Messages
+from gorsethread.http_gateway.backends import BackendLink
+from gorsethread.http_gateway.clients import ClientSide
+from gorsethread.http_gateway.config import Configuration, Unusable, read_configuration
+from gorsethread.http_gateway.discovery import Discovery
+from gorsethread.http_gateway.pool import ConnectionPool
 from gorsethread.transport.base import Listener, Transport
 
 CLIENTS_PART, BACKENDS_PART = 0.5, 0.4  # of the descriptors; the rest is for discovery and the program itself
@@ -65,7 +65,7 @@
             log,
         )
         self.discovery.pool = self.pool
-        self.pool.may_begin = self.driver.policy.may_begin
+        self.pool.may_begin = self.driver.scheduler.may_begin
         self.clients = ClientSide(
             transport, self.driver, configuration.naming, int(configuration.sockets * CLIENTS_PART), log
         )
--- a/gorsethread/platform/requests.py
+++ b/gorsethread/http_gateway/requests.py
@@ -5,7 +5,7 @@
 
 from gorsethread.http1.bounds import Unreadable
 from gorsethread.http1.serving import Request
-from gorsethread.platform.config import Naming
+from gorsethread.http_gateway.config import Naming
 
 ID = re.compile(rb"[0-9a-fA-F]{16}")
 TARGET = re.compile(rb"/([^/?#]+)/(?:[^?#]*/)?([0-9a-fA-F]{16})(?:\?[^#]*)?")
--- a/gorsethread/lab/accounts.py
+++ b/gorsethread/lab/accounts.py
@@ -15,7 +15,7 @@
 from gorsethread.accounts.stages import STAGES, Stage
 from gorsethread.accounts.window import Window
 from gorsethread.lab.day import Day, DayPlan
-from gorsethread.model import Outcome
+from gorsethread.scheduling.model import RequestOutcome
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.standins.client import Surge
 from gorsethread.transport.program import Draws
@@ -137,7 +137,7 @@
         for volume in range(1, volumes + 1):
             for n in range(each):
                 stages = drawn[(volume + n) % len(drawn)]
-                window.life(volume, 0, 1, Outcome.SUCCEEDED, False, stages, sum(stages))
+                window.life(volume, 0, 1, RequestOutcome.SUCCEEDED, False, stages, sum(stages))
         window.settle()
 
     def held(fill: Callable[[], object]) -> int:
--- a/gorsethread/lab/allseeing.py
+++ b/gorsethread/lab/allseeing.py
@@ -11,8 +11,8 @@
 from gorsethread.lab.crowd.day import UNIT_WORK, Scene, draw
 from gorsethread.lab.crowd.score import USABLE, Score
 from gorsethread.lab.crowd.world import World
-from gorsethread.model import Backend, Ending, Request
-from gorsethread.policy import FREE_RATE, LOWEST_RATE, WAIT_PART, Policy
+from gorsethread.scheduling.model import AttemptOutcome, Backend, Request
+from gorsethread.scheduling.scheduler import FREE_RATE, LOWEST_RATE, WAIT_PART, Scheduler
 
 ASKED_OF_LATE = 1.5  # seconds of demand that is told
 SPARE = 0.6  # of what a shelf can do, while its line is long
@@ -21,16 +21,16 @@
 STEP = 0.1  # seconds between two tellings
 
 
-class ByTold(Policy):
+class ByTold(Scheduler):
     """Rates come from what is told; answers move the rest of a shelf's health as ever."""
 
-    def _judge(self, s: Backend, how: Ending, elapsed: float, t: Request, sent: float) -> None:
+    def _judge(self, s: Backend, how: AttemptOutcome, elapsed: float, t: Request, sent: float) -> None:
         rate, grown_at, cut_at = s.rate, s.grown_at, s.cut_at
         super()._judge(s, how, elapsed, t, sent)
         s.rate, s.grown_at, s.cut_at = rate, grown_at, cut_at
 
 
-class EvenParts(Policy):
+class EvenParts(Scheduler):
     """What a cold shelf bears is parted evenly, as where heads may send no messages."""
 
     def __init__(self, *given: Any) -> None:
@@ -41,7 +41,7 @@
 def lines_told(world: World) -> None:
     """Each head knows each shelf's line, as if an answer had just told it, and sends none into a long one."""
     for head in world.heads:
-        p = head.policy
+        p = head.scheduler
         p.now = world.now
         for s in p.backends.values():
             wait = world.machines[s.id].behind
@@ -64,13 +64,13 @@
         if now - ASKED_OF_LATE <= ask.at <= now:
             asked[ask.shard][ask.volume] += ask.units / ASKED_OF_LATE
     weights = [day.facts.plans[s.plan].weight for s in day.stores]
-    usual = world.heads[0].policy.usual
+    usual = world.heads[0].scheduler.usual
     rates = {}
     for n, machine in enumerate(world.machines):
         bears = USABLE * 2.0 * machine.speed / UNIT_WORK * (SPARE if machine.behind > LONG_LINE else 1.0)
         rates[n] = _rate(asked[n], bears, [w * usual for w in weights])
     for head in world.heads:
-        p = head.policy
+        p = head.scheduler
         p.now = now
         for s in p.backends.values():
             s.rate = rates[s.id]
@@ -95,7 +95,7 @@
 @dataclass(frozen=True)
 class Variant:
     says: str
-    policy: type[Policy] = Policy
+    scheduler: type[Scheduler] = Scheduler
     told: Callable[[World], None] | None = None
     heads: int = 0  # in place of the scene's; 0: as it says
 
@@ -112,7 +112,7 @@
 def _play(variant: str, scene: dict[str, Any]) -> Score:
     v = VARIANTS[variant]
     made = Scene(**{**scene, **({"heads": v.heads} if v.heads else {})})
-    return World(draw(made), v.policy, v.told, STEP).play()
+    return World(draw(made), v.scheduler, v.told, STEP).play()
 
 
 def compared(
--- a/gorsethread/lab/asking.py
+++ b/gorsethread/lab/asking.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from gorsethread.branch import talk as branches
+from gorsethread.durable_log.talk import Garbled, Reader, said
 from gorsethread.errors import Trouble
 from gorsethread.membership.words import OWN, PAST, Address, Kind, Message, Unreadable, Word, read, write
-from gorsethread.records.talk import Garbled, Reader, said
+from gorsethread.offline_writes import talk as branches
 from gorsethread.transport.base import StreamClosed, Transport, Unreachable
 
 AGAIN = 0.25  # seconds until a question is asked again
--- a/gorsethread/lab/bench.py
+++ b/gorsethread/lab/bench.py
@@ -24,7 +24,7 @@
 LOADS = 4  # load processes
 START_UP = 2.5  # seconds until all load processes have started, so that none disturbs another
 # Commands out of each, at saturation: few enough that the shelves' slots hold them all, and so many more that
-# volumes wait for slots and the policy searches among them.
+# volumes wait for slots and the scheduler searches among them.
 DEPTH = 12
 HELD_DEPTH = 16
 CALM_RATE = 1000.0  # transactions a second at which latency is compared, well under the most of both
--- a/gorsethread/lab/crowd/day.py
+++ b/gorsethread/lab/crowd/day.py
@@ -5,13 +5,13 @@
 from itertools import accumulate
 from typing import NamedTuple
 
-from gorsethread.model import (
-    ColdRule,
+from gorsethread.scheduling.model import (
     Effect,
-    Group,
-    Plan,
-    Profile,
-    StartFacts,
+    IdempotencyScope,
+    RequestClass,
+    SchedulerSettings,
+    ServiceTier,
+    SlowStartRule,
 )
 from gorsethread.transport.base import Chance
 from gorsethread.transport.program import Draws
@@ -19,11 +19,11 @@
 UNIT_WORK = 0.14  # seconds of one core for a unit, at a shelf of speed 1
 MIX = (0.55, 0.3, 0.15)
 PROFILES = (
-    Profile(2.2, Effect.REDOABLE, Group.ALL, 36.0, False, 2.0),
-    Profile(2.9, Effect.IRREVERSIBLE, Group.ALL, 36.0, True, 3.0),
-    Profile(10.9, Effect.REDOABLE, Group.ALL, 36.0, False, 1.0),
+    RequestClass(2.2, Effect.IDEMPOTENT, IdempotencyScope.ALL, 36.0, False, 2.0),
+    RequestClass(2.9, Effect.NON_IDEMPOTENT, IdempotencyScope.ALL, 36.0, True, 3.0),
+    RequestClass(10.9, Effect.IDEMPOTENT, IdempotencyScope.ALL, 36.0, False, 1.0),
 )
-COLD = ColdRule(6.0, 3.0, 13.0, 0.19)
+COLD = SlowStartRule(6.0, 3.0, 13.0, 0.19)
 PLAN_PARTS = (0.6, 0.27, 0.13)  # of the volumes
 SIZES = ((1, 0.53), (2, 0.25), (3, 0.1), (4, 0.045), (5, 0.03), (6, 0.015), (7, 0.01), (8, 0.02))
 
@@ -69,7 +69,7 @@
 @dataclass
 class Day:
     scene: Scene
-    facts: StartFacts
+    facts: SchedulerSettings
     speeds: list[float]
     stores: list[Store]
     asks: list[Ask]
@@ -95,10 +95,12 @@
     sizes = (1.0, 1.5, 3.0)
     least = sum(s.usual / sizes[s.plan] for s in stores) / number
     plans = tuple(
-        Plan(0.0, float(n + 1), 10.0 * least * size if n < 2 else 0.0, 48.0 if n < 2 else 0.0, least * size)
+        ServiceTier(
+            0.0, float(n + 1), 10.0 * least * size if n < 2 else 0.0, 48.0 if n < 2 else 0.0, least * size
+        )
         for n, size in enumerate(sizes)
     )
-    facts = StartFacts(
+    facts = SchedulerSettings(
         PROFILES, plans, scene.heads, False, 0.0, 1.0, COLD, None, 0.0, 4, 1.0, 8, 1.0, True, may_tell=True
     )
     asks = sorted(ask for n, s in enumerate(stores) for ask in _asks(scene, n, s, c))
--- a/gorsethread/lab/crowd/gateway.py
+++ b/gorsethread/lab/crowd/gateway.py
@@ -1,4 +1,4 @@
-"""A model gateway: the host of one policy, without sockets."""
+"""A model gateway: the host of one scheduler, without sockets."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -7,12 +7,12 @@
 
 from gorsethread.lab.crowd.day import Ask
 from gorsethread.lab.crowd.machine import WAY, Sent
-from gorsethread.model import (
+from gorsethread.scheduling.model import (
     AttemptEnded,
-    Ending,
+    AttemptOutcome,
     RequestTaken,
 )
-from gorsethread.policy import Policy
+from gorsethread.scheduling.scheduler import Scheduler
 
 if TYPE_CHECKING:
     from gorsethread.lab.crowd.world import World
@@ -31,10 +31,10 @@
 
 
 class ModelGateway:
-    """The host of one policy."""
+    """The host of one scheduler."""
 
-    def __init__(self, world: "World", number: int, policy: Callable[..., Policy]) -> None:
-        self.world, self.number, self.kind = world, number, policy
+    def __init__(self, world: "World", number: int, scheduler: Callable[..., Scheduler]) -> None:
+        self.world, self.number, self.kind = world, number, scheduler
         self.life = 0
         self.told: dict[int, tuple[int, int, int, bool, float]] = {
             n: (n, 0, n, True, 0.0) for n in range(world.day.scene.shelves)
@@ -46,7 +46,7 @@
         self.open: dict[int, Held] = {}
         self.life += 1
         self.away = False
-        self.policy = self.kind(
+        self.scheduler = self.kind(
             self,
             replace(self.world.day.facts, index=self.number),
             (scene.seed * 1000 + self.number) * 8 + self.life,
@@ -54,11 +54,11 @@
         self._listed(list(self.told.values()), True)
 
     def _listed(self, entries: list[tuple[int, int, int, bool, float]], whole: bool) -> None:
-        self.policy.list_begins(whole, whole)
+        self.scheduler.list_begins(whole, whole)
         for entry in entries:
-            self.policy.backend_listed(*entry)
-        self.policy.list_ended()
-        self.policy.batch_ended()
+            self.scheduler.backend_listed(*entry)
+        self.scheduler.list_ended()
+        self.scheduler.batch_ended()
 
     def renewed(self, old: int, new: int, shard: int, since: float) -> None:
         """Its list tells of a shelf's end and of the cold one in its place."""
@@ -82,7 +82,7 @@
             return
         store = self.world.day.stores[ask.volume]
         t = self.open[id] = Held(ask, self.world.now + DEADLINES[ask.profile])
-        self.policy.request_taken(
+        self.scheduler.request_taken(
             RequestTaken(
                 id,
                 ask.profile,
@@ -96,28 +96,30 @@
                 False,
             )
         )
-        self.policy.batch_ended()
+        self.scheduler.batch_ended()
         self.world.at(t.deadline, lambda: self._time_is_up(id))
 
     def _time_is_up(self, id: int) -> None:
         t = self.open.get(id)
         if t is not None and t.out is not None:
-            self.ended(t.out, Ending.TIMED_OUT)
+            self.ended(t.out, AttemptOutcome.TIMED_OUT)
 
-    def ended(self, f: Sent, how: Ending) -> None:
+    def ended(self, f: Sent, how: AttemptOutcome) -> None:
         if f.over:
             return
         f.over = True
         t = self.open[f.id]
         t.out = None
-        if how is Ending.SUCCEEDED:
+        if how is AttemptOutcome.SUCCEEDED:
             t.answered = True
             self.world.honoured(t.ask)
         else:
             self.world.machines[f.shelf].drop(f)
         elapsed = self.world.now - f.at
-        self.policy.attempt_ended(AttemptEnded(f.id, f.number, how, f.shelf, elapsed, t.answered, 0.0, 0.0))
-        self.policy.batch_ended()
+        self.scheduler.attempt_ended(
+            AttemptEnded(f.id, f.number, how, f.shelf, elapsed, t.answered, 0.0, 0.0)
+        )
+        self.scheduler.batch_ended()
         if t.answered and t.out is None:
             self.open.pop(f.id, None)
 
@@ -137,7 +139,7 @@
     def cancel_attempt(self, transaction: int, number: int) -> None:
         t = self.open[transaction]
         if t.out is not None and t.out.number == number:
-            self.ended(t.out, Ending.CANCELLED)
+            self.ended(t.out, AttemptOutcome.CANCELLED)
 
     def reject(self, transaction: int, return_after: float) -> None:
         self._answer(transaction, "pushed back")
@@ -157,16 +159,16 @@
 
     def _woken(self, name: str, life: int) -> None:
         if not self.away and life == self.life:
-            self.policy.woken(name)
-            self.policy.batch_ended()
+            self.scheduler.woken(name)
+            self.scheduler.batch_ended()
 
     def tell(self, head: int, words: str) -> None:
         self.world.tell(self.number, head, words)
 
     def hear(self, origin: int, words: str) -> None:
         if not self.away:
-            self.policy.peer_told(origin, words)
-            self.policy.batch_ended()
+            self.scheduler.peer_told(origin, words)
+            self.scheduler.batch_ended()
 
     def follow_list(self) -> None:
         pass
--- a/gorsethread/lab/crowd/machine.py
+++ b/gorsethread/lab/crowd/machine.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from gorsethread.lab.crowd.day import COLD, Ask
-from gorsethread.model import (
-    Ending,
+from gorsethread.scheduling.model import (
+    AttemptOutcome,
 )
 
 if TYPE_CHECKING:
@@ -81,7 +81,7 @@
             self.running -= 1
         self._begin()
         if not f.over:
-            self.world.at(self.world.now + WAY, lambda: f.head.ended(f, Ending.SUCCEEDED))
+            self.world.at(self.world.now + WAY, lambda: f.head.ended(f, AttemptOutcome.SUCCEEDED))
 
     def drop(self, f: "Sent") -> None:
         if f.begun and not f.freed:
--- a/gorsethread/lab/crowd/world.py
+++ b/gorsethread/lab/crowd/world.py
@@ -11,7 +11,7 @@
 from gorsethread.lab.crowd.gateway import ModelGateway
 from gorsethread.lab.crowd.machine import ModelBackend
 from gorsethread.lab.crowd.score import Score, score
-from gorsethread.policy import Policy
+from gorsethread.scheduling.scheduler import Scheduler
 from gorsethread.transport.base import Chance
 from gorsethread.transport.program import Draws
 
@@ -26,7 +26,7 @@
     def __init__(
         self,
         day: Day,
-        policy: Callable[..., Policy] = Policy,
+        scheduler: Callable[..., Scheduler] = Scheduler,
         told: "Callable[[World], None] | None" = None,
         every: float = 0.1,
     ) -> None:
@@ -41,7 +41,7 @@
         self._cold: dict[int, deque[tuple[float, int]]] = defaultdict(deque)  # units of the span, by shelf
         self._chance = Draws(f"{day.scene.seed}/messages")
         self.machines = [ModelBackend(self, n, speed) for n, speed in enumerate(day.speeds)]
-        self.heads = [ModelGateway(self, n, policy) for n in range(day.scene.heads)]
+        self.heads = [ModelGateway(self, n, scheduler) for n in range(day.scene.heads)]
         for id, ask in enumerate(day.asks):
             self.at(ask.at, partial(self.heads[ask.head].take, id, ask))
         self._draw_troubles()
--- a/gorsethread/lab/lending.py
+++ b/gorsethread/lab/lending.py
@@ -12,7 +12,7 @@
 from gorsethread.harness import service
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.service import ServiceTrial
-from gorsethread.model import ColdRule
+from gorsethread.scheduling.model import SlowStartRule
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.transport.real import RealTransport
 from gorsethread.witness.judge import Verdict
@@ -95,7 +95,7 @@
     def _judge_cold(self) -> None:
         """Of what came, by heads that had been told of the shelf's start and have lived since."""
         said = self.site.rules.cold
-        cold = ColdRule(said.units, said.span, said.warm_after, said.first_part)
+        cold = SlowStartRule(said.units, said.span, said.warm_after, said.first_part)
         units = {(x["label"], x["attempt"]): x["units"] for x in self.records if x["e"] == "sent"}
         starts: dict[int, tuple[int, float]] = {}
         told: set[tuple[int, int]] = set()
--- a/gorsethread/lab/peers.py
+++ b/gorsethread/lab/peers.py
@@ -5,14 +5,14 @@
 
 from hdrh.histogram import HdrHistogram
 
-from gorsethread.head.carrying import Attempt, Told
+from gorsethread.gateway.carrying import Attempt, Told
 from gorsethread.head.links import BackendLink, Order
 from gorsethread.head.placement import SitePlacement
-from gorsethread.model import Ending
 from gorsethread.nvme.command import Completion, Opcode, Status, io_command
 from gorsethread.nvme.subsystem import BLOCK, Namespace, Subsystem
 from gorsethread.queues.dial import Association, Names, dial
 from gorsethread.queues.serve import IoCommand, QueueServer
+from gorsethread.scheduling.model import AttemptOutcome
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.sitefile.reading import split_address
 from gorsethread.standins.client import stamped
@@ -23,7 +23,7 @@
 
 
 class Relay:
-    """First come, first served: each command goes at once to the shelf that holds it. No policy."""
+    """First come, first served: each command goes at once to the shelf that holds it. No scheduler."""
 
     def __init__(self, transport: Transport, site: pb.Site, number: int, log: Any) -> None:
         self.transport, self.site, self.number = transport, site, number
@@ -65,8 +65,8 @@
         extent = c.first_block // self.volumes[c.nsid].extent_blocks
         link = self.links[self.placement.shard_of(c.nsid, extent)]
 
-        def ended(f: Attempt, how: Ending, told: Told) -> None:
-            honoured = how is Ending.SUCCEEDED
+        def ended(f: Attempt, how: AttemptOutcome, told: Told) -> None:
+            honoured = how is AttemptOutcome.SUCCEEDED
             io.answer(Completion(0, Status.SUCCESS if honoured else Status.INTERNAL_ERROR), told.data)
 
         read = 0 if data else c.blocks * BLOCK
--- a/gorsethread/lab/records.py
+++ b/gorsethread/lab/records.py
@@ -11,12 +11,12 @@
 
 import msgspec
 
+from gorsethread.durable_log.frames import Entry
+from gorsethread.durable_log.kinds import Placed, Record
+from gorsethread.durable_log.store import BATCH_MOST, Store
 from gorsethread.errors import Trouble
 from gorsethread.lab.bench import DEPTH, LOADS, Stand
 from gorsethread.lab.turns import in_turn
-from gorsethread.records.frames import Entry
-from gorsethread.records.kinds import Placed, Record
-from gorsethread.records.store import BATCH_MOST, Store
 from gorsethread.transport.base import Transport
 
 STRETCH = 0.5  # seconds
--- a/gorsethread/head/branching.py
+++ b/gorsethread/nvme_gateway/branching.py
@@ -13,26 +13,26 @@
 
 import msgspec
 
-from gorsethread.branch import desk, talk
-from gorsethread.branch.bases import Bases
-from gorsethread.branch.homes import FENCED, PARKS_AFTER, PROBED, StandIn, homes
-from gorsethread.branch.landing import Answer
-from gorsethread.branch.link import Link, State
-from gorsethread.branch.pace import Pace
-from gorsethread.branch.queue import DEPENDS, Bounds, Held, Queue, Stage
-from gorsethread.branch.shadow import Shadow
-from gorsethread.branch.writes import Context, Number, Write, causes
-from gorsethread.head.carrying import Place
+from gorsethread.durable_log.holders import weight
+from gorsethread.durable_log.kinds import NONE, QUEUED, STEP, Discarded, Fact, Gone, Queued, Record, Step
+from gorsethread.durable_log.talk import Garbled, Reader, said
+from gorsethread.gateway.carrying import Place
 from gorsethread.head.peers import fleet_of
-from gorsethread.head.promises import CONNECT_WITHIN, Promises
 from gorsethread.nvme.command import Opcode
 from gorsethread.nvme.subsystem import BLOCK
-from gorsethread.records.holders import weight
-from gorsethread.records.kinds import NONE, QUEUED, STEP, Discarded, Fact, Gone, Queued, Record, Step
-from gorsethread.records.talk import Garbled, Reader, said
-from gorsethread.returning.spacing import returns_after
-from gorsethread.returning.stages import AGAIN
-from gorsethread.returning.stages import Stage as Returns
+from gorsethread.nvme_gateway.promises import CONNECT_WITHIN, Promises
+from gorsethread.offline_writes import desk, talk
+from gorsethread.offline_writes.bases import Bases
+from gorsethread.offline_writes.homes import FENCED, PARKS_AFTER, PROBED, StandIn, homes
+from gorsethread.offline_writes.landing import Answer
+from gorsethread.offline_writes.link import Link, State
+from gorsethread.offline_writes.pace import Pace
+from gorsethread.offline_writes.queue import DEPENDS, Bounds, Held, Queue, Stage
+from gorsethread.offline_writes.shadow import Shadow
+from gorsethread.offline_writes.writes import Context, Number, Write, causes
+from gorsethread.recovery.spacing import returns_after
+from gorsethread.recovery.stages import AGAIN
+from gorsethread.recovery.stages import Stage as Returns
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.sitefile.reading import split_address
 from gorsethread.transport.base import Stream, StreamClosed, Timer, Transport, Unreachable
--- a/gorsethread/head/holding.py
+++ b/gorsethread/nvme_gateway/holding.py
@@ -6,13 +6,13 @@
 from collections.abc import Callable
 from typing import Any
 
-from gorsethread.branch import talk as branches
+from gorsethread.durable_log import talk
+from gorsethread.durable_log.copying import CATCH_UP, CHUNK, CHUNK_BYTES, Keeping
+from gorsethread.durable_log.kinds import NONE, Number, Record, Table, pieces
+from gorsethread.durable_log.store import Store, strays
 from gorsethread.errors import Trouble
 from gorsethread.head.peers import fleet_of
-from gorsethread.records import talk
-from gorsethread.records.copying import CATCH_UP, CHUNK, CHUNK_BYTES, Keeping
-from gorsethread.records.kinds import NONE, Number, Record, Table, pieces
-from gorsethread.records.store import Store, strays
+from gorsethread.offline_writes import talk as branches
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.sitefile.reading import split_address
 from gorsethread.transport.base import Stream, StreamClosed, Transport
--- a/gorsethread/head/landing.py
+++ b/gorsethread/nvme_gateway/landing.py
@@ -6,20 +6,20 @@
 from collections.abc import Callable
 from typing import Any
 
-from gorsethread.branch import talk
-from gorsethread.branch.bases import base_of, digests
-from gorsethread.branch.landing import Answer, Landing
-from gorsethread.branch.writes import Number
-from gorsethread.head.carrying import Placement
-from gorsethread.head.driver import Driver, Open
+from gorsethread.durable_log.kinds import EFFECT, Effect, Gone
+from gorsethread.durable_log.talk import Garbled, said
+from gorsethread.gateway.carrying import Placement
+from gorsethread.gateway.driver import Driver, Open
 from gorsethread.head.facts import Sorter, units_of
 from gorsethread.head.links import Order
-from gorsethread.head.promises import Promises
 from gorsethread.nvme.command import Opcode, io_command
 from gorsethread.nvme.subsystem import BLOCK
-from gorsethread.records.kinds import EFFECT, Effect, Gone
-from gorsethread.records.talk import Garbled, said
-from gorsethread.returning.stages import AGAIN, Stage
+from gorsethread.nvme_gateway.promises import Promises
+from gorsethread.offline_writes import talk
+from gorsethread.offline_writes.bases import base_of, digests
+from gorsethread.offline_writes.landing import Answer, Landing
+from gorsethread.offline_writes.writes import Number
+from gorsethread.recovery.stages import AGAIN, Stage
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.transport.base import Stream, Transport
 
@@ -45,7 +45,7 @@
     def _came_to(self) -> Answer:
         """AGAIN where none of its forwards may have run, or that does no harm."""
         assert self.taken is not None
-        t = self.driver.policy.requests.get(self.taken.id)
+        t = self.driver.scheduler.requests.get(self.taken.id)
         ran = t is None or t.ran_at is not None
         return Answer.UNKNOWN if ran and not self.redoable else Answer.AGAIN
 
--- a/gorsethread/head/promises.py
+++ b/gorsethread/nvme_gateway/promises.py
@@ -12,18 +12,18 @@
 from functools import partial
 from typing import Any
 
-from gorsethread.head.carrying import Place
-from gorsethread.head.holding import copies_of, own_of
+from gorsethread.durable_log import talk
+from gorsethread.durable_log.copying import AGAIN_LEAST, AGAIN_MOST, CATCH_UP, HELD_WITHIN, Sender
+from gorsethread.durable_log.holders import Place as At
+from gorsethread.durable_log.holders import holders
+from gorsethread.durable_log.kinds import Fact, Freed, Number, Placed, Record, Table
+from gorsethread.durable_log.store import Store, strays
+from gorsethread.gateway.carrying import Place
 from gorsethread.head.peers import fleet_of
 from gorsethread.head.placement import SitePlacement
-from gorsethread.records import talk
-from gorsethread.records.copying import AGAIN_LEAST, AGAIN_MOST, CATCH_UP, HELD_WITHIN, Sender
-from gorsethread.records.holders import Place as At
-from gorsethread.records.holders import holders
-from gorsethread.records.kinds import Fact, Freed, Number, Placed, Record, Table
-from gorsethread.records.store import Store, strays
-from gorsethread.returning.spacing import Asks, returns_after
-from gorsethread.returning.stages import AGAIN, Return, Stage, due
+from gorsethread.nvme_gateway.holding import copies_of, own_of
+from gorsethread.recovery.spacing import Asks, returns_after
+from gorsethread.recovery.stages import AGAIN, Return, Stage, due
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.sitefile.reading import split_address
 from gorsethread.transport.base import Stream, StreamClosed, Transport, Unreachable
--- a/gorsethread/branch/desk.py
+++ b/gorsethread/offline_writes/desk.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 from enum import Enum
 
-from gorsethread.branch.writes import Number
+from gorsethread.offline_writes.writes import Number
 
 RETURN_CUT = 1.0  # seconds after which what can't be had while the link is gone may be asked for again
 RETURN_SOON = 0.2  # and what waits for queued writes only
--- a/gorsethread/branch/landing.py
+++ b/gorsethread/offline_writes/landing.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from gorsethread.branch.writes import Number
+from gorsethread.offline_writes.writes import Number
 
 Place = tuple[int, int]  # life and place of a branch's write
 RUNNING_MOST = 32  # of all branches, at one head of the main site
--- a/gorsethread/branch/queue.py
+++ b/gorsethread/offline_writes/queue.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from gorsethread.branch.pace import WINDOW
-from gorsethread.branch.writes import Number, Write
+from gorsethread.offline_writes.pace import WINDOW
+from gorsethread.offline_writes.writes import Number, Write
 
 DEAREST_ONLY = 0.9  # of the room: beyond it only the dearest value is taken
 RELEASED, DEPENDS = "released by a person", "depends on"  # reasons, the latter as it begins
--- a/gorsethread/branch/shadow.py
+++ b/gorsethread/offline_writes/shadow.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from gorsethread.branch.writes import Number
+from gorsethread.offline_writes.writes import Number
 
 
 class Bytes(NamedTuple):
--- a/gorsethread/branch/talk.py
+++ b/gorsethread/offline_writes/talk.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from gorsethread.records import talk
+from gorsethread.durable_log import talk
 
 Triple = tuple[int, int, int]  # branch, life, place
 
--- a/gorsethread/returning/stages.py
+++ b/gorsethread/recovery/stages.py
@@ -13,7 +13,7 @@
 
 from enum import Enum
 
-from gorsethread.records.kinds import NONE, Number
+from gorsethread.durable_log.kinds import NONE, Number
 
 ASK_MOST = 1.0  # seconds that a head asks before it serves what it knows
 TRUST = 2.0  # seconds after which whole records of its own are believed, though too few have answered
--- a/gorsethread/host.py
+++ b/gorsethread/scheduling/actions.py
@@ -4,7 +4,7 @@
 
 
 class Host(Protocol):
-    """The acts open to the policy. Times are seconds; backends and requests are named by their own ids."""
+    """The acts open to the scheduler. Times are seconds; backends and requests are named by their own ids."""
 
     def clock(self) -> float:
         """The time now; it stands still while a batch is worked on."""
--- a/gorsethread/model.py
+++ b/gorsethread/scheduling/model.py
@@ -6,12 +6,12 @@
 
 
 class Effect(Enum):
-    REDOABLE = "redoable"
-    LABELLED = "labelled"
-    IRREVERSIBLE = "irreversible"
+    IDEMPOTENT = "redoable"
+    KEYED = "labelled"
+    NON_IDEMPOTENT = "irreversible"
 
 
-class Group(Enum):
+class IdempotencyScope(Enum):
     """Which backends drop the repeats of a keyed request."""
 
     ALL = "all"
@@ -20,20 +20,20 @@
 
     def spans(self, one: "Backend", other: "Backend") -> bool:
         """Whether each of the two drops repeats of what the other ran."""
-        if self is Group.ALL:
+        if self is IdempotencyScope.ALL:
             return True
-        return one.zone == other.zone if self is Group.ZONE else one.shard == other.shard
+        return one.zone == other.zone if self is IdempotencyScope.ZONE else one.shard == other.shard
 
 
-class Ending(Enum):
+class AttemptOutcome(Enum):
     """How an attempt ended."""
 
     SUCCEEDED = "honoured"
     ERROR = "error"
-    TURNED_AWAY = "turned away"
+    REJECTED = "turned away"
     TIMED_OUT = "timed out"
-    UNREACHED = "unreached"
-    BROKEN = "broken"
+    UNREACHABLE = "unreached"
+    CONNECTION_LOST = "broken"
     CANCELLED = "called off"
     NOT_SENT = "not sent"
 
@@ -48,20 +48,20 @@
         return self in _MAY_STILL_RUN
 
 
-_NEVER_RAN = (Ending.TURNED_AWAY, Ending.UNREACHED, Ending.NOT_SENT)
-_MAY_STILL_RUN = (Ending.TIMED_OUT, Ending.BROKEN, Ending.CANCELLED)
+_NEVER_RAN = (AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE, AttemptOutcome.NOT_SENT)
+_MAY_STILL_RUN = (AttemptOutcome.TIMED_OUT, AttemptOutcome.CONNECTION_LOST, AttemptOutcome.CANCELLED)
 
 
-class Outcome(IntEnum):
+class RequestOutcome(IntEnum):
     """How a request ended. The numbers stand in snapshots of accounts: added to, never changed."""
 
     SUCCEEDED = 0
     REJECTED = 1
     FAILED = 2
-    LEFT = 3
+    CLIENT_LEFT = 3
 
 
-class Held(Enum):
+class HoldReason(Enum):
     """What kept a request back at the gateway in the last search."""
 
     NOT = "not held"
@@ -78,10 +78,10 @@
 
 
 @dataclass(frozen=True, slots=True, eq=False)
-class Profile:
+class RequestClass:
     promised: float
     effect: Effect
-    group: Group
+    group: IdempotencyScope
     remembered: float
     in_order: bool
     value: float
@@ -89,21 +89,21 @@
     @property
     def idempotent(self) -> bool:
         """It may run again at any time, on any backend."""
-        return self.effect is Effect.REDOABLE
+        return self.effect is Effect.IDEMPOTENT
 
     @property
     def keyed(self) -> bool:
         """Its repeats are dropped, by the backends of its group and for as long as they remember it."""
-        return self.effect is Effect.LABELLED
+        return self.effect is Effect.KEYED
 
     @property
     def everywhere(self) -> bool:
         """No backend would run a repeat that another drops."""
-        return not self.keyed or self.group is Group.ALL
+        return not self.keyed or self.group is IdempotencyScope.ALL
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class ServiceTier:
     reserve: float
     weight: float
     limit: float
@@ -112,7 +112,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ColdRule:
+class SlowStartRule:
     units: float
     span: float
     warm_after: float
@@ -124,22 +124,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ForwardBudget:
+class RetryBudget:
     free: float
     part: float
     span: float
 
 
 @dataclass(frozen=True, slots=True)
-class StartFacts:
-    profiles: tuple[Profile, ...]
-    plans: tuple[Plan, ...]
+class SchedulerSettings:
+    profiles: tuple[RequestClass, ...]
+    plans: tuple[ServiceTier, ...]
     heads: int
     list_on_request: bool
     ask_within: float
     drain_grace: float
-    cold: ColdRule
-    budget: ForwardBudget | None
+    cold: SlowStartRule
+    budget: RetryBudget | None
     key_rest: float
     most_forwards: int
     longest_return: float
@@ -172,7 +172,7 @@
 
     request: int
     number: int
-    how: Ending
+    how: AttemptOutcome
     backend: int
     elapsed: float
     finished: bool
@@ -183,7 +183,7 @@
 @dataclass(slots=True, eq=False)
 class Volume:
     id: str
-    plan: Plan
+    plan: ServiceTier
     total: float
     heads: int
     limit_store: float
@@ -207,7 +207,7 @@
     unit_time: float = float("inf")
     cut_at: float = 0.0
     grown_at: float = 0.0
-    times: dict[Profile, float] = field(default_factory=dict)
+    times: dict[RequestClass, float] = field(default_factory=dict)
     errors: float = 0.0
     rest_until: float = 0.0
     misses: int = 0
@@ -226,7 +226,7 @@
 class Request:
     id: int
     order: int
-    profile: Profile
+    profile: RequestClass
     volume: Volume
     key: str | None
     deadline: float
--- a/gorsethread/scheduling/rendezvous_ranking.py
+++ b/gorsethread/scheduling/rendezvous_ranking.py
@@ -13,7 +13,7 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-from gorsethread.model import Backend
+from gorsethread.scheduling.model import Backend
 
 CHANGES_KEPT = 1024
 CHANGES_APPLIED_PART = 0.25  # of the backends: after more changes ranking anew costs less
--- a/gorsethread/policy.py
+++ b/gorsethread/scheduling/scheduler.py
@@ -1,5 +1,5 @@
 """All decisions of a gateway. The program round it calls one method for each thing that happens, then
-batch_ended(); the policy answers by calls on the host interface in gorsethread/host.py.
+batch_ended(); the scheduler answers by calls on the host interface in gorsethread/scheduling/actions.py.
 
 Ordinary path: LexAS, DUaL variant (docs/design.md), in _share_out. Beside it stand six mechanisms:
 (1) a backend's bound and health, (2) the cold ramp, (3) the limit store, (4) shedding,
@@ -12,9 +12,17 @@
 from collections.abc import Iterator
 from hashlib import blake2b
 
-from gorsethread.draws import Draws
-from gorsethread.host import Host
-from gorsethread.model import AttemptEnded, Backend, Ending, Request, RequestTaken, StartFacts, Volume
+from gorsethread.scheduling.actions import Host
+from gorsethread.scheduling.draws import Draws
+from gorsethread.scheduling.model import (
+    AttemptEnded,
+    AttemptOutcome,
+    Backend,
+    Request,
+    RequestTaken,
+    SchedulerSettings,
+    Volume,
+)
 from gorsethread.scheduling.shard_assignment import ShardAssignment
 
 FIRST_BOUND = 4.0  # the design's start and ceiling
@@ -41,8 +49,8 @@
     return (t.late, -t.profile.value / max(t.units, 1.0), t.promised_by, t.order)
 
 
-class Policy:
-    def __init__(self, host: Host, facts: StartFacts, seed: int) -> None:
+class Scheduler:
+    def __init__(self, host: Host, facts: SchedulerSettings, seed: int) -> None:
         self.host, self.facts = host, facts
         self.draws = Draws(seed)
         self.born = self.now = self.aged = host.clock()
@@ -437,39 +445,39 @@
     def _is_overdue(self, s: Backend) -> bool:
         return self.now - max(self._oldest(s), s.answered_at) > self.quickest
 
-    def _judge(self, s: Backend, how: Ending, elapsed: float, t: Request, sent: float) -> None:
+    def _judge(self, s: Backend, how: AttemptOutcome, elapsed: float, t: Request, sent: float) -> None:
         if not s.ready and how.never_ran:
             # It takes nothing new already, or is gone: no sign of overload.
             s.last_send = self.shards.next_drain_end = 0.0
-        if how in (Ending.CANCELLED, Ending.NOT_SENT) or not s.ready and how.never_ran:
+        if how in (AttemptOutcome.CANCELLED, AttemptOutcome.NOT_SENT) or not s.ready and how.never_ran:
             return  # says nothing of the backend's health
-        if how in (Ending.SUCCEEDED, Ending.ERROR, Ending.TURNED_AWAY):
+        if how in (AttemptOutcome.SUCCEEDED, AttemptOutcome.ERROR, AttemptOutcome.REJECTED):
             s.answered_at, s.answered_of = self.now, max(s.answered_of, sent)
-        elif how in (Ending.TIMED_OUT, Ending.BROKEN) and s.answered_of > sent:
+        elif how in (AttemptOutcome.TIMED_OUT, AttemptOutcome.CONNECTION_LOST) and s.answered_of > sent:
             # Guards against taking one lost answer or broken connection for the backend's own state: it has
             # answered what was sent later. Hurts where a backend hangs while some of its answers still come.
             return
-        s.errors += 0.1 * ((how is Ending.ERROR) - s.errors)
-        if how in (Ending.UNREACHED, Ending.BROKEN):
+        s.errors += 0.1 * ((how is AttemptOutcome.ERROR) - s.errors)
+        if how in (AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST):
             s.misses += 1
             # A connection may break alone, several in turn; a dead backend takes no new one.
-            if s.misses > (1 if how is Ending.UNREACHED else BREAKS_MOST):
+            if s.misses > (1 if how is AttemptOutcome.UNREACHABLE else BREAKS_MOST):
                 s.rest_until = self.now + min(2.0, 0.1 * 2.0 ** min(s.misses, 9))
             return
-        s.misses = s.misses + 1 if how is Ending.TIMED_OUT else 0
+        s.misses = s.misses + 1 if how is AttemptOutcome.TIMED_OUT else 0
         wait, part = 0.0, 1.0  # part: of what was sent, how much the backend could take in good time
-        if how is Ending.TURNED_AWAY:
+        if how is AttemptOutcome.REJECTED:
             part = 0.5
             self.overload_until = self.now + 1.0
-        elif how in (Ending.SUCCEEDED, Ending.TIMED_OUT):
-            if how is Ending.SUCCEEDED:
+        elif how in (AttemptOutcome.SUCCEEDED, AttemptOutcome.TIMED_OUT):
+            if how is AttemptOutcome.SUCCEEDED:
                 s.time += (0.3 if s.time else 1.0) * (elapsed - s.time)
                 seen = s.times.get(t.profile, elapsed)
                 s.times[t.profile] = seen + 0.3 * (elapsed - seen)
                 s.unit_time = min(1.02 * s.unit_time, elapsed / max(t.units, 1.0))
             wait = elapsed - 2.0 * s.unit_time * t.units if s.unit_time < float("inf") else elapsed
             part = WAIT_PART * self.quickest / max(wait, 0.001)
-        in_line = how is Ending.SUCCEEDED and wait > LINE_PART * self.quickest
+        in_line = how is AttemptOutcome.SUCCEEDED and wait > LINE_PART * self.quickest
         if in_line:
             # Guards against many gateways' slots adding up: more of this gateway's would only wait in the
             # line, where no gateway can put what is dearer first. Hurts where work of one size differs much.
@@ -479,7 +487,7 @@
             if self.now - elapsed >= s.cut_at:
                 late = elapsed > t.profile.promised  # else it may have met a short stop only
                 self._cut(s, self.first_rate * (1.0 if late else 2.0), max(0.2 if late else 0.5, part))
-        elif how is Ending.SUCCEEDED:
+        elif how is AttemptOutcome.SUCCEEDED:
             s.rate = min(FREE_RATE, s.rate * 2.0 ** min(1.0, self.now - s.grown_at))
             if not in_line and len(s.out) + 1 >= int(s.bound):
                 s.bound = min(HIGHEST_BOUND, s.bound + 0.5 / s.bound)
--- a/gorsethread/scheduling/shard_assignment.py
+++ b/gorsethread/scheduling/shard_assignment.py
@@ -3,7 +3,7 @@
 A list change touches few shards of thousands: only these are assigned anew.
 """
 
-from gorsethread.model import Backend
+from gorsethread.scheduling.model import Backend
 from gorsethread.scheduling.rendezvous_ranking import RendezvousRanking
 
 NEVER = float("inf")
--- a/gorsethread/benchlink/__main__.py
+++ b/gorsethread/simulator_adapter/__main__.py
@@ -1,23 +1,23 @@
-"""The wire adapter: batches in, calls on the policy, replies out. It decides nothing."""
+"""The wire adapter: batches in, calls on the scheduler, replies out. It decides nothing."""
 
 import json
 import sys
 import traceback
 from typing import Any
 
-from gorsethread.model import AttemptEnded, Ending, RequestTaken
-from gorsethread.policy import Policy
-from gorsethread.startfacts import Fields, Malformed, start_facts, word
+from gorsethread.gateway.startfacts import Fields, Malformed, start_facts, word
+from gorsethread.scheduling.model import AttemptEnded, AttemptOutcome, RequestTaken
+from gorsethread.scheduling.scheduler import Scheduler
 
 ENDINGS = {
-    "S": Ending.SUCCEEDED,
-    "E": Ending.ERROR,
-    "F": Ending.TURNED_AWAY,
-    "T": Ending.TIMED_OUT,
-    "C": Ending.UNREACHED,
-    "R": Ending.BROKEN,
-    "X": Ending.CANCELLED,
-    "N": Ending.NOT_SENT,
+    "S": AttemptOutcome.SUCCEEDED,
+    "E": AttemptOutcome.ERROR,
+    "F": AttemptOutcome.REJECTED,
+    "T": AttemptOutcome.TIMED_OUT,
+    "C": AttemptOutcome.UNREACHABLE,
+    "R": AttemptOutcome.CONNECTION_LOST,
+    "X": AttemptOutcome.CANCELLED,
+    "N": AttemptOutcome.NOT_SENT,
 }
 CLIENT_REPEAT = 2
 
@@ -60,7 +60,7 @@
     def __init__(self) -> None:
         self.wall = 0.0
         self.pages: dict[int, list[Fields]] = {}
-        self.heads: dict[str, tuple[Policy, BenchHost]] = {}
+        self.heads: dict[str, tuple[Scheduler, BenchHost]] = {}
 
     def batch(self, line: str) -> dict[str, Any]:
         try:
@@ -80,8 +80,8 @@
                 for event in part["happened"]:
                     self.event(name, event)
                 if name in self.heads:
-                    policy, host = self.heads[name]
-                    policy.batch_ended()
+                    scheduler, host = self.heads[name]
+                    scheduler.batch_ended()
                     said, host.said = host.said, []
             except Malformed:
                 raise
@@ -99,7 +99,7 @@
         verb = e["verb"]
         if verb == "up":
             host = BenchHost(self)
-            self.heads[name] = (Policy(host, start_facts(e["setup"]), e["salt"]), host)
+            self.heads[name] = (Scheduler(host, start_facts(e["setup"]), e["salt"]), host)
             return
         if verb == "kill":
             self.heads.pop(name, None)
@@ -109,9 +109,9 @@
             return
         if name not in self.heads:
             raise Malformed(f"{verb} for {name}, which is not up")
-        policy = self.heads[name][0]
+        scheduler = self.heads[name][0]
         if verb == "order":
-            policy.request_taken(
+            scheduler.request_taken(
                 RequestTaken(
                     e["corr"],
                     e["tierClass"],
@@ -126,7 +126,7 @@
                 )
             )
         elif verb == "done":
-            policy.attempt_ended(
+            scheduler.attempt_ended(
                 AttemptEnded(
                     e["corr"],
                     e["shot"],
@@ -139,28 +139,28 @@
                 )
             )
         elif verb == "due":
-            policy.woken(e["keyBack"])
+            scheduler.woken(e["keyBack"])
         elif verb == "cancelledByClient":
-            policy.client_left(e["corr"])
+            scheduler.client_left(e["corr"])
         elif verb == "sync":
             if e["form"] == "refused":
-                policy.list_refused()
+                scheduler.list_refused()
                 return
             entries = self.pages.get(e["page"])
             if entries is None:
                 raise Malformed(f"page {e['page']} was never sent")
-            policy.list_begins(e["form"] != "changes", e["form"] == "remembered")
+            scheduler.list_begins(e["form"] != "changes", e["form"] == "remembered")
             for s in entries:
-                policy.backend_listed(
+                scheduler.backend_listed(
                     s["shelf"],
                     s["rackZone"],
                     s.get("pod", -1),
                     s["condition"] == "Ready",
                     s.get("since", 0.0),
                 )
-            policy.list_ended()
+            scheduler.list_ended()
         elif verb == "peer":
-            policy.peer_told(e["originPeer"], e["raw"])
+            scheduler.peer_told(e["originPeer"], e["raw"])
         elif verb not in ("ackFirst", "probeResult"):
             raise Malformed(f"unknown verb {verb!r}")
 
--- a/gorsethread/transport/sampling.py
+++ b/gorsethread/transport/sampling.py
@@ -7,8 +7,7 @@
 
 INTERVAL = 0.002  # seconds of CPU time
 PLACES = (
-    ("/gorsethread/policy.py", "policy"),
-    ("/gorsethread/model.py", "policy"),
+    ("/gorsethread/scheduling/", "decisions"),
     ("/gorsethread/nvme/", "codec"),
     ("/gorsethread/transport/", "transport"),
     ("/tornado/", "transport"),
--- a/tests/crossing/rig.py
+++ b/tests/crossing/rig.py
@@ -26,7 +26,7 @@
 PATIENCE = 10.0  # seconds until a step that does not happen fails its test
 CONNECTING = "02"  # SYN_SENT in the system's table of connections
 HOST = "127.0.0.1"
-PROGRAM = "import runpy; runpy.run_module('gorsethread.platform', run_name='__main__')"
+PROGRAM = "import runpy; runpy.run_module('gorsethread.http_gateway', run_name='__main__')"
 
 
 def until(happened: Callable[[], Any], what: str, patience: float = PATIENCE) -> Any:
--- a/tests/crossing/test_backends.py
+++ b/tests/crossing/test_backends.py
@@ -102,7 +102,7 @@
     SLACK = 0.05  # seconds by which the platform lengthens each time limit on sockets
     HELD_UP = """
 import time
-from gorsethread.platform import backends, discovery
+from gorsethread.http_gateway import backends, discovery
 def held_up(honest):
     def late(*arguments):
         time.sleep(0.15)
--- a/tests/crossing/test_clients.py
+++ b/tests/crossing/test_clients.py
@@ -8,9 +8,9 @@
 import time
 from pathlib import Path
 
+from gorsethread.http_gateway.config import read_configuration
+from gorsethread.http_gateway.program import Gateway
 from gorsethread.logs import log_for, start_logs
-from gorsethread.platform.config import read_configuration
-from gorsethread.platform.program import Gateway
 from gorsethread.transport.real import RealTransport
 from tests.crossing.rig import (
     HOST,
--- a/tests/crossing/test_discovery.py
+++ b/tests/crossing/test_discovery.py
@@ -10,11 +10,11 @@
 from pathlib import Path
 from typing import Any
 
+from gorsethread.http_gateway.config import read_configuration
+from gorsethread.http_gateway.program import Gateway
 from gorsethread.logs import log_for, start_logs
-from gorsethread.model import ColdRule, StartFacts
-from gorsethread.platform.config import read_configuration
-from gorsethread.platform.program import Gateway
-from gorsethread.policy import Policy
+from gorsethread.scheduling.model import SchedulerSettings, SlowStartRule
+from gorsethread.scheduling.scheduler import Scheduler
 from gorsethread.transport.real import RealTransport
 from tests.crossing.rig import HOST, PATIENCE, CrossingTest, Discovery, GatewayProcess, Peer, Server, answer
 from tests.harness import FACTS, PrintingHost
@@ -211,7 +211,7 @@
     CROWDED = 1.7  # seconds behind a call's wait that a crowded service may answer
     HANGS = 3  # calls in turn that it answers nothing to
     ANSWERED_IN = 0.5  # seconds that the call after these may take
-    LONGEST_PAUSES = "from gorsethread.draws import Draws; Draws.next = lambda self: 0.999"
+    LONGEST_PAUSES = "from gorsethread.scheduling.draws import Draws; Draws.next = lambda self: 0.999"
 
     def stays_open(self, peer: Peer, seconds: float) -> bool:
         peer.socket.settimeout(seconds)
@@ -293,54 +293,54 @@
 class Refusals(unittest.TestCase):
     """The decisions alone: when is discovery asked again?"""
 
-    def policy(self, ask_within: float, heads: int, seed: int) -> tuple[Policy, PrintingHost]:
+    def scheduler(self, ask_within: float, heads: int, seed: int) -> tuple[Scheduler, PrintingHost]:
         host = PrintingHost()
-        facts = StartFacts(
+        facts = SchedulerSettings(
             **{
                 **FACTS,
                 "heads": heads,
                 "list_on_request": True,
                 "ask_within": ask_within,
-                "cold": ColdRule(8.0, 2.0, 10.0, 0.25),
+                "cold": SlowStartRule(8.0, 2.0, 10.0, 0.25),
             }
         )
-        return Policy(host, facts, seed), host
+        return Scheduler(host, facts, seed), host
 
     def test_however_often_it_refused_it_is_asked_in_time_once_it_can_be_reached(self) -> None:
         for ask_within in (2.0, 10.0, 60.0, 600.0):
             for heads in (1, 6, 200):
                 for refused in range(1, 40):
-                    policy, host = self.policy(ask_within, heads, 7 * refused + heads)
+                    scheduler, host = self.scheduler(ask_within, heads, 7 * refused + heads)
                     for _ in range(refused):
-                        policy.list_refused()
-                    pause = policy.list_ask_at - host.now
+                        scheduler.list_refused()
+                    pause = scheduler.list_ask_at - host.now
                     self.assertLessEqual(pause, TOLD_AFTER - 2.0, (ask_within, heads, refused))
 
     def test_the_longer_a_call_hung_the_sooner_the_next(self) -> None:
         for ask_within in (2.0, 10.0, 60.0, 600.0):
             for refused in range(1, 40):
                 for waited in (0.0, 1.0, 2.5, 3.9, 4.2):
-                    policy, host = self.policy(ask_within, 200, refused)
+                    scheduler, host = self.scheduler(ask_within, 200, refused)
                     for _ in range(refused):
-                        policy.list_refused(waited)
-                    pause = policy.list_ask_at - host.now
+                        scheduler.list_refused(waited)
+                    pause = scheduler.list_ask_at - host.now
                     self.assertLessEqual(waited + pause, TOLD_AFTER - 1.0, (ask_within, refused, waited))
 
     def test_a_new_process_asks_in_time_however_long_a_list_may_stand(self) -> None:
         for ask_within in (2.0, 10.0, 60.0, 600.0):
             for seed in range(50):
-                policy, host = self.policy(ask_within, 200, seed)
-                self.assertLessEqual(policy.list_ask_at - host.now, 2.0)
+                scheduler, host = self.scheduler(ask_within, 200, seed)
+                self.assertLessEqual(scheduler.list_ask_at - host.now, 2.0)
 
     def test_a_first_refusal_leaves_time_for_the_answer_of_a_watch_that_fell_silent(self) -> None:
         """A silence shows after 4 s; what it hides counts as told after 6."""
         for ask_within in (2.0, 10.0, 60.0, 600.0):
             for seed in range(50):
-                policy, host = self.policy(ask_within, 200, seed)
-                policy.list_begins(False, False)
-                policy.list_ended()
-                policy.list_refused()
-                self.assertLessEqual(policy.list_ask_at - host.now, 1.0)
+                scheduler, host = self.scheduler(ask_within, 200, seed)
+                scheduler.list_begins(False, False)
+                scheduler.list_ended()
+                scheduler.list_refused()
+                self.assertLessEqual(scheduler.list_ask_at - host.now, 1.0)
 
 
 class RefusalsBeforeAMove(LiveRig):
@@ -349,13 +349,13 @@
             head = self.start()
             self.list.down = True
             await self.wait(30.0)
-            self.assertGreater(head.driver.policy.list_waits, 3)
+            self.assertGreater(head.driver.scheduler.list_waits, 3)
             new = NewsList(self.process("list2"), ("list2", 1), generation=1)
             new.down = True
             self.configure(discovery="list2:1")
             self.transport.reload()
             await self.wait(0.1)
             self.assertEqual(1, len(new.asked))
-            self.assertEqual(1, head.driver.policy.list_waits, "as after a first refusal")
+            self.assertEqual(1, head.driver.scheduler.list_waits, "as after a first refusal")
 
         self.play(work)
--- a/tests/fuzz_records.py
+++ b/tests/fuzz_records.py
@@ -11,12 +11,12 @@
 import atheris
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
-with atheris.instrument_imports(include=["gorsethread.records", "gorsethread.branch"]):
-    from gorsethread.branch import talk as branches
-    from gorsethread.records import talk
-    from gorsethread.records.frames import Begin, Unusable, begun, framed, read, seed_of
-    from gorsethread.records.kinds import Discarded, Effect, Freed, Gone, Placed, Queued, Record, Step
-    from gorsethread.records.recovery import name_of, recover
+with atheris.instrument_imports(include=["gorsethread.durable_log", "gorsethread.offline_writes"]):
+    from gorsethread.durable_log import talk
+    from gorsethread.durable_log.frames import Begin, Unusable, begun, framed, read, seed_of
+    from gorsethread.durable_log.kinds import Discarded, Effect, Freed, Gone, Placed, Queued, Record, Step
+    from gorsethread.durable_log.recovery import name_of, recover
+    from gorsethread.offline_writes import talk as branches
 
 OWN = [Record((9, n), Placed(1, n, n % 3) if n % 4 else Freed(1, n)) for n in range(1, 9)]
 HELD = Queued(9, 6, 1, 2, 1, 0, "1/0", "h", 7, 0, 16, 1.5, [(1, 9, 5)], [], 3, b"data" * 9)
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,26 +1,26 @@
-"""Shared by all tests: a host that prints what the policy does, and compares it with the kept trace."""
+"""Shared by all tests: a host that prints what the scheduler does, and compares it with the kept trace."""
 
 import difflib
 import unittest
 from pathlib import Path
 from typing import Any
 
-from gorsethread.model import (
+from gorsethread.scheduling.model import (
     AttemptEnded,
-    ColdRule,
+    AttemptOutcome,
     Effect,
-    Ending,
-    Group,
-    Plan,
-    Profile,
+    IdempotencyScope,
+    RequestClass,
     RequestTaken,
-    StartFacts,
+    SchedulerSettings,
+    ServiceTier,
+    SlowStartRule,
 )
-from gorsethread.policy import Policy
+from gorsethread.scheduling.scheduler import Scheduler
 
-PLAIN = Profile(0.3, Effect.REDOABLE, Group.ALL, 5.0, False, 1.0)
-SLOW = Profile(9.0, Effect.REDOABLE, Group.ALL, 5.0, False, 1.0)
-OPEN_PLAN = Plan(0.0, 1.0, 0.0, 0.0, 4.0)
+PLAIN = RequestClass(0.3, Effect.IDEMPOTENT, IdempotencyScope.ALL, 5.0, False, 1.0)
+SLOW = RequestClass(9.0, Effect.IDEMPOTENT, IdempotencyScope.ALL, 5.0, False, 1.0)
+OPEN_PLAN = ServiceTier(0.0, 1.0, 0.0, 0.0, 4.0)
 FACTS: dict[str, Any] = {
     "profiles": (PLAIN,),
     "plans": (OPEN_PLAN,),
@@ -28,7 +28,7 @@
     "list_on_request": False,
     "ask_within": 10.0,
     "drain_grace": 1.0,
-    "cold": ColdRule(8.0, 2.0, 10.0, 0.25),
+    "cold": SlowStartRule(8.0, 2.0, 10.0, 0.25),
     "budget": None,
     "key_rest": 0.0,
     "most_forwards": 4,
@@ -75,17 +75,17 @@
 
     def start(self, shelves: int = 1, **facts: Any) -> None:
         self.host = PrintingHost()
-        self.policy = Policy(self.host, StartFacts(**{**FACTS, **facts}), 7)
+        self.scheduler = Scheduler(self.host, SchedulerSettings(**{**FACTS, **facts}), 7)
         self.shelves({n: 0.0 for n in range(1, shelves + 1)}, remembered=True)
         self.end()
 
     def shelves(
         self, since: dict[int, float], ready: bool = True, whole: bool = True, remembered: bool = False
     ) -> None:
-        self.policy.list_begins(whole, remembered)
+        self.scheduler.list_begins(whole, remembered)
         for n, at in since.items():
-            self.policy.backend_listed(n, n % 2, n, ready, at and 100.0 + at)
-        self.policy.list_ended()
+            self.scheduler.backend_listed(n, n % 2, n, ready, at and 100.0 + at)
+        self.scheduler.list_ended()
 
     def take(
         self,
@@ -99,34 +99,34 @@
         within: float = 2.0,
         heads: int = 1,
     ) -> None:
-        self.policy.request_taken(
+        self.scheduler.request_taken(
             RequestTaken(id, profile, plan, key, self.host.now + within, volume, units, shard, heads, False)
         )
 
     def answer(
         self,
         id: int,
-        how: Ending = Ending.SUCCEEDED,
+        how: AttemptOutcome = AttemptOutcome.SUCCEEDED,
         number: int = 0,
         finished: bool | None = None,
         elsewhere: float = 0,
     ) -> None:
         shelf, sent = self.host.sent[(id, number)]
-        over = how is Ending.SUCCEEDED if finished is None else finished
+        over = how is AttemptOutcome.SUCCEEDED if finished is None else finished
         self.host.say(f"    {id} on shelf {shelf}: {how.value}")
-        self.policy.attempt_ended(
+        self.scheduler.attempt_ended(
             AttemptEnded(id, number, how, shelf, self.host.now - sent, over, elsewhere, 0)
         )
 
     def health(self, shelf: int = 1) -> None:
-        s = self.policy.backends[shelf]
+        s = self.scheduler.backends[shelf]
         self.host.say(
             f"    shelf {shelf}: rate {s.rate:.2f}, usual time {s.time:.2f}, {s.misses} misses, "
             f"rests {max(0.0, s.rest_until - self.host.now):.2f}"
         )
 
     def end(self) -> None:
-        self.policy.batch_ended()
+        self.scheduler.batch_ended()
 
     def until(self, at: float) -> None:
         """Let time pass, with the wakes asked for."""
@@ -134,7 +134,7 @@
             wake = min(self.host.wakes)
             self.host.wakes.remove(wake)
             self.host.now = max(self.host.now, wake[0])
-            self.policy.woken(wake[1])
+            self.scheduler.woken(wake[1])
             self.end()
         self.host.now = 100.0 + at
 
--- a/tests/queues.py
+++ b/tests/queues.py
@@ -10,7 +10,7 @@
 from gorsethread.accounts.causes import Findings, Known, find
 from gorsethread.accounts.lives import LOOK_EVERY, Accounts
 from gorsethread.accounts.window import Span, Window
-from gorsethread.model import Ending, Held, Outcome
+from gorsethread.scheduling.model import AttemptOutcome, HoldReason, RequestOutcome
 
 UNIT_TIME = 0.01
 CUT_OFF = 1.0
@@ -54,7 +54,7 @@
     def take(self, now: float, s: Sent) -> None:
         self.accounts.taken(s.id, s.volume, 0, s.shelf.number, False, s.units, now - 0.0002, now)
         if s.volume in self.day.limited and not self.day.spend(s.volume, s.units, now):
-            self.accounts.held(s.id, Held.LIMIT, s.shelf.number, now)
+            self.accounts.held(s.id, HoldReason.LIMIT, s.shelf.number, now)
             self.day.at(now + 0.5, lambda at: self.offer(at, s))
         else:
             self.offer(now, s)
@@ -65,19 +65,21 @@
             self.out[n] = self.out.get(n, 0) + 1
             self.accounts.sent(s.id, 0, n, now)
             self.day.at(now + 0.0005, lambda at: self.day.arrives(at, s))
-            self.day.at(now + CUT_OFF, lambda at: self.ended(at, s, Ending.TIMED_OUT, 0.0))
+            self.day.at(now + CUT_OFF, lambda at: self.ended(at, s, AttemptOutcome.TIMED_OUT, 0.0))
         else:
             self.held.setdefault(n, deque()).append(s)
-            self.accounts.held(s.id, Held.SLOTS, n, now)
+            self.accounts.held(s.id, HoldReason.SLOTS, n, now)
 
-    def ended(self, now: float, s: Sent, how: Ending, service: float) -> None:
+    def ended(self, now: float, s: Sent, how: AttemptOutcome, service: float) -> None:
         if s.over:
             return
         s.over = True
         n = s.shelf.number
         self.out[n] -= 1
         self.accounts.ended(s.id, 0, how, service, now)
-        self.accounts.answered(s.id, Outcome.SUCCEEDED if how is Ending.SUCCEEDED else Outcome.FAILED, now)
+        self.accounts.answered(
+            s.id, RequestOutcome.SUCCEEDED if how is AttemptOutcome.SUCCEEDED else RequestOutcome.FAILED, now
+        )
         if waiting := self.held.get(n):
             self.offer(now, waiting.popleft())
 
@@ -85,7 +87,7 @@
         for id in self.accounts.looks():
             volume, shelf, _ = self.accounts.lives[id].where
             limited = volume in self.day.limited
-            self.accounts.held(id, Held.LIMIT if limited else Held.SLOTS, shelf, now)
+            self.accounts.held(id, HoldReason.LIMIT if limited else HoldReason.SLOTS, shelf, now)
 
     def close(self, now: float, last: bool = False) -> None:
         window = self.accounts.close_window(now)
@@ -139,7 +141,7 @@
         if now >= s.shelf.hung_from:
             return
         s.shelf.free += 1
-        self.at(now + 0.0005, lambda at: s.head.ended(at, s, Ending.SUCCEEDED, now - begun))
+        self.at(now + 0.0005, lambda at: s.head.ended(at, s, AttemptOutcome.SUCCEEDED, now - begun))
         self.begin(now, s.shelf)
 
     def traffic(
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -20,17 +20,17 @@
 from gorsethread.accounts.stages import OTHERS, STAGES, WORDS, Stage, bucket_of, bucket_value
 from gorsethread.accounts.window import BLAMES_MOST, BUCKETS, ROWS_MOST, Span, Window
 from gorsethread.cli.main import app
-from gorsethread.model import Ending, Held, Outcome
+from gorsethread.scheduling.model import AttemptOutcome, HoldReason, RequestOutcome
 from tests.queues import KNOWN, QueueDay
 
-ENDINGS = [Ending.SUCCEEDED] * 3 + list(Ending)
+ENDINGS = [AttemptOutcome.SUCCEEDED] * 3 + list(AttemptOutcome)
 EVENTS = st.lists(
     st.tuples(
         st.sampled_from(["taken", "held", "sent", "ended", "answered", "look", "close"]),
         st.integers(1, 4),
         st.integers(0, 2),
         st.sampled_from(ENDINGS),
-        st.sampled_from(list(Held)),
+        st.sampled_from(list(HoldReason)),
         st.floats(-0.01, 0.3, allow_nan=False),
     ),
     max_size=80,
@@ -62,7 +62,7 @@
             alive.add(id)
             accounts.taken(id, 1 + id % 3, number % 2, number, number == 2, 1 + id, now - step / 2, now)
         elif what == "held":
-            accounts.held(id, why, number if why is not Held.NO_SHELF else -1, now)
+            accounts.held(id, why, number if why is not HoldReason.NO_SHELF else -1, now)
         elif what == "sent":
             accounts.sent(id, number, 5 + number, now)
             if id in alive:
@@ -73,7 +73,7 @@
         elif what == "answered":
             answered += id in alive
             alive.discard(id)
-            accounts.answered(id, list(Outcome)[number], now)
+            accounts.answered(id, list(RequestOutcome)[number], now)
         elif what == "look":
             for each in accounts.looks():
                 accounts.held(each, why, number, now)
@@ -81,9 +81,9 @@
             windows.append(accounts.close_window(now))
     answered += len(alive)
     for id in range(1, 5):
-        accounts.answered(id, Outcome.LEFT, now)
+        accounts.answered(id, RequestOutcome.CLIENT_LEFT, now)
         for forward in range(3):
-            accounts.ended(id, forward, Ending.CANCELLED, 0.0, now)
+            accounts.ended(id, forward, AttemptOutcome.CANCELLED, 0.0, now)
     windows.append(accounts.close_window(now))
     assert not accounts.open and not accounts.lanes
     assert all(not s.forwards and not s.out and not s.lanes for s in accounts.shelves.values())
@@ -115,7 +115,9 @@
                 elif what == 1:
                     accounts.sent(id, 0, shelf, when)
                 else:
-                    accounts.ended(id, 0, Ending.SUCCEEDED, service * took, when, Outcome.SUCCEEDED)
+                    accounts.ended(
+                        id, 0, AttemptOutcome.SUCCEEDED, service * took, when, RequestOutcome.SUCCEEDED
+                    )
         a, b, c = (accounts.close_window(9.0) for accounts in (one, each, many))
         self.assertEqual(0, a.remainders + b.remainders + c.remainders)
         self.assertEqual(a, b)
@@ -158,24 +160,24 @@
         life = accounts._life(1)
         assert life is not None
         life.stages[Stage.ARRIVING] -= 7
-        accounts.answered(1, Outcome.SUCCEEDED, 0.02)
+        accounts.answered(1, RequestOutcome.SUCCEEDED, 0.02)
         self.assertEqual(1, accounts.close_window(1.0).remainders)
 
     def test_one_life(self) -> None:
-        """Held for slots, sent, lost, held while its shelf rests, sent again, honoured."""
+        """HoldReason for slots, sent, lost, held while its shelf rests, sent again, honoured."""
         accounts = Accounts([0.1], 0.0)
         accounts.taken(9, 3, 0, 0, False, 4, 0.0, 0.0)
         accounts.sent(9, 0, 5, 0.0)  # what 1 waits for
         accounts.taken(1, 1, 0, 0, False, 2, 0.001, 0.002)
-        accounts.held(1, Held.SLOTS, 5, 0.003)
+        accounts.held(1, HoldReason.SLOTS, 5, 0.003)
         accounts.sent(1, 0, 6, 0.013)
-        accounts.ended(1, 0, Ending.BROKEN, 0.0, 0.020)
-        accounts.held(1, Held.REST, 6, 0.021)
-        accounts.ended(9, 0, Ending.SUCCEEDED, 0.022, 0.024)  # 2 ms of way: the least there
-        accounts.answered(9, Outcome.SUCCEEDED, 0.024)
+        accounts.ended(1, 0, AttemptOutcome.CONNECTION_LOST, 0.0, 0.020)
+        accounts.held(1, HoldReason.REST, 6, 0.021)
+        accounts.ended(9, 0, AttemptOutcome.SUCCEEDED, 0.022, 0.024)  # 2 ms of way: the least there
+        accounts.answered(9, RequestOutcome.SUCCEEDED, 0.024)
         accounts.sent(1, 1, 5, 0.030)
-        accounts.ended(1, 1, Ending.SUCCEEDED, 0.010, 0.050)
-        accounts.answered(1, Outcome.SUCCEEDED, 0.050)
+        accounts.ended(1, 1, AttemptOutcome.SUCCEEDED, 0.010, 0.050)
+        accounts.answered(1, RequestOutcome.SUCCEEDED, 0.050)
         window = accounts.close_window(0.05)
         row = window.rows[1, 0]
         self.assertEqual(
@@ -219,7 +221,7 @@
     for volume, profile, us in lives:
         stages = [0] * STAGES
         stages[Stage.SLOTS], stages[Stage.WORK] = us // 3, us - us // 3
-        window.life(volume, profile, 1, Outcome.SUCCEEDED, us > 1000, stages, us)
+        window.life(volume, profile, 1, RequestOutcome.SUCCEEDED, us > 1000, stages, us)
         window.blamed(volume, 1 + volume % 5, us % 3, Stage.SLOTS, us // 3)
         window.shelf(us % 3).worked(volume, us % 7, 1, 1 + us % 7, us - us // 3)
         window.shelf(us % 3).endings["honoured"] = 1
@@ -254,7 +256,7 @@
         stages = [0] * STAGES
         stages[Stage.SLOTS] = 5
         for volume in range(1, 100_001):
-            window.life(volume, 0, 1, Outcome.SUCCEEDED, False, stages, 5)
+            window.life(volume, 0, 1, RequestOutcome.SUCCEEDED, False, stages, 5)
             window.blamed(volume, volume % 997 + 1, 1, Stage.SLOTS, 5)
         window.settle()
         self.assertLessEqual(len(window.rows), ROWS_MOST)
@@ -279,9 +281,9 @@
         window = Window()
         stages = [0] * STAGES
         for volume in range(1, 2000):
-            window.life(volume, 0, 1, Outcome.SUCCEEDED, False, stages, 0)
+            window.life(volume, 0, 1, RequestOutcome.SUCCEEDED, False, stages, 0)
         for _ in range(500):
-            window.life(5000, 0, 1, Outcome.SUCCEEDED, False, stages, 0)
+            window.life(5000, 0, 1, RequestOutcome.SUCCEEDED, False, stages, 0)
         window.settle()
         self.assertGreater(window.rows[5000, 0].lives, 440)
         for row in window.all_rows():
--- a/tests/test_accounts_running.py
+++ b/tests/test_accounts_running.py
@@ -9,8 +9,8 @@
 from gorsethread.accounts.window import Window
 from gorsethread.head.program import Head
 from gorsethread.logs import log_for
-from gorsethread.model import Outcome
 from gorsethread.nvme.command import Opcode
+from gorsethread.scheduling.model import RequestOutcome
 from tests.rig import Rig
 
 
@@ -44,7 +44,7 @@
         await self.heads[0].end()
         whole = self.kept()
         rows = whole.all_rows()
-        self.assertEqual(80, sum(row.outcomes[Outcome.SUCCEEDED] for row in rows))
+        self.assertEqual(80, sum(row.outcomes[RequestOutcome.SUCCEEDED] for row in rows))
         self.assertEqual(80, sum(row.lives for row in rows))
         self.assertEqual(0, whole.remainders)
         for row in rows:
--- a/tests/test_branch.py
+++ b/tests/test_branch.py
@@ -9,15 +9,15 @@
 from hypothesis import strategies as st
 from minicheck import Protocol, check_safety
 
-from gorsethread.branch.bases import Bases, base_of, digests
-from gorsethread.branch.desk import Say, of_read, of_write
-from gorsethread.branch.homes import TAKES_OVER, StandIn, homes
-from gorsethread.branch.landing import RUNNING_MOST, Answer, Landing, Of
-from gorsethread.branch.link import BACK_AFTER, BACK_MOST, CUT_AFTER, GAP, Link, State
-from gorsethread.branch.pace import WINDOW, Pace
-from gorsethread.branch.queue import Bounds, Held, Queue, Refused, Stage
-from gorsethread.branch.shadow import Shadow
-from gorsethread.branch.writes import CAUSES_MOST, Context, Number, Write, causes
+from gorsethread.offline_writes.bases import Bases, base_of, digests
+from gorsethread.offline_writes.desk import Say, of_read, of_write
+from gorsethread.offline_writes.homes import TAKES_OVER, StandIn, homes
+from gorsethread.offline_writes.landing import RUNNING_MOST, Answer, Landing, Of
+from gorsethread.offline_writes.link import BACK_AFTER, BACK_MOST, CUT_AFTER, GAP, Link, State
+from gorsethread.offline_writes.pace import WINDOW, Pace
+from gorsethread.offline_writes.queue import Bounds, Held, Queue, Refused, Stage
+from gorsethread.offline_writes.shadow import Shadow
+from gorsethread.offline_writes.writes import CAUSES_MOST, Context, Number, Write, causes
 
 ROOM = Bounds(1 << 20, 1000, 600.0)
 
--- a/tests/test_branching.py
+++ b/tests/test_branching.py
@@ -12,9 +12,8 @@
 import pytest
 from typer.testing import CliRunner
 
-from gorsethread.branch import talk
-from gorsethread.branch.talk import Question
 from gorsethread.cli.main import app
+from gorsethread.durable_log.talk import said
 from gorsethread.faults.branchmutants import BRANCH_MUTANTS
 from gorsethread.faults.branchworld import BranchWorld
 from gorsethread.faults.runs import drawn, play, play_many
@@ -25,7 +24,8 @@
 from gorsethread.harness.site import PARTIES
 from gorsethread.head.peers import fleet_of
 from gorsethread.logs import log_for, start_logs
-from gorsethread.records.talk import said
+from gorsethread.offline_writes import talk
+from gorsethread.offline_writes.talk import Question
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.sitefile.reading import BadSite, parse_site, read_site
 from gorsethread.transport.base import StreamClosed
@@ -355,7 +355,7 @@
         text = "".join(line + "\n" for line in REAL.splitlines() if not line.startswith(("14", "17.5")))
         r, _ = self.played(
             text.replace("seconds 30", "seconds 14"),
-            "from gorsethread.branch.queue import Queue\n" "Queue._free = lambda q, write: True\n",
+            "from gorsethread.offline_writes.queue import Queue\n" "Queue._free = lambda q, write: True\n",
         )
         self.assertGreater(r.causal_breaks, 0, r)
         self.assertFalse(r.good)
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -6,7 +6,7 @@
 from gorsethread.lab.crowd.day import Day, Scene, Store, draw
 from gorsethread.lab.crowd.score import due_units
 from gorsethread.lab.crowd.world import World
-from gorsethread.policy import Policy
+from gorsethread.scheduling.scheduler import Scheduler
 
 
 class Crowd(unittest.TestCase):
@@ -39,7 +39,7 @@
     def test_slots_of_many_heads_add_up_where_a_line_is_no_sign(self) -> None:
         """The loss of the standing test, and what the guard in the module is worth against it."""
 
-        class NoLine(Policy):
+        class NoLine(Scheduler):
             def _judge(self, *facts):  # type: ignore[no-untyped-def]
                 bound = facts[0].bound
                 super()._judge(*facts)
--- a/tests/test_harness.py
+++ b/tests/test_harness.py
@@ -97,7 +97,7 @@
 MOMENT = 0.1  # seconds
 STAMPEDE = 0.5  # of the heads whose first calls come in one moment
 DEAF = """
-from gorsethread.platform import discovery
+from gorsethread.http_gateway import discovery
 discovery.CALL_WITHIN = 60.0
 """
 
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -8,20 +8,20 @@
 from pathlib import Path
 from typing import Any
 
-from gorsethread.head.carrying import Attempt, Told
+from gorsethread.gateway.carrying import Attempt, Told
 from gorsethread.head.links import BackendLink
 from gorsethread.head.links import Order as Sent
-from gorsethread.model import Ending
 from gorsethread.nvme.command import Command, Completion, Opcode, Status, connect, connect_data, io_command
 from gorsethread.nvme.pdu import Encoder, PduType, initialize
 from gorsethread.queues.serve import IoCommand
+from gorsethread.scheduling.model import AttemptOutcome
 from gorsethread.standins.client import stamped
 from gorsethread.standins.nodelist import Order
 from gorsethread.transport.base import StreamClosed
 from tests.rig import Rig
 
 POST = 16
-ENDINGS = {f"forwards {how.value}" for how in Ending}
+ENDINGS = {f"forwards {how.value}" for how in AttemptOutcome}
 
 
 class Ordinary(Rig):
@@ -190,14 +190,14 @@
         port = int(self.site.shelf[0].address.rpartition(":")[2])
         listener = self.transport.listen("127.0.0.1", port, accept)
         self.start_head()
-        await self.until(lambda: 0 in self.heads[0].driver.policy.held_by)
+        await self.until(lambda: 0 in self.heads[0].driver.scheduler.held_by)
         client = await self.client()
         how, _, _ = await self.send(client, Opcode.WRITE, hints=POST)
         listener.close()
         self.assertIn(how, ("pushed back", "given up"))
         self.assertTrue(silent)
         ended = {k for k in self.heads[0].driver.counts if k in ENDINGS}
-        self.assertEqual({f"forwards {Ending.UNREACHED.value}"}, ended)
+        self.assertEqual({f"forwards {AttemptOutcome.UNREACHABLE.value}"}, ended)
         self.judged()
 
     async def test_half_a_pdu_and_silence(self) -> None:
@@ -260,7 +260,7 @@
                 await self.until(lambda d=driver: not d.open)
 
     def _answer(self, f: Attempt) -> None:
-        self.heads[0].driver.links[f.backend]._end(f, Ending.SUCCEEDED, Told())
+        self.heads[0].driver.links[f.backend]._end(f, AttemptOutcome.SUCCEEDED, Told())
 
     async def test_the_list_is_gone_at_start(self) -> None:
         """The head serves by the list it remembers; without one it pushes back in time."""
@@ -300,7 +300,7 @@
         # Decided, not only taken: of so short a grace nothing is left once the drain is heard.
         await self.until(lambda: any(t.out for t in self.heads[0].driver.open.values()))
         self.list._order(Order(0, "draining"), _Deaf())
-        await self.until(lambda: 0 not in self.heads[0].driver.policy.held_by)
+        await self.until(lambda: 0 not in self.heads[0].driver.scheduler.held_by)
         late = self.send(client, Opcode.READ)
         await self.until(lambda: held)
         self.shelves[0]._saw_end(held[0], "honoured", True)
@@ -374,8 +374,8 @@
                 work.close()  # the connection is not up yet, and stays so
 
         link = BackendLink(Spawns(), 1, ("shelf", 1), None, 1.0, 8, False, None)  # type: ignore[arg-type]
-        ends: list[Ending] = []
+        ends: list[AttemptOutcome] = []
         f = Attempt(1, 0, 1, 0.0, Sent(io_command(Opcode.READ, 1)), lambda f, how, told: ends.append(how))
         link.send(f)
         link.cancel(f)
-        self.assertEqual(([Ending.NOT_SENT], []), (ends, link.waiting))
+        self.assertEqual(([AttemptOutcome.NOT_SENT], []), (ends, link.waiting))
--- a/tests/test_idle_shelves.py
+++ b/tests/test_idle_shelves.py
@@ -5,14 +5,14 @@
 import unittest
 from typing import Any
 
-from gorsethread.head.carrying import NOTHING
-from gorsethread.head.driver import Driver
+from gorsethread.gateway.carrying import NOTHING
+from gorsethread.gateway.driver import Driver
 from gorsethread.head.facts import start_facts
 from gorsethread.head.links import Order
 from gorsethread.head.placement import SitePlacement
 from gorsethread.logs import log_for, start_logs
-from gorsethread.model import Ending
 from gorsethread.nvme.command import Opcode, io_command
+from gorsethread.scheduling.model import AttemptOutcome
 from gorsethread.sitefile.reading import parse_site
 from tests.rig import SITE
 from tests.test_same_decisions import Deaf, Link_
@@ -65,7 +65,7 @@
                 clock.move(clock.time + 0.001)
                 f = links[n % 2].held.pop()
                 f.over = True
-                driver._ended(f, Ending.SUCCEEDED, NOTHING)
+                driver._ended(f, AttemptOutcome.SUCCEEDED, NOTHING)
                 clock.move(clock.time + 0.001)
         finally:
             sys.setprofile(None)
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -13,6 +13,9 @@
 from typer.testing import CliRunner
 
 from gorsethread.cli.main import app
+from gorsethread.durable_log import talk
+from gorsethread.durable_log.kinds import Placed, Record
+from gorsethread.durable_log.store import Store
 from gorsethread.faults.recordsmutants import KEPT_MUTANTS
 from gorsethread.faults.recordsworld import RecordsWorld
 from gorsethread.faults.runs import play, play_many
@@ -23,10 +26,7 @@
 from gorsethread.harness.site import PARTIES
 from gorsethread.head.peers import fleet_of
 from gorsethread.logs import log_for, start_logs
-from gorsethread.records import talk
-from gorsethread.records.kinds import Placed, Record
-from gorsethread.records.store import Store
-from gorsethread.returning.stages import Stage
+from gorsethread.recovery.stages import Stage
 from gorsethread.sitefile.reading import parse_site, read_site
 from gorsethread.transport.real import RealTransport
 from gorsethread.transport.virtual import VirtualTransport
@@ -296,10 +296,11 @@
 class Lean(unittest.TestCase):
     def test_run_loads_nothing_of_it(self) -> None:
         code = (
-            "import sys, gorsethread.platform.program\n"
-            "print([m for m in sys.modules if m.startswith(('gorsethread.records', 'google_crc32c',"
-            " 'gorsethread.returning', 'concurrent.futures.thread', 'gorsethread.head.promises',"
-            " 'gorsethread.branch', 'gorsethread.head.branching', 'gorsethread.head.landing'))])"
+            "import sys, gorsethread.http_gateway.program\n"
+            "print([m for m in sys.modules if m.startswith(('gorsethread.durable_log', 'google_crc32c',"
+            " 'gorsethread.recovery', 'concurrent.futures.thread', 'gorsethread.nvme_gateway.promises',"
+            " 'gorsethread.offline_writes', 'gorsethread.nvme_gateway.branching',"
+            " 'gorsethread.nvme_gateway.landing'))])"
         )
         done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
         self.assertEqual("[]", done.stdout.strip(), done.stderr)
@@ -339,7 +340,7 @@
     def test_the_judge_sees_heads_that_ask_nobody(self) -> None:
         r = self.played(
             LOSSES,
-            "from gorsethread.returning.stages import Return\n"
+            "from gorsethread.recovery.stages import Return\n"
             "Return.alone = property(lambda r: True, lambda r, given: None)\n"
             "Return.wanted = lambda r: []\n",
         )
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -15,10 +15,10 @@
 from hypothesis import strategies as st
 from minicheck import Protocol, check_safety
 
-from gorsethread.benchlink.__main__ import Link
 from gorsethread.faults.coldpart import Falls
+from gorsethread.gateway.messages import SENT_MOST, Messages
 from gorsethread.harness.processes import Processes
-from gorsethread.head.messages import SENT_MOST, Messages
+from gorsethread.http_gateway.config import Configuration, Unusable, read_configuration
 from gorsethread.lab.allseeing import EvenParts
 from gorsethread.lab.crowd.day import Scene, draw
 from gorsethread.lab.crowd.score import Score
@@ -26,9 +26,18 @@
 from gorsethread.lab.lending import LENT_UNITS, Result, Trial, script_of
 from gorsethread.logs import log_for, start_logs
 from gorsethread.membership.words import Kind, Message, write
-from gorsethread.model import Backend, ColdRule, Effect, Group, Profile, Request, StartFacts, Volume
-from gorsethread.platform.config import Configuration, Unusable, read_configuration
-from gorsethread.policy import Policy
+from gorsethread.scheduling.model import (
+    Backend,
+    Effect,
+    IdempotencyScope,
+    Request,
+    RequestClass,
+    SchedulerSettings,
+    SlowStartRule,
+    Volume,
+)
+from gorsethread.scheduling.scheduler import Scheduler
+from gorsethread.simulator_adapter.__main__ import Link
 from gorsethread.sitefile.reading import read_site
 from gorsethread.transport.real import RealTransport
 from gorsethread.transport.virtual import Disk, Network, VirtualLoop, VirtualTransport, Weather
@@ -37,18 +46,18 @@
 from tests.live import SETTINGS, LiveRig, order
 from tests.test_same_decisions import setup_of
 
-COLD = ColdRule(9.0, 3.0, 13.0, 0.19)
+COLD = SlowStartRule(9.0, 3.0, 13.0, 0.19)
 STATES_MOST = 200_000  # 93243 are reached in 5 steps of time; in 6 it is 333288, none of them bad either
 # Of one that asked for nothing yet: its life, how often it asked, and what it holds of the shelf.
 FRESH = (0, 0, "", -float("inf"), 0.0, 0.0, 0.0)
 TROUBLED = Scene(24, 12, 18.0, renewed=0.8, restarted=0.5, lost=0.15)
 
 
-def played(policy: type[Policy], **scene: Any) -> Score:
-    return World(draw(replace(TROUBLED, **scene)), policy).play()
+def played(scheduler: type[Scheduler], **scene: Any) -> Score:
+    return World(draw(replace(TROUBLED, **scene)), scheduler).play()
 
 
-class AtOnce(Policy):
+class AtOnce(Scheduler):
     """Planted: lends from its first moment, as if no earlier life had."""
 
     def _lend(self, shard: int, units: float, age: float) -> bool:
@@ -58,7 +67,7 @@
         return lends
 
 
-class Forgetful(Policy):
+class Forgetful(Scheduler):
     """Planted: a lent part counts for half of the span only."""
 
     def __init__(self, *given: Any) -> None:
@@ -66,7 +75,7 @@
         self.lent_kept = 0.5 * self.facts.cold.span
 
 
-class Twice(Policy):
+class Twice(Scheduler):
     """Planted: a doubled answer lends twice."""
 
     def _borrow(self, s: Backend) -> None:
@@ -75,7 +84,7 @@
         s.asked = asked
 
 
-class Everyone(Policy):
+class Everyone(Scheduler):
     """Planted: every head is the home of every shelf."""
 
     def _home(self, shard: int) -> int:
@@ -86,7 +95,7 @@
     def test_all_heads_together_keep_to_what_a_cold_shelf_bears(self) -> None:
         for seed in range(1, 9):
             with self.subTest(seed):
-                found = played(Policy, seed=seed)
+                found = played(Scheduler, seed=seed)
                 self.assertEqual((0, 0), (found.over_part, found.fallen))
                 self.assertGreater(found.messages, 0.05)
 
@@ -98,13 +107,13 @@
     def test_it_is_worth_more_than_even_parts(self) -> None:
         day = {"heads": 60, "shelves": 20, "restarted": 0.0, "lost": 0.0}
         lent, even = (
-            sum(played(policy, seed=seed, **day).served for seed in (1, 2)) / 2
-            for policy in (Policy, EvenParts)
+            sum(played(scheduler, seed=seed, **day).served for seed in (1, 2)) / 2
+            for scheduler in (Scheduler, EvenParts)
         )
         self.assertGreater(lent, even + 0.04)
 
     def test_where_no_message_comes_nothing_breaks(self) -> None:
-        found = played(Policy, lost=1.0)
+        found = played(Scheduler, lost=1.0)
         self.assertEqual((0, 0), (found.over_part, found.fallen))
         self.assertGreater(found.served, 0.2)
 
@@ -141,9 +150,9 @@
         # A third of what the honest ones get: load is then several times what is borne, also where a busy
         # machine slows it, and what is beyond does not hang on how forwards fell.
         found = self.played(
-            "from gorsethread.policy import Policy\nold = Policy.__init__\n"
+            "from gorsethread.scheduling.scheduler import Scheduler\nold = Scheduler.__init__\n"
             "def begin(self, *given):\n    old(self, *given)\n"
-            "    self.lent_kept = 0.0\nPolicy.__init__ = begin",
+            "    self.lent_kept = 0.0\nScheduler.__init__ = begin",
             LENT_UNITS / 3,
         )
         self.assertGreater(found.beyond, 0)
@@ -153,7 +162,7 @@
     """Nine units a span of 3 s are borne at the start; a request has one: it falls at the 22nd."""
 
     def falls(self, told: int, untold: int, apart: float = 0.01, borne: float = 9.0) -> Falls:
-        found = Falls(ColdRule(borne, 3.0, 13.0, 1.0), 1.0)
+        found = Falls(SlowStartRule(borne, 3.0, 13.0, 1.0), 1.0)
         for n in range(told + untold):
             found.arrived(n * apart, 1.0, n < told, n * apart)
         return found
@@ -177,7 +186,7 @@
         for n in range(100):
             found.arrived(1.0, 1.0, True, 1.0 + n / 100)
         self.assertFalse(found.broken)
-        warm = Falls(ColdRule(9.0, 3.0, 13.0, 1.0), 1.0)
+        warm = Falls(SlowStartRule(9.0, 3.0, 13.0, 1.0), 1.0)
         for _ in range(100):
             warm.arrived(20.0, 1.0, True, 13.0)
         self.assertFalse(warm.fell)
@@ -190,23 +199,25 @@
 
     SPAN, LENT_FOR = 2, 2
 
-    def check(self, plant: Callable[[Policy], None] = lambda policy: None, ends: int = 5) -> dict[str, Any]:
-        profile = Profile(self.LENT_FOR / 0.4, Effect.REDOABLE, Group.ALL, 5.0, False, 1.0)
-        facts = StartFacts(
+    def check(
+        self, plant: Callable[[Scheduler], None] = lambda scheduler: None, ends: int = 5
+    ) -> dict[str, Any]:
+        profile = RequestClass(self.LENT_FOR / 0.4, Effect.IDEMPOTENT, IdempotencyScope.ALL, 5.0, False, 1.0)
+        facts = SchedulerSettings(
             **{
                 **FACTS,
                 "profiles": (profile,),
                 "heads": 3,
                 "may_tell": True,
-                "cold": ColdRule(1.0, float(self.SPAN), 1e9, 1.0),
+                "cold": SlowStartRule(1.0, float(self.SPAN), 1e9, 1.0),
             }
         )
         host = PrintingHost()
         told: list[str] = []
         host.tell = lambda head, words: told.append(words)  # type: ignore[attr-defined]
-        home = Policy._home(Policy(host, facts, 1), 1)
+        home = Scheduler._home(Scheduler(host, facts, 1), 1)
         askers = [n for n in range(3) if n != home]
-        policies = {n: Policy(host, replace(facts, index=n), 1) for n in range(3)}
+        policies = {n: Scheduler(host, replace(facts, index=n), 1) for n in range(3)}
         for p in policies.values():
             p.list_begins(True, False)
             p.backend_listed(1, 0, 1, True, 1.0)
@@ -215,7 +226,7 @@
         volume = Volume("v", facts.plans[0], 0.0, 1, 0.0, 0.0)
         t = Request(1, 1, profile, volume, None, 1e9, 1e9, 1.0, 1)
 
-        def asker(now: int, n: int, held: tuple[Any, ...]) -> Policy:
+        def asker(now: int, n: int, held: tuple[Any, ...]) -> Scheduler:
             p, s = policies[n], policies[n].backends[1]
             host.now = p.now = float(now)
             _, p.order, s.asked, s.asked_at, s.asked_units, s.lent, s.lent_until = held
@@ -289,7 +300,7 @@
         self.assertTrue(result["properties"]["no more than is borne"]["holds"], result)
 
     def test_each_planted_leak_is_found(self) -> None:
-        def no_silence(p: Policy) -> None:
+        def no_silence(p: Scheduler) -> None:
             honest = p._lend
 
             def lend(shard: int, units: float, age: float) -> bool:
@@ -298,16 +309,16 @@
 
             p._lend = lend  # type: ignore[method-assign]
 
-        def too_short(p: Policy) -> None:
+        def too_short(p: Scheduler) -> None:
             p.lent_kept = p.facts.cold.span
 
-        def from_coming(p: Policy) -> None:
+        def from_coming(p: Scheduler) -> None:
             def borrow(s: Backend) -> None:
                 s.lent, s.lent_until, s.asked = s.asked_units, p.now + p.lent_for, ""
 
             p._borrow = borrow  # type: ignore[method-assign]
 
-        def twice(p: Policy) -> None:
+        def twice(p: Scheduler) -> None:
             def borrow(s: Backend) -> None:
                 s.lent, s.lent_until = s.asked_units, s.asked_at + p.lent_for
 
@@ -328,75 +339,75 @@
         self.end()
 
     def test_it_asks_the_home_and_sends_once_it_is_lent(self) -> None:
-        home = Policy._home(self.made(), 1)
+        home = Scheduler._home(self.made(), 1)
         self.begin((home + 1) % 60)
         self.take(1, units=2.0)
         self.end()
         ((head, words),) = self.told
         self.assertEqual((home, "ask 1"), (head, words[:5]))
         self.assertFalse(self.host.sent)
-        self.policy.peer_told((home + 1) % 60, words.replace("ask", "lent"))  # from who is not its home
-        self.policy.peer_told(home, "lent 1 another 2 1.000")
+        self.scheduler.peer_told((home + 1) % 60, words.replace("ask", "lent"))  # from who is not its home
+        self.scheduler.peer_told(home, "lent 1 another 2 1.000")
         self.end()
         self.assertFalse(self.host.sent)
-        self.policy.peer_told(home, words.replace("ask", "lent"))
+        self.scheduler.peer_told(home, words.replace("ask", "lent"))
         self.end()
         self.assertEqual([(1, 0)], list(self.host.sent))
 
-    def made(self) -> Policy:
+    def made(self) -> Scheduler:
         self.start(cold=COLD, heads=60, may_tell=True)
-        return self.policy
+        return self.scheduler
 
     def test_a_lent_part_that_comes_late_is_not_used(self) -> None:
-        home = Policy._home(self.made(), 1)
+        home = Scheduler._home(self.made(), 1)
         self.begin((home + 1) % 60)
         self.take(1, units=2.0)
         self.end()
-        self.host.now += self.policy.lent_for
-        self.policy.peer_told(home, self.told[0][1].replace("ask", "lent"))
+        self.host.now += self.scheduler.lent_for
+        self.scheduler.peer_told(home, self.told[0][1].replace("ask", "lent"))
         self.end()
         self.assertFalse(self.host.sent)
         self.assertEqual(2, len(self.told))  # and asks anew
 
     def test_a_lent_part_that_was_not_needed_ends(self) -> None:
-        home = Policy._home(self.made(), 1)
+        home = Scheduler._home(self.made(), 1)
         self.begin((home + 1) % 60)
         self.take(1, units=2.0)
         self.end()
-        self.policy.client_left(1)
-        self.policy.peer_told(home, self.told[0][1].replace("ask", "lent"))
-        self.host.now += self.policy.lent_for
+        self.scheduler.client_left(1)
+        self.scheduler.peer_told(home, self.told[0][1].replace("ask", "lent"))
+        self.host.now += self.scheduler.lent_for
         self.take(2, units=2.0)
         self.end()
         self.assertEqual((2, []), (len(self.told), list(self.host.sent)))
 
     def test_the_home_lends_what_is_borne_and_no_more(self) -> None:
-        home = Policy._home(self.made(), 1)
+        home = Scheduler._home(self.made(), 1)
         self.begin(home)
         for n in range(20):
-            self.policy.peer_told((home + 1 + n) % 60, f"ask 1 {n} 2 0.0")
+            self.scheduler.peer_told((home + 1 + n) % 60, f"ask 1 {n} 2 0.0")
         self.assertEqual(4, len(self.told))  # of 9 units
-        self.host.now += 3.0 + self.policy.lent_for + 0.001
-        self.policy.peer_told((home + 1) % 60, "ask 1 99 2 0.0")
+        self.host.now += 3.0 + self.scheduler.lent_for + 0.001
+        self.scheduler.peer_told((home + 1) % 60, "ask 1 99 2 0.0")
         self.assertEqual(5, len(self.told))
 
     def test_a_false_age_lends_no_more_than_the_homes_own_list_bears_out(self) -> None:
-        home = Policy._home(self.made(), 1)
+        home = Scheduler._home(self.made(), 1)
         for listed, most in (({1: 9.0}, 11.9), ({}, 9.0)):
             with self.subTest(listed=listed):
                 self.begin(home)
                 self.shelves(listed)
                 self.told.clear()
-                self.policy.lent.clear()
+                self.scheduler.lent.clear()
                 for n in range(20):
-                    self.policy.peer_told((home + 1 + n) % 60, f"ask 1 {n} 2 12.9")
+                    self.scheduler.peer_told((home + 1 + n) % 60, f"ask 1 {n} 2 12.9")
                 self.assertEqual(int(most / 2), len(self.told))
 
     def test_a_home_is_silent_until_an_earlier_lifes_lending_has_passed(self) -> None:
-        home = Policy._home(self.made(), 1)
+        home = Scheduler._home(self.made(), 1)
         self.begin(home)
-        self.policy.born = self.host.now - 3.0
-        self.policy.peer_told((home + 1) % 60, "ask 1 1 2 1.5")
+        self.scheduler.born = self.host.now - 3.0
+        self.scheduler.peer_told((home + 1) % 60, "ask 1 1 2 1.5")
         self.assertFalse(self.told)
 
     def test_few_heads_have_even_parts_and_say_nothing(self) -> None:
@@ -417,14 +428,14 @@
     )
     def test_words_of_any_kind_break_nothing(self, words: str) -> None:
         if not hasattr(self, "policy"):
-            self.begin(Policy._home(self.made(), 1))
-        self.policy.peer_told(5, words)
-        self.policy.batch_ended()
+            self.begin(Scheduler._home(self.made(), 1))
+        self.scheduler.peer_told(5, words)
+        self.scheduler.batch_ended()
         self.assertLessEqual(
-            sum(units for log in self.policy.lent.values() for _, units in log),
-            9.0 * max(1, len(self.policy.lent)) / 0.19,
+            sum(units for log in self.scheduler.lent.values() for _, units in log),
+            9.0 * max(1, len(self.scheduler.lent)) / 0.19,
         )
-        self.policy.lent.clear()
+        self.scheduler.lent.clear()
 
 
 class Carried(unittest.TestCase):
@@ -467,7 +478,7 @@
 
     def test_the_benchs_link_carries_both_ways(self) -> None:
         link = Link()
-        facts = StartFacts(**{**FACTS, "cold": COLD, "heads": 60})
+        facts = SchedulerSettings(**{**FACTS, "cold": COLD, "heads": 60})
         setup = json.loads(json.dumps(setup_of(facts)))
         setup["permissions"]["peerMessages"] = True
         setup["index"] = home = int.from_bytes(blake2b(b"1", digest_size=8).digest()) % 60
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -1,13 +1,15 @@
 """The design's ordinary path: fair slots by augmenting paths."""
 
-from gorsethread.model import Ending, Plan
+from gorsethread.scheduling.model import AttemptOutcome, ServiceTier
 from tests.harness import SLOW, Scene
 
 
 class OrdinaryPath(Scene):
     def begin(self, shelves: int, slots: int, *weights: float, reserve: float = 0.0) -> None:
-        self.start(shelves, plans=tuple(Plan(reserve * i, w, 0.0, 0.0, 4.0) for i, w in enumerate(weights)))
-        for shelf in self.policy.backends.values():
+        self.start(
+            shelves, plans=tuple(ServiceTier(reserve * i, w, 0.0, 0.0, 4.0) for i, w in enumerate(weights))
+        )
+        for shelf in self.scheduler.backends.values():
             shelf.bound = float(slots)
 
     def test_papers_example(self) -> None:
@@ -59,8 +61,11 @@
 
     def test_reserve(self) -> None:
         """At a crowded shelf a volume with a reserve is paced above a plain one of the same weight."""
-        self.start(profiles=(SLOW,), plans=(Plan(0.0, 1.0, 0.0, 0.0, 4.0), Plan(12.0, 1.0, 0.0, 0.0, 4.0)))
-        self.policy.backends[1].bound, self.policy.backends[1].rate = 32.0, 0.25
+        self.start(
+            profiles=(SLOW,),
+            plans=(ServiceTier(0.0, 1.0, 0.0, 0.0, 4.0), ServiceTier(12.0, 1.0, 0.0, 0.0, 4.0)),
+        )
+        self.scheduler.backends[1].bound, self.scheduler.backends[1].rate = 32.0, 0.25
         for id in range(14):
             self.take(id, "plain" if id < 7 else "reserved", plan=id // 7, units=4, within=20.0)
         self.end()
@@ -72,11 +77,11 @@
         self.start()
         for id, (answered, how) in enumerate(
             [
-                (0.1, Ending.SUCCEEDED),
-                (1.0, Ending.SUCCEEDED),
-                (1.5, Ending.TIMED_OUT),
-                (1.6, Ending.SUCCEEDED),
-                (2.6, Ending.TURNED_AWAY),
+                (0.1, AttemptOutcome.SUCCEEDED),
+                (1.0, AttemptOutcome.SUCCEEDED),
+                (1.5, AttemptOutcome.TIMED_OUT),
+                (1.6, AttemptOutcome.SUCCEEDED),
+                (2.6, AttemptOutcome.REJECTED),
             ]
         ):
             self.take(id)
@@ -87,7 +92,7 @@
                 self.end()
             self.until(answered)
             self.answer(id, how, finished=True)
-            self.host.say(f"    paced at {self.policy.backends[1].rate:.1f} usual rates")
+            self.host.say(f"    paced at {self.scheduler.backends[1].rate:.1f} usual rates")
             self.end()
         self.kept("crowded_shelf")
 
--- a/tests/test_platform_clients.py
+++ b/tests/test_platform_clients.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from gorsethread.http1.serving import Request
-from gorsethread.platform.program import Gateway
+from gorsethread.http_gateway.program import Gateway
 from tests.live import Caller, whole, wish
 from tests.live import LiveRig as Rig
 
@@ -66,7 +66,9 @@
             await self.wait(0.05)
             self.assertEqual((1, {}, {}), (head.driver.counts["left"], head.driver.open, head.clients.open))
             self.assertEqual(1, self.shelves[0].ends)
-            self.assertFalse(any(s.out for s in head.driver.policy.backends.values()), "a slot stays taken")
+            self.assertFalse(
+                any(s.out for s in head.driver.scheduler.backends.values()), "a slot stays taken"
+            )
 
         self.play(work)
 
--- a/tests/test_platform_program.py
+++ b/tests/test_platform_program.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from gorsethread.platform.config import Unusable, read_configuration
+from gorsethread.http_gateway.config import Unusable, read_configuration
 from gorsethread.transport.real import free_ports
 from tests.live import SETTINGS, order
 
@@ -44,7 +44,7 @@
     def test_the_program_says_so_in_one_line_and_ends_with_2(self) -> None:
         for env in ({}, {"GW_CONFIG": "/nowhere/config.json"}):
             done = subprocess.run(
-                [sys.executable, "-m", "gorsethread.platform"],
+                [sys.executable, "-m", "gorsethread.http_gateway"],
                 env=env,
                 text=True,
                 capture_output=True,
@@ -54,7 +54,7 @@
 
     def test_the_lean_start_imports_nothing_it_does_not_use(self) -> None:
         code = (
-            "import sys, gorsethread.platform.__main__ as m; print(*sorted(n for n in sys.modules if "
+            "import sys, gorsethread.http_gateway.__main__ as m; print(*sorted(n for n in sys.modules if "
             "n.split('.')[0] in ('typer', 'numpy', 'matplotlib', 'google') or n.startswith(("
             "'gorsethread.nvme', 'gorsethread.queues', 'gorsethread.sitefile', 'gorsethread.accounts', "
             "'gorsethread.lab', 'gorsethread.cli'))))"
@@ -82,7 +82,7 @@
 
 sys.addaudithook(saw)
 PLANTED
-runpy.run_module("gorsethread.platform", run_name="__main__")
+runpy.run_module("gorsethread.http_gateway", run_name="__main__")
 """
 
 
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -6,10 +6,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gorsethread.model import Backend, StartFacts, Volume
-from gorsethread.policy import Policy
 from gorsethread.scheduling import rendezvous_ranking
+from gorsethread.scheduling.model import Backend, SchedulerSettings, Volume
 from gorsethread.scheduling.rendezvous_ranking import RendezvousRanking
+from gorsethread.scheduling.scheduler import Scheduler
 from tests.harness import FACTS, OPEN_PLAN, PrintingHost
 
 SHARDS = 6
@@ -25,25 +25,25 @@
 HASHES_MOST = 3 * LARGE.bit_length()  # for two backends put in their places among that many
 
 
-def policy() -> Policy:
-    return Policy(PrintingHost(), StartFacts(**FACTS), 7)
+def scheduler() -> Scheduler:
+    return Scheduler(PrintingHost(), SchedulerSettings(**FACTS), 7)
 
 
 def volume(name: str) -> Volume:
     return Volume(f"0/{name}", OPEN_PLAN, 0.0, 1, 0.0, PrintingHost().now)  # in use, so not forgotten
 
 
-def ranked_anew(told: Policy, name: str) -> list[Backend]:
+def ranked_anew(told: Scheduler, name: str) -> list[Backend]:
     return RendezvousRanking(told.held_by).of(name)
 
 
-def assigned_anew(told: Policy) -> dict[int, Backend]:
+def assigned_anew(told: Scheduler) -> dict[int, Backend]:
     """By shard, of all backends known: the ready one before one that drains, then the newest."""
     usable = [s for s in told.backends.values() if s.ready or s.last_send > told.now]
     return {s.shard: s for s in sorted(usable, key=lambda s: (s.ready, s.since, s.id))}
 
 
-def tell(told: Policy, entries: list[tuple[int, int, bool]], whole: bool) -> None:
+def tell(told: Scheduler, entries: list[tuple[int, int, bool]], whole: bool) -> None:
     told.list_begins(whole, False)
     for id, shard, ready in entries:
         told.backend_listed(id, 0, shard, ready, 0.0)
@@ -55,7 +55,7 @@
 def test_after_any_lists_it_is_as_ranked_anew(
     lists: list[tuple[list[tuple[int, int, bool]], bool]], time_passes: bool
 ) -> None:
-    told, one = policy(), volume("a")
+    told, one = scheduler(), volume("a")
     told.volumes[one.id] = one
     for entries, whole in lists:
         tell(told, entries, whole)
@@ -67,7 +67,7 @@
 
 
 def test_a_change_of_one_backend_ranks_none_of_the_others_again() -> None:
-    told = policy()
+    told = scheduler()
     tell(told, [(n, n, True) for n in range(LARGE)], True)
     volumes = [volume(f"v{n}") for n in range(VOLUMES)]
     for one in volumes:
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -13,12 +13,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from gorsethread.durable_log.disk import AGAIN_LEAST, AGAIN_MOST, PATIENCE, PENDING_MOST, Disk, State
+from gorsethread.durable_log.frames import Begin, Segment, Unusable, begun, framed, read, seed_of
+from gorsethread.durable_log.kinds import Freed, Placed, Record, Table
+from gorsethread.durable_log.recovery import NotItsOwn, name_of, place_of, recover
+from gorsethread.durable_log.store import InUse, Store
 from gorsethread.faults.world import Silent
-from gorsethread.records.disk import AGAIN_LEAST, AGAIN_MOST, PATIENCE, PENDING_MOST, Disk, State
-from gorsethread.records.frames import Begin, Segment, Unusable, begun, framed, read, seed_of
-from gorsethread.records.kinds import Freed, Placed, Record, Table
-from gorsethread.records.recovery import NotItsOwn, name_of, place_of, recover
-from gorsethread.records.store import InUse, Store
 from gorsethread.transport.real import RealTransport
 from gorsethread.transport.virtual import Disk as Files
 from gorsethread.transport.virtual import Network, VirtualLoop, VirtualTransport
@@ -213,7 +213,7 @@
     def setUp(self) -> None:
         self.loop = VirtualLoop()
         self.addCleanup(self.loop.close)
-        small = mock.patch("gorsethread.records.store.GROWS", 1 << 15)  # so that segments change often
+        small = mock.patch("gorsethread.durable_log.store.GROWS", 1 << 15)  # so that segments change often
         small.start()
         self.addCleanup(small.stop)
         self.files = Files()
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -8,10 +8,10 @@
 from hypothesis import strategies as st
 from minicheck import Protocol, check_safety
 
-from gorsethread.records.copying import CHUNK, Keeping, Sender
-from gorsethread.records.holders import Place, holders
-from gorsethread.records.kinds import NONE, Freed, Placed, Record, Table
-from gorsethread.returning.stages import ASK_MOST, TRUST, Return, Stage, due
+from gorsethread.durable_log.copying import CHUNK, Keeping, Sender
+from gorsethread.durable_log.holders import Place, holders
+from gorsethread.durable_log.kinds import NONE, Freed, Placed, Record, Table
+from gorsethread.recovery.stages import ASK_MOST, TRUST, Return, Stage, due
 
 OTHERS = frozenset({1, 2, 3})
 LAST = (7, 40)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,10 +1,18 @@
 """Each rule kept by one head alone. Without its guard, each of these traces changes."""
 
-from gorsethread.model import ColdRule, Effect, Ending, ForwardBudget, Group, Plan, Profile
+from gorsethread.scheduling.model import (
+    AttemptOutcome,
+    Effect,
+    IdempotencyScope,
+    RequestClass,
+    RetryBudget,
+    ServiceTier,
+    SlowStartRule,
+)
 from tests.harness import PLAIN, SLOW, Scene
 
-ONCE = Profile(0.3, Effect.IRREVERSIBLE, Group.ALL, 5.0, True, 1.0)
-MARKED = Profile(0.3, Effect.LABELLED, Group.SHARD, 1.0, False, 1.0)
+ONCE = RequestClass(0.3, Effect.NON_IDEMPOTENT, IdempotencyScope.ALL, 5.0, True, 1.0)
+MARKED = RequestClass(0.3, Effect.KEYED, IdempotencyScope.SHARD, 1.0, False, 1.0)
 
 
 class Rules(Scene):
@@ -15,7 +23,7 @@
         self.take(2, within=0.5)
         self.end()
         self.until(0.5)
-        self.answer(2, Ending.TIMED_OUT)
+        self.answer(2, AttemptOutcome.TIMED_OUT)
         self.end()
         self.until(3.0)
         self.kept("one_final_answer")
@@ -36,13 +44,13 @@
         self.take(3, profile=2, shard=-1)
         self.take(4, profile=1)
         self.end()
-        self.answer(4, Ending.UNREACHED)
+        self.answer(4, AttemptOutcome.UNREACHABLE)
         for id in (1, 2, 3):
-            self.answer(id, Ending.ERROR)
-        self.policy.backends[3].first_send = 100.9
+            self.answer(id, AttemptOutcome.ERROR)
+        self.scheduler.backends[3].first_send = 100.9
         self.end()
         self.until(1.0)
-        self.answer(3, Ending.ERROR, 1)
+        self.answer(3, AttemptOutcome.ERROR, 1)
         self.until(2.5)
         self.kept("effects")
 
@@ -53,7 +61,7 @@
                 self.take(1)
                 self.end()
                 self.host.now = 100.0 + at
-                self.answer(1, Ending.BROKEN)
+                self.answer(1, AttemptOutcome.CONNECTION_LOST)
                 self.end()
                 self.assertEqual(again, (1, 1) in self.host.sent)
 
@@ -62,22 +70,22 @@
         self.take(1)
         self.take(2, profile=1, volume="b")
         self.end()
-        self.assertTrue(self.policy.may_begin(2, 1, 100.0, 101.5), "a first attempt has no window")
+        self.assertTrue(self.scheduler.may_begin(2, 1, 100.0, 101.5), "a first attempt has no window")
         self.host.now = 100.5
-        self.answer(1, Ending.BROKEN)
+        self.answer(1, AttemptOutcome.CONNECTION_LOST)
         self.end()
-        self.assertTrue(self.policy.may_begin(1, 1, 100.5, 100.999))
-        self.assertFalse(self.policy.may_begin(1, 1, 100.5, 101.0))
+        self.assertTrue(self.scheduler.may_begin(1, 1, 100.5, 100.999))
+        self.assertFalse(self.scheduler.may_begin(1, 1, 100.5, 101.0))
 
     def test_in_slow_start_an_attempt_older_than_a_lease_holds_does_not_begin(self) -> None:
         self.start()
         self.take(1)
         self.end()
-        late = 100.0 + self.policy.lent_for + 0.01
-        self.assertTrue(self.policy.may_begin(1, 1, 100.0, late), "a warm backend")
-        self.policy.backends[1].since = 99.0
-        self.assertTrue(self.policy.may_begin(1, 1, 100.0, late - 0.02))
-        self.assertFalse(self.policy.may_begin(1, 1, 100.0, late))
+        late = 100.0 + self.scheduler.lent_for + 0.01
+        self.assertTrue(self.scheduler.may_begin(1, 1, 100.0, late), "a warm backend")
+        self.scheduler.backends[1].since = 99.0
+        self.assertTrue(self.scheduler.may_begin(1, 1, 100.0, late - 0.02))
+        self.assertFalse(self.scheduler.may_begin(1, 1, 100.0, late))
 
     def test_drain(self) -> None:
         """A shelf told to drain, then gone, then replaced by another that holds the same shard."""
@@ -89,9 +97,9 @@
         self.until(0.8)
         self.take(4, shard=1)  # past its part of the grace: waits for another shelf
         self.end()
-        self.policy.list_begins(True, False)
-        self.policy.backend_listed(7, 0, 1, True, 0.0)
-        self.policy.list_ended()
+        self.scheduler.list_begins(True, False)
+        self.scheduler.backend_listed(7, 0, 1, True, 0.0)
+        self.scheduler.list_ended()
         self.take(3, shard=2)
         self.end()
         self.kept("drain")
@@ -110,7 +118,7 @@
                     self.end()
                     if (id, 0) in self.host.sent:
                         last = self.host.now
-                        self.answer(id, Ending.SUCCEEDED)
+                        self.answer(id, AttemptOutcome.SUCCEEDED)
                     self.host.now += 0.02
                 self.assertLessEqual(last + held_up, told_at + max(grace, 2 * held_up) + slack)
 
@@ -144,13 +152,13 @@
         self.shelves({1: 0.0}, ready=False, whole=False)
         self.take(1)
         self.end()
-        self.answer(1, Ending.NOT_SENT)
+        self.answer(1, AttemptOutcome.NOT_SENT)
         self.end()
         self.until(0.1)
         self.shelves({7: 0.0}, whole=False)
-        self.policy.list_begins(False, False)
-        self.policy.backend_listed(7, 0, 1, True, 0.0)
-        self.policy.list_ended()
+        self.scheduler.list_begins(False, False)
+        self.scheduler.backend_listed(7, 0, 1, True, 0.0)
+        self.scheduler.list_ended()
         self.end()
         self.kept("gone_without_a_drain")
 
@@ -171,7 +179,7 @@
         for id in (3, 4):
             self.answer(id)
         self.until(1.9)
-        self.answer(1, Ending.TIMED_OUT)
+        self.answer(1, AttemptOutcome.TIMED_OUT)
         self.health()
         for id in (5, 6):
             self.take(id)
@@ -186,7 +194,7 @@
             self.take(int(at * 10), within=9.0)
             self.end()
         self.until(2.0)
-        self.answer(0, Ending.TIMED_OUT)
+        self.answer(0, AttemptOutcome.TIMED_OUT)
         self.health()
         self.kept("silent_shelf")
 
@@ -207,13 +215,13 @@
         self.health()
         for id, how in enumerate(
             (
-                Ending.BROKEN,
-                Ending.CANCELLED,
-                Ending.BROKEN,
-                Ending.NOT_SENT,
-                Ending.BROKEN,
-                Ending.BROKEN,
-                Ending.UNREACHED,
+                AttemptOutcome.CONNECTION_LOST,
+                AttemptOutcome.CANCELLED,
+                AttemptOutcome.CONNECTION_LOST,
+                AttemptOutcome.NOT_SENT,
+                AttemptOutcome.CONNECTION_LOST,
+                AttemptOutcome.CONNECTION_LOST,
+                AttemptOutcome.UNREACHABLE,
             ),
             20,
         ):
@@ -267,7 +275,7 @@
 
     def test_shelf_that_is_hardly_cold(self) -> None:
         """It lacks a tenth of its speed for a second: the wait and the first rate are in that measure."""
-        self.start(cold=ColdRule(80.0, 3.0, 1.0, 0.9))
+        self.start(cold=SlowStartRule(80.0, 3.0, 1.0, 0.9))
         self.until(5.0)
         self.shelves({1: 5.0})
         self.take(1)
@@ -286,7 +294,7 @@
         self.answer(1)
         self.end()
         self.until(0.1)
-        self.answer(2, Ending.TIMED_OUT)
+        self.answer(2, AttemptOutcome.TIMED_OUT)
         self.answer(4)
         self.end()
         self.until(0.7)
@@ -294,18 +302,18 @@
 
     def test_budget(self) -> None:
         """One further forward free and a quarter of what was taken: two of four."""
-        self.start(4, budget=ForwardBudget(1.0, 0.25, 10.0))
+        self.start(4, budget=RetryBudget(1.0, 0.25, 10.0))
         for id in (1, 2, 3, 4):
             self.take(id, shard=id)
         self.end()
         for id in (1, 2, 3, 4):
-            self.answer(id, Ending.ERROR)
+            self.answer(id, AttemptOutcome.ERROR)
         self.end()
         self.kept("budget")
 
     def test_limit(self) -> None:
         """Half of 8 units a second and of 32 at once for one of two heads; empty at the start."""
-        self.start(profiles=(SLOW,), plans=(Plan(0.0, 1.0, 8.0, 32.0, 4.0),))
+        self.start(profiles=(SLOW,), plans=(ServiceTier(0.0, 1.0, 8.0, 32.0, 4.0),))
         self.until(1.0)
         for id in range(4):
             self.take(id, units=4, heads=2, within=5.0)
@@ -317,7 +325,7 @@
         """Refused calls are asked again after growing waits."""
         self.start(list_on_request=True)
         for at in (1.0, 3.0, 7.0):
-            self.policy.list_refused()
+            self.scheduler.list_refused()
             self.end()
             self.until(at)
         self.kept("list_asked_for")
--- a/tests/test_same_decisions.py
+++ b/tests/test_same_decisions.py
@@ -7,18 +7,18 @@
 from typing import Any
 
 from gorsethread.accounts.lives import Accounts
-from gorsethread.benchlink.__main__ import ENDINGS, Link
-from gorsethread.head.carrying import NOTHING, Attempt, Told
-from gorsethread.head.driver import Driver
+from gorsethread.gateway.carrying import NOTHING, Attempt, Told
+from gorsethread.gateway.driver import Driver
+from gorsethread.gateway.held_reasons import why_held
+from gorsethread.gateway.startfacts import EFFECTS, GROUPS
 from gorsethread.head.facts import start_facts
 from gorsethread.head.links import Order
 from gorsethread.head.placement import SitePlacement
-from gorsethread.held_reasons import why_held
 from gorsethread.logs import log_for, start_logs
-from gorsethread.model import Ending, StartFacts
 from gorsethread.nvme.command import Opcode, io_command
+from gorsethread.scheduling.model import AttemptOutcome, SchedulerSettings
+from gorsethread.simulator_adapter.__main__ import ENDINGS, Link
 from gorsethread.sitefile.reading import parse_site
-from gorsethread.startfacts import EFFECTS, GROUPS
 from tests.rig import SITE
 from tests.virtual import Clockwork
 
@@ -48,7 +48,7 @@
     return next(word for word, known in table.items() if known is value)
 
 
-def setup_of(facts: StartFacts) -> dict[str, Any]:
+def setup_of(facts: SchedulerSettings) -> dict[str, Any]:
     """The bench's start-up message for the same facts."""
     return {
         "balancers": facts.heads,
@@ -168,7 +168,7 @@
                 self.assertEqual(decided, self.through_bench(told, seed))
 
     def test_with_and_without_accounts(self) -> None:
-        """Asking the policy why it holds something changes nothing it decides."""
+        """Asking the scheduler why it holds something changes nothing it decides."""
         for seed in range(3):
             with self.subTest(seed=seed):
                 self.asked = 0
@@ -177,11 +177,11 @@
 
     def ask_all(self, driver: Driver) -> None:
         for id in driver.open:
-            why_held(driver.policy, id)
+            why_held(driver.scheduler, id)
             self.asked += 1
 
     def play(self, seed: int, accounts: bool = False) -> tuple[list[tuple[Any, ...]], list[tuple[Any, ...]]]:
-        """A made-up day through the driver alone: what it told the policy, and what that decided."""
+        """A made-up day through the driver alone: what it told the scheduler, and what that decided."""
         start_logs(False, "critical")
         chance = random.Random(seed)
         clock = Clockwork()
@@ -215,8 +215,13 @@
                     if not f.over:
                         f.over = True
                         how = chance.choice(
-                            [Ending.SUCCEEDED] * 6
-                            + [Ending.ERROR, Ending.TURNED_AWAY, Ending.BROKEN, Ending.UNREACHED]
+                            [AttemptOutcome.SUCCEEDED] * 6
+                            + [
+                                AttemptOutcome.ERROR,
+                                AttemptOutcome.REJECTED,
+                                AttemptOutcome.CONNECTION_LOST,
+                                AttemptOutcome.UNREACHABLE,
+                            ]
                         )
                         told_too = Told(elsewhere=chance.randrange(3)) if chance.random() < 0.5 else NOTHING
                         driver._ended(f, how, told_too)
--- a/tests/test_spacing.py
+++ b/tests/test_spacing.py
@@ -13,7 +13,7 @@
 
 from gorsethread.cli.main import app
 from gorsethread.lab.returning import full_after, in_world, most_in_a_second, script_of, shown
-from gorsethread.returning.spacing import BEHIND_MOST, CALLS, CALLS_MOST, Asks, Opens, returns_after
+from gorsethread.recovery.spacing import BEHIND_MOST, CALLS, CALLS_MOST, Asks, Opens, returns_after
 from gorsethread.sitefile.reading import BadSite, parse_site, read_site
 
 PATH = Path(__file__).parent.parent / "deploy" / "site.txtpb"
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -6,8 +6,8 @@
 from itertools import product
 from typing import Any
 
-from gorsethread.model import ColdRule, StartFacts
-from gorsethread.policy import Policy
+from gorsethread.scheduling.model import SchedulerSettings, SlowStartRule
+from gorsethread.scheduling.scheduler import Scheduler
 from tests.harness import FACTS, PrintingHost
 from tests.live import SETTINGS, Caller, LiveRig, instance, wish
 
@@ -95,10 +95,10 @@
             await self.wait(2.5)
             self.list.down = True
             await self.wait(14.0)
-            self.assertGreater(head.driver.policy.list_waits, 2)
+            self.assertGreater(head.driver.scheduler.list_waits, 2)
             self.list.down = False
             await self.wait(14.0)
-            self.assertEqual(0, head.driver.policy.list_waits)
+            self.assertEqual(0, head.driver.scheduler.list_waits)
             self.list.silence()
             began = self.user.now()
             self.list.tell(instance(0, "draining"))
@@ -192,25 +192,25 @@
         asked = []
         for n in range(heads):
             host = PrintingHost()
-            facts = StartFacts(
+            facts = SchedulerSettings(
                 **{
                     **FACTS,
                     "heads": heads,
                     "list_on_request": True,
                     "ask_within": 10.0,
-                    "cold": ColdRule(8.0, 2.0, 10.0, 0.25),
+                    "cold": SlowStartRule(8.0, 2.0, 10.0, 0.25),
                 }
             )
-            policy = Policy(host, facts, 77 + n)
+            scheduler = Scheduler(host, facts, 77 + n)
             for _ in range(refused):
-                policy.list_refused()
-            policy.batch_ended()
+                scheduler.list_refused()
+            scheduler.batch_ended()
             while len(host.trace) == 1:
                 wake = min(host.wakes)
                 host.wakes.remove(wake)
                 host.now = max(host.now, wake[0])
-                policy.woken(wake[1])
-                policy.batch_ended()
+                scheduler.woken(wake[1])
+                scheduler.batch_ended()
             asked.append(host.now - 100.0)
         return asked
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -14,9 +14,9 @@
 
 from gorsethread.accounts import snapshot_pb2
 from gorsethread.accounts.snapshots import FRAME, decode, encode
+from gorsethread.durable_log.recovery import recover
+from gorsethread.durable_log.store import Store, files_of
 from gorsethread.logs import log_for
-from gorsethread.records.recovery import recover
-from gorsethread.records.store import Store, files_of
 from gorsethread.sitefile.reading import read_site
 from gorsethread.transport.real import RealTransport
 
