--- a/gorsethread/accounts/snapshots.py
+++ b/gorsethread/accounts/snapshots.py
@@ -10,7 +10,7 @@
 from gorsethread.accounts.sketch import Sketch
 from gorsethread.accounts.stages import STAGES
 from gorsethread.accounts.window import Blamed, Row, ShelfRow, Span, Window
-from gorsethread.errors import Trouble
+from gorsethread.errors import GorsethreadError
 from gorsethread.scheduling.model import RequestOutcome
 
 MAGIC = b"GTACC"
@@ -19,7 +19,7 @@
 SUFFIX = ".acc"
 
 
-class BadSnapshot(Trouble):
+class BadSnapshot(GorsethreadError):
     """Why a snapshot is refused."""
 
     action = "Leave that file out or fetch it again from its head; the other snapshots count without it."
--- a/gorsethread/cli/branch.py
+++ b/gorsethread/cli/branch.py
@@ -7,7 +7,7 @@
 from rich.table import Table
 
 from gorsethread.cli.options import SitePath, site_at, tell, write_json
-from gorsethread.errors import Trouble
+from gorsethread.errors import GorsethreadError
 from gorsethread.head.peers import fleet_of
 from gorsethread.lab.asking import NoAnswer, ask_branch
 from gorsethread.sitefile.reading import split_address
@@ -19,13 +19,13 @@
 Json = Annotated[str, typer.Option("--json", help="Write it here; - for standard output.")]
 
 
-class NotDone(Trouble):
+class NotDone(GorsethreadError):
     """The head did not do what it was asked; the text says why."""
 
     action = "Look at 'gorsethread branch parked' for what waits now, and name one of these numbers."
 
 
-class NoBranch(Trouble):
+class NoBranch(GorsethreadError):
     """The site file has no such head, or it is in no branch."""
 
     action = "Name a head that stands in a branch of this site file."
--- a/gorsethread/cli/fleet.py
+++ b/gorsethread/cli/fleet.py
@@ -14,7 +14,7 @@
 from gorsethread.head.peers import fleet_of
 from gorsethread.lab.asking import NoAnswer, Shown, ask, ask_past
 from gorsethread.logs import log_for, start_logs
-from gorsethread.membership.words import Address, State, Word
+from gorsethread.membership.gossip_messages import Address, State, Word
 from gorsethread.sitefile.reading import BadSite, read_site, split_address
 from gorsethread.transport.real import RealTransport, run
 
--- a/gorsethread/cli/main.py
+++ b/gorsethread/cli/main.py
@@ -16,7 +16,7 @@
 
 from gorsethread.cli import accounts, branch, faults, fleet, lab, records
 from gorsethread.cli.options import SitePath, site_at, write_json
-from gorsethread.errors import Trouble
+from gorsethread.errors import GorsethreadError
 from gorsethread.faults.planted import plant as plant_break
 from gorsethread.head.program import Head
 from gorsethread.lab import bench as benches
@@ -83,7 +83,7 @@
     except OSError as error:
         log.error("can't serve", reason=str(error))
         raise typer.Exit(2) from None
-    except Trouble as trouble:
+    except GorsethreadError as trouble:
         log.error("can't serve", reason=str(trouble), to_do=trouble.action)
         raise typer.Exit(2) from None
 
--- a/gorsethread/cli/options.py
+++ b/gorsethread/cli/options.py
@@ -7,14 +7,14 @@
 
 import typer
 
-from gorsethread.errors import Trouble
+from gorsethread.errors import GorsethreadError
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.sitefile.reading import BadSite, read_site
 
 SitePath = Annotated[Path, typer.Option("--site", help="The site file (protobuf text format).")]
 
 
-def tell(trouble: Trouble, place: str = "") -> None:
+def tell(trouble: GorsethreadError, place: str = "") -> None:
     """On standard error: each fault, and what can be done."""
     for line in trouble.lines:
         typer.echo(f"{place}: {line}" if place else line, err=True)
--- a/gorsethread/cli/records.py
+++ b/gorsethread/cli/records.py
@@ -11,14 +11,14 @@
 
 from gorsethread.cli.options import tell, write_json
 from gorsethread.durable_log.recovery import ACCEPTED, Recovered, place_of, recover
-from gorsethread.errors import Trouble
+from gorsethread.errors import GorsethreadError
 
 app = typer.Typer(name="records", no_args_is_help=True, help="What a folder of records holds.")
 Folder = Annotated[Path, typer.Argument(help="The folder given to a head by --records.")]
 Json = Annotated[str, typer.Option("--json", help="Write it here; - for standard output.")]
 
 
-class NoRecords(Trouble):
+class NoRecords(GorsethreadError):
     """There is no folder, or nothing of a head's records in it."""
 
     action = "Name the folder that the head was given by --records."
@@ -71,7 +71,7 @@
 def _each(folder: Path) -> list[dict[str, Any]]:
     try:
         return [_shown(folder, store) for store in _stores(folder)]
-    except Trouble as trouble:
+    except GorsethreadError as trouble:
         tell(trouble)
         raise typer.Exit(2) from None
     except OSError as error:
@@ -147,7 +147,7 @@
                         }
                     )
                 )
-    except Trouble as trouble:
+    except GorsethreadError as trouble:
         tell(trouble)
         raise typer.Exit(2) from None
     text = b"".join(line + b"\n" for line in lines).decode()
--- a/gorsethread/debts/accounts.py
+++ b/gorsethread/debts/accounts.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from gorsethread.errors import Trouble
+from gorsethread.errors import GorsethreadError
 
 PARTNERS_MOST = 64
 ROWS_MOST = 1 << 16  # a head keeps one life's counters as long as its records last, so few lives come to be
@@ -45,7 +45,7 @@
         return self[:5]
 
 
-class NoRows(Trouble):
+class NoRows(GorsethreadError):
     """Bytes that are no rows of accounts."""
 
     action = "See that all partners' heads run one version; their accounts are told again by themselves."
--- a/gorsethread/debts/netting.py
+++ b/gorsethread/debts/netting.py
@@ -5,12 +5,12 @@
 
 from collections.abc import Mapping
 
-from gorsethread.errors import Trouble
+from gorsethread.errors import GorsethreadError
 
 Pays = dict[tuple[int, int], int]  # debtor and creditor to units
 
 
-class NotEven(Trouble):
+class NotEven(GorsethreadError):
     """Balances that do not add up to 0 are no merged accounts'."""
 
     action = "This is a defect of the program: keep the heads' records and report it; nothing was settled."
--- a/gorsethread/durable_log/kinds.py
+++ b/gorsethread/durable_log/records.py
@@ -11,16 +11,16 @@
 
 import msgspec
 
-Number = tuple[int, int]  # life, place: as a head counts them
+SequenceNumber = tuple[int, int]  # life, place: as a head counts them
 Thing = tuple[int, ...]
-NONE: Number = (0, 0)
+NO_SEQUENCE: SequenceNumber = (0, 0)
 RECENT_MOST = 4096  # records by which after() is cheap for who is hardly behind
 RECENT_BYTES = 1 << 21  # of these, at most twice
 PLAIN = 64  # bytes that a record takes beside its data, at most
 QUEUED, STEP, DISCARDED, EFFECT = -1, -2, -3, -4  # what a thing is, where it is no extent
 
 
-class Placed(msgspec.Struct, frozen=True, tag="placed", array_like=True):
+class ExtentPlaced(msgspec.Struct, frozen=True, tag="placed", array_like=True):
     """A first write of this extent may have gone to this shard: it belongs there from now on."""
 
     volume: int
@@ -32,7 +32,7 @@
         return self.volume, self.extent
 
 
-class Freed(msgspec.Struct, frozen=True, tag="freed", array_like=True):
+class ExtentReleased(msgspec.Struct, frozen=True, tag="freed", array_like=True):
     """Its first write is known not to have run: it belongs nowhere again."""
 
     volume: int
@@ -43,7 +43,7 @@
         return self.volume, self.extent
 
 
-class Queued(msgspec.Struct, frozen=True, tag="queued", array_like=True):
+class WriteQueued(msgspec.Struct, frozen=True, tag="queued", array_like=True):
     """A branch's write that was accepted: life and place are its number there. host: whose; at: seconds of
     the wall clock; own and others: numbers (branch, life, place) that come first; base: what its blocks held
     as the branch last saw them, 0 where it did not."""
@@ -70,7 +70,7 @@
         return QUEUED, self.life, self.place
 
 
-class Step(msgspec.Struct, frozen=True, tag="step", array_like=True):
+class WriteProgress(msgspec.Struct, frozen=True, tag="step", array_like=True):
     """How far a queued write has come. suspects: heads of the main site that may have run it; anyway: a
     person said that it is to be applied whatever is known."""
 
@@ -86,7 +86,7 @@
         return STEP, self.life, self.place
 
 
-class Discarded(msgspec.Struct, frozen=True, tag="discarded", array_like=True):
+class WriteDiscarded(msgspec.Struct, frozen=True, tag="discarded", array_like=True):
     """A person gave up a parked write."""
 
     life: int
@@ -101,7 +101,7 @@
         return DISCARDED, self.life, self.place
 
 
-class Effect(msgspec.Struct, frozen=True, tag="effect", array_like=True):
+class WriteApplied(msgspec.Struct, frozen=True, tag="effect", array_like=True):
     """At the main site: a branch's write may have run, or has."""
 
     branch: int
@@ -114,7 +114,7 @@
         return EFFECT, self.branch, self.life, self.place
 
 
-class Gone(msgspec.Struct, frozen=True, tag="gone", array_like=True):
+class Tombstone(msgspec.Struct, frozen=True, tag="gone", array_like=True):
     """Nothing is said of that thing any more."""
 
     what: list[int]
@@ -124,17 +124,17 @@
         return tuple(self.what)
 
 
-Fact = Placed | Freed | Queued | Step | Discarded | Effect | Gone
-GONE: tuple[type, ...] = (Freed, Gone)  # stay until nothing earlier can come any more
+Fact = ExtentPlaced | ExtentReleased | WriteQueued | WriteProgress | WriteDiscarded | WriteApplied | Tombstone
+GONE: tuple[type, ...] = (ExtentReleased, Tombstone)  # stay until nothing earlier can come any more
 
 
 def size_of(fact: Fact) -> int:
     """Bytes that it takes, about."""
-    return PLAIN + (len(fact.data) if isinstance(fact, Queued) else 0)
+    return PLAIN + (len(fact.data) if isinstance(fact, WriteQueued) else 0)
 
 
 class Record(NamedTuple):
-    number: Number
+    number: SequenceNumber
     fact: Fact
 
 
@@ -153,18 +153,18 @@
         yield piece
 
 
-class Table:
+class RecordTable:
     """The latest record of each thing. What is freed stays as a word, since an earlier one that comes late
     must not win; `compact()` takes these out, once nothing earlier can come any more. Bounded by the extents
     that the site's volumes have, and by what branches may queue."""
 
     def __init__(self, records: Iterable[Record] = ()) -> None:
         self.records: dict[Thing, Record] = {}
-        self.last: Number = NONE  # the highest number met, of any thing
+        self.last: SequenceNumber = NO_SEQUENCE  # the highest number met, of any thing
         # In order, all that came after _recent_from; cut at twice RECENT_MOST and RECENT_BYTES.
         self._recent: list[Record] = []
         self._recent_bytes = 0
-        self._recent_from: Number = NONE
+        self._recent_from: SequenceNumber = NO_SEQUENCE
         for record in records:
             self.take(record)
 
@@ -193,7 +193,7 @@
         del self._recent[:half]
         self._recent_bytes = sum(size_of(r.fact) for r in self._recent)
 
-    def merge(self, other: "Table") -> None:
+    def merge(self, other: "RecordTable") -> None:
         for record in other.records.values():
             self.take(record)
         if other.last > self.last:
@@ -201,9 +201,9 @@
 
     def placed(self) -> dict[tuple[int, int], int]:
         """The shard of each extent that has one."""
-        return {r.fact.thing: r.fact.shard for r in self.records.values() if isinstance(r.fact, Placed)}
+        return {r.fact.thing: r.fact.shard for r in self.records.values() if isinstance(r.fact, ExtentPlaced)}
 
-    def after(self, number: Number) -> list[Record]:
+    def after(self, number: SequenceNumber) -> list[Record]:
         """All later ones that hold, in their order, and perhaps some that were replaced since."""
         if number >= self._recent_from:
             return self._recent[bisect_right(self._recent, number, key=lambda r: r.number) :]
@@ -213,9 +213,9 @@
         """All that holds, in its order."""
         return sorted(self.records.values())
 
-    def compact(self) -> Number:
+    def compact(self) -> SequenceNumber:
         """The highest number of a word that went."""
-        went = NONE
+        went = NO_SEQUENCE
         for thing, r in list(self.records.items()):
             if isinstance(r.fact, GONE):
                 went = max(went, r.number)
--- a/gorsethread/durable_log/recovery.py
+++ b/gorsethread/durable_log/recovery.py
@@ -8,8 +8,8 @@
 
 from dataclasses import dataclass, field
 
-from gorsethread.durable_log.frames import Segment, Unusable, read
-from gorsethread.durable_log.kinds import Table
+from gorsethread.durable_log.records import RecordTable
+from gorsethread.durable_log.segments import Segment, Unusable, read
 
 SUFFIX = ".seg"
 LOCK = "lock"
@@ -42,7 +42,7 @@
     """whole: nothing that this folder held is known to be lost. empty: there was nothing in it. faults: a
     line each, for people. highest: life and segment of the newest file, also of one that can't be read."""
 
-    table: Table = field(default_factory=Table)
+    table: RecordTable = field(default_factory=RecordTable)
     whole: bool = True
     empty: bool = True
     highest: tuple[int, int] = (0, 0)
@@ -74,7 +74,7 @@
         if s is None:
             continue
         r.table.merge(
-            Table(
+            RecordTable(
                 x
                 for x in s.records
                 if n == 0
--- a/gorsethread/durable_log/copying.py
+++ b/gorsethread/durable_log/replication.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from gorsethread.durable_log.kinds import NONE, Number, Record, Table, pieces
+from gorsethread.durable_log.records import NO_SEQUENCE, Record, RecordTable, SequenceNumber, pieces
 
 CHUNK = 256  # records of one message
 CHUNK_BYTES = 1 << 18  # and about as many bytes, but one record at least
@@ -23,8 +23,8 @@
 class Holder:
     """One other head, as the sender knows it. mark: up to here it has all that holds; None: not told yet."""
 
-    mark: Number | None = None
-    sent: Number = NONE
+    mark: SequenceNumber | None = None
+    sent: SequenceNumber = NO_SEQUENCE
     out: bool = False  # a piece is on its way
     whole: bool = False  # the next piece begins everything anew
     behind: bool = False  # the last piece was not all there was
@@ -37,11 +37,11 @@
 
     begins: bool
     records: list[Record]
-    last: Number
+    last: SequenceNumber
     more: bool = False
 
 
-class Sender:
+class ReplicationSender:
     """held_by: how many holders must have a promise."""
 
     def __init__(self, held_by: int) -> None:
@@ -55,19 +55,19 @@
         fresh = [n for n in names if n not in self.holders]
         for n in fresh:
             self.holders[n] = Holder()
-        rest = [self.holders[n].mark or NONE for n in names]
+        rest = [self.holders[n].mark or NO_SEQUENCE for n in names]
         old = [n for n in self.holders if n not in names]
-        gone = [n for n in old if all(mark >= (self.holders[n].mark or NONE) for mark in rest)]
+        gone = [n for n in old if all(mark >= (self.holders[n].mark or NO_SEQUENCE) for mark in rest)]
         for n in gone:
             del self.holders[n]
         return fresh, gone
 
-    def met(self, name: int, has: Number, forgot: Number) -> None:
+    def met(self, name: int, has: SequenceNumber, forgot: SequenceNumber) -> None:
         """A way to it stands, and it said up to where it has this head's records. forgot: words up to here
         are gone."""
         h = self.holders.get(name)
         if h is not None:
-            h.mark = has if has >= forgot else NONE
+            h.mark = has if has >= forgot else NO_SEQUENCE
             h.sent, h.out, h.whole = h.mark, False, has < forgot
 
     def lost(self, name: int) -> None:
@@ -75,13 +75,13 @@
         if (h := self.holders.get(name)) is not None:
             h.mark, h.out = None, False
 
-    def piece(self, name: int, table: Table, last: Number) -> Piece | None:
+    def piece(self, name: int, table: RecordTable, last: SequenceNumber) -> Piece | None:
         """What goes to it next; None: nothing now. last: up to here the table has all that holds."""
         h = self.holders.get(name)
         if h is None or h.mark is None or h.out or h.sent >= last and not h.whole:
             return None
         if h.whole:
-            h.sent = NONE
+            h.sent = NO_SEQUENCE
         later = [r for r in table.after(h.sent) if r.number <= last]
         now = next(pieces(later, CHUNK, CHUNK_BYTES), [])
         rest = len(later) > len(now)
@@ -89,7 +89,7 @@
         h.sent, h.out, h.whole, h.behind = piece.last, True, False, rest
         return piece
 
-    def has(self, name: int, last: Number) -> bool:
+    def has(self, name: int, last: SequenceNumber) -> bool:
         """It has all up to there on its disk; whether more that is not new is to go to it."""
         h = self.holders.get(name)
         if h is not None and h.mark is not None:
@@ -103,12 +103,12 @@
             h.whole = h.mark is not None
 
     @property
-    def held(self) -> Number:
+    def held(self) -> SequenceNumber:
         """Up to here enough holders have everything; without any needed, all."""
         if self.held_by == 0:
             return (1 << 62, 0)
         marks = sorted((h.mark for h in self.holders.values() if h.mark is not None), reverse=True)
-        return marks[self.held_by - 1] if len(marks) >= self.held_by else NONE
+        return marks[self.held_by - 1] if len(marks) >= self.held_by else NO_SEQUENCE
 
     @property
     def enough(self) -> bool:
--- a/gorsethread/durable_log/talk.py
+++ b/gorsethread/durable_log/replication_messages.py
@@ -7,15 +7,15 @@
 
 import msgspec
 
-from gorsethread.durable_log.frames import Entry
-from gorsethread.durable_log.kinds import Number, Record
-from gorsethread.errors import Trouble
+from gorsethread.durable_log.records import Record, SequenceNumber
+from gorsethread.durable_log.segments import Entry
+from gorsethread.errors import GorsethreadError
 
 LENGTH = struct.Struct("<I")
 MESSAGE_MOST = 3 << 20  # bytes; a branch's write has 1 MiB of data at most
 
 
-class Garbled(Trouble):
+class ProtocolError(GorsethreadError):
     """Bytes between heads that are no message of this program."""
 
     action = "See that what listens at the peers' addresses are heads of this site, all of one version."
@@ -33,13 +33,13 @@
     """Up to where the holder has all that holds of the owner's records, and the latest life it knows."""
 
     life: int
-    last: Number
+    last: SequenceNumber
 
 
 class Fetch(msgspec.Struct, frozen=True, tag="fetch", array_like=True):
     """From the owner: give back what is later than that, or all."""
 
-    after: Number
+    after: SequenceNumber
 
 
 class Give(msgspec.Struct, frozen=True, tag="give", array_like=True):
@@ -56,14 +56,14 @@
     life: int
     begins: bool
     entries: list[Entry]
-    last: Number
+    last: SequenceNumber
     more: bool = False
 
 
 class Holds(msgspec.Struct, frozen=True, tag="holds", array_like=True):
     """It is on the holder's disk up to there."""
 
-    last: Number
+    last: SequenceNumber
 
 
 class Over(msgspec.Struct, frozen=True, tag="over", array_like=True):
@@ -81,7 +81,7 @@
 _ENCODER = msgspec.msgpack.Encoder()
 
 
-def said(message: msgspec.Struct) -> bytes:
+def encode(message: msgspec.Struct) -> bytes:
     payload = _ENCODER.encode(message)
     return LENGTH.pack(len(payload)) + payload
 
@@ -94,7 +94,7 @@
     return [Record((e.life, e.place), e.fact) for e in given]
 
 
-class Reader:
+class MessageReader:
     """Bytes as they come to messages. decoder: of all that may come."""
 
     def __init__(self, decoder: msgspec.msgpack.Decoder[Any] = DECODER) -> None:
@@ -102,19 +102,19 @@
         self._decoder = decoder
 
     def take(self, data: bytes) -> list[Any]:
-        """The messages that are whole now; Garbled."""
+        """The messages that are whole now; ProtocolError."""
         self._held += data
         found: list[Any] = []
         while len(self._held) >= LENGTH.size:
             length = LENGTH.unpack_from(self._held)[0]
             if length > MESSAGE_MOST:
-                raise Garbled(f"a message of {length} bytes")
+                raise ProtocolError(f"a message of {length} bytes")
             end = LENGTH.size + length
             if len(self._held) < end:
                 break
             try:
                 found.append(self._decoder.decode(self._held[LENGTH.size : end]))
             except (msgspec.DecodeError, ValueError) as error:
-                raise Garbled(str(error)) from None
+                raise ProtocolError(str(error)) from None
             self._held = self._held[end:]
         return found
--- a/gorsethread/durable_log/frames.py
+++ b/gorsethread/durable_log/segments.py
@@ -11,8 +11,8 @@
 import google_crc32c
 import msgspec
 
-from gorsethread.durable_log.kinds import Fact, Number, Record
-from gorsethread.errors import Trouble
+from gorsethread.durable_log.records import Fact, Record, SequenceNumber
+from gorsethread.errors import GorsethreadError
 
 VERSION = 1
 MARK = b"\xa7\x5e"
@@ -20,7 +20,7 @@
 PAYLOAD_MOST = 2 << 20  # bytes; most records have some tens, a branch's write has 1 MiB of data at most
 
 
-class Unusable(Trouble):
+class Unusable(GorsethreadError):
     """A segment that this program must not touch; the text says why."""
 
     action = "Give the head its own folder, or run the version of the program that wrote this one."
@@ -81,7 +81,7 @@
     torn: int = 0
     rotten: list[tuple[int, int]] = field(default_factory=list)
     missing: int = 0
-    gaps: list[tuple[Number, Number]] = field(default_factory=list)
+    gaps: list[tuple[SequenceNumber, SequenceNumber]] = field(default_factory=list)
 
     @property
     def whole(self) -> bool:
--- a/gorsethread/durable_log/store.py
+++ b/gorsethread/durable_log/store.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from gorsethread.durable_log.disk import Disk
-from gorsethread.durable_log.frames import VERSION, Begin, Unusable, begun, framed, seed_of
-from gorsethread.durable_log.kinds import Number, Record, Table, pieces, size_of
+from gorsethread.durable_log.disk_health import Disk
+from gorsethread.durable_log.records import Record, RecordTable, SequenceNumber, pieces, size_of
 from gorsethread.durable_log.recovery import ACCEPTED, LOCK, Recovered, name_of, place_of, recover
-from gorsethread.errors import Trouble
+from gorsethread.durable_log.segments import VERSION, Begin, Unusable, begun, framed, seed_of
+from gorsethread.errors import GorsethreadError
 from gorsethread.transport.base import Journal, Transport
 
 GROWS = 1 << 20  # bytes
@@ -22,7 +22,7 @@
 NO_ROOM = (28, 122)  # ENOSPC, EDQUOT
 
 
-class InUse(Trouble):
+class InUse(GorsethreadError):
     """Another process keeps its records in this folder."""
 
     action = "End the other process first, or give this head the folder that is its own."
@@ -50,12 +50,12 @@
     ) -> None:
         self.transport, self.folder, self.log = transport, folder.rstrip("/"), log
         self.fleet, self.head, self.copied = fleet, head, copied
-        self.table = Table()
+        self.table = RecordTable()
         self.disk = Disk()
         self.life = 0
-        self.last: Number = (0, 0)  # the last number that was taken
+        self.last: SequenceNumber = (0, 0)  # the last number that was taken
         self.holes = False  # what it has is known to lack something
-        self.forgot: Number = (0, 0)  # words on what is freed are gone up to here
+        self.forgot: SequenceNumber = (0, 0)  # words on what is freed are gone up to here
         self.begun = False
         self.closed = False
         self._highest = 0  # the last segment of this life
@@ -63,7 +63,7 @@
         self._seed = 0
         self._size = self._began_with = 0  # bytes of the segment, and of what held at its begin
         self._pending: list[Pending] = []  # emptied by each flush
-        self._flushed: Number = (0, 0)  # up to here it is told whether they are kept
+        self._flushed: SequenceNumber = (0, 0)  # up to here it is told whether they are kept
         self._making = False  # a new segment is on its way
         self._since: list[Record] = []  # flushed to the one in use meanwhile
         self._next: Written | None = None  # made, and not in use yet
@@ -107,16 +107,16 @@
         self._pending.append(Pending(record, done))
         self._kick()
 
-    def replace(self, table: Table) -> None:
+    def replace(self, table: RecordTable) -> None:
         """Another head's records whole, in place of what was held: the next segment begins with them."""
         self.table, self.last = table, max(self.last, table.last)
 
     @property
-    def flushed(self) -> Number:
+    def flushed(self) -> SequenceNumber:
         """Up to here the table has all that holds."""
         return self._flushed
 
-    def grow(self, table: Table) -> None:
+    def grow(self, table: RecordTable) -> None:
         """What others gave back is the store's too; on disk with the next segment, which is begun now."""
         self.table.merge(table)
         if self.begun and not self._making:
@@ -308,13 +308,13 @@
             self.transport.remove(f"{self.folder}/{name}")
 
 
-def strays(transport: Transport, folder: str, fleet: int, head: int) -> Table:
+def strays(transport: Transport, folder: str, fleet: int, head: int) -> RecordTable:
     """What lies of a head's records in a folder that is not where they are kept: after an exchange of disks
     its own, or copies of its, stand in another's. Empty where they can't be read."""
     try:
         return recover(files_of(transport, folder), fleet, head).table
     except Unusable:
-        return Table()
+        return RecordTable()
 
 
 def files_of(transport: Transport, folder: str) -> dict[str, bytes]:
--- a/gorsethread/errors.py
+++ b/gorsethread/errors.py
@@ -4,7 +4,7 @@
 from typing import ClassVar
 
 
-class Trouble(Exception):
+class GorsethreadError(Exception):
     """action: what an operator can do, a sentence of its own for each type."""
 
     action: ClassVar[str] = ""
@@ -15,7 +15,7 @@
         return [*str(self).splitlines(), f"to do: {self.action}"]
 
 
-class Faulty(Trouble):
+class InvalidInputError(GorsethreadError):
     """Something given by a person is wrong in one place or several. faults: a line each."""
 
     action = "Mend the lines that are named and try again; nothing was changed."
--- a/gorsethread/faults/branches.py
+++ b/gorsethread/faults/branches.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from gorsethread.durable_log.kinds import STEP, Queued, Step
+from gorsethread.durable_log.records import STEP, WriteProgress, WriteQueued
 from gorsethread.durable_log.recovery import place_of, recover
 from gorsethread.nvme.command import Opcode
 from gorsethread.nvme.subsystem import BLOCK
@@ -87,9 +87,11 @@
     for files in folders:
         table = recover({n: d for n, d in files.items() if place_of(n) is not None}, None, None).table
         for r in table.records.values():
-            if isinstance(r.fact, Queued):
+            if isinstance(r.fact, WriteQueued):
                 step = table.records.get((STEP, r.fact.life, r.fact.place))
-                is_parked = step is not None and isinstance(step.fact, Step) and step.fact.stage == "parked"
+                is_parked = (
+                    step is not None and isinstance(step.fact, WriteProgress) and step.fact.stage == "parked"
+                )
                 (parked if is_parked else waiting).add(r.fact.label)
     return parked, waiting
 
--- a/gorsethread/faults/branchmutants.py
+++ b/gorsethread/faults/branchmutants.py
@@ -3,14 +3,14 @@
 from collections.abc import Callable
 from typing import Any
 
-from gorsethread.durable_log.kinds import Effect, Gone, Queued
+from gorsethread.durable_log.records import Tombstone, WriteApplied, WriteQueued
 from gorsethread.faults.planting import kept_in
 from gorsethread.head.program import Head
 from gorsethread.nvme.command import Opcode
-from gorsethread.nvme_gateway.branching import BranchSide
-from gorsethread.nvme_gateway.landing import LandingSide
-from gorsethread.nvme_gateway.promises import Promises
-from gorsethread.offline_writes.landing import Answer, Landing
+from gorsethread.nvme_gateway.branching import OfflineWrites
+from gorsethread.nvme_gateway.replay_receiver import ReplayReceiver
+from gorsethread.nvme_gateway.replicated_log import ReplicatedLog
+from gorsethread.offline_writes.applied_writes import Answer, Landing
 from gorsethread.offline_writes.writes import Context
 
 BRANCH_MUTANTS: dict[str, Callable[[Head], None]] = {}
@@ -19,10 +19,10 @@
 
 def _branch(head: Head) -> Any:
     """A branch's side, whose methods may be exchanged; a stand-in for other heads, which nobody asks."""
-    return head.branch if head.branch is not None else BranchSide.__new__(BranchSide)
+    return head.branch if head.branch is not None else OfflineWrites.__new__(OfflineWrites)
 
 
-def _landing(head: Head, change: Callable[[LandingSide], None]) -> None:
+def _landing(head: Head, change: Callable[[ReplayReceiver], None]) -> None:
     """Of the main site's heads."""
     said: Any = head.holding.branch_said if head.holding is not None else None
     if said is not None:
@@ -32,7 +32,7 @@
 def _core(head: Head, change: Callable[[Landing], None]) -> None:
     """Changes what a main site's head knows of branches' writes, as it is made."""
 
-    def on(side: LandingSide) -> None:
+    def on(side: ReplayReceiver) -> None:
         honest = side._known
 
         def known() -> Landing | None:
@@ -47,7 +47,7 @@
     _landing(head, on)
 
 
-def _keeps(head: Head, changed: Callable[[Promises, Any], Any]) -> None:
+def _keeps(head: Head, changed: Callable[[ReplicatedLog, Any], Any]) -> None:
     """Changes how facts are kept: changed() gives the method in place of keep()."""
     if head.promises is not None:
         head.promises.keep = changed(head.promises, head.promises.keep)  # type: ignore[method-assign]
@@ -55,9 +55,9 @@
 
 @mutant("branch: accepted before it is on a disk")
 def _not_on_disk(head: Head) -> None:
-    def changed(promises: Promises, honest: Any) -> Any:
+    def changed(promises: ReplicatedLog, honest: Any) -> Any:
         def keep(fact: Any, done: Any = None, here: bool = False) -> None:
-            if isinstance(fact, Queued):
+            if isinstance(fact, WriteQueued):
                 promises.transport.soon(lambda: done(True))
                 promises.transport.at(promises.transport.now() + 0.5, lambda: honest(fact))
             else:
@@ -73,7 +73,7 @@
     _keeps(
         head,
         lambda promises, honest: lambda fact, done=None, here=False: honest(
-            fact, done, here or isinstance(fact, Queued)
+            fact, done, here or isinstance(fact, WriteQueued)
         ),
     )
 
@@ -92,9 +92,13 @@
 
 @mutant("branch: what is given up stays on the disks")
 def _given_up_stays(head: Head) -> None:
-    def changed(promises: Promises, honest: Any) -> Any:
+    def changed(promises: ReplicatedLog, honest: Any) -> Any:
         def keep(fact: Any, done: Any = None, here: bool = False) -> None:
-            if isinstance(fact, Gone) and done is not None and getattr(done, "__name__", "") == "taken_back":
+            if (
+                isinstance(fact, Tombstone)
+                and done is not None
+                and getattr(done, "__name__", "") == "taken_back"
+            ):
                 promises.transport.soon(lambda: done(True))
             else:
                 honest(fact, done, here)
@@ -181,9 +185,9 @@
 
 @mutant("main site: what was begun is not known after a restart")
 def _begun_forgotten(head: Head) -> None:
-    def changed(promises: Promises, honest: Any) -> Any:
+    def changed(promises: ReplicatedLog, honest: Any) -> Any:
         def keep(fact: Any, done: Any = None, here: bool = False) -> None:
-            if isinstance(fact, Effect) and not fact.ran:
+            if isinstance(fact, WriteApplied) and not fact.ran:
                 promises.transport.soon(lambda: done(True))
             else:
                 honest(fact, done, here)
@@ -195,7 +199,7 @@
 
 @mutant("main site: told as in effect as it comes")
 def _told_early(head: Head) -> None:
-    def on(side: LandingSide) -> None:
+    def on(side: ReplayReceiver) -> None:
         honest = side._look
 
         def look(m: Any) -> None:
--- a/gorsethread/faults/branchworld.py
+++ b/gorsethread/faults/branchworld.py
@@ -6,8 +6,8 @@
 from gorsethread.faults.branches import Accepted, BranchClient, judge, on_disks
 from gorsethread.faults.recordsworld import RecordsWorld
 from gorsethread.faults.script import Act
-from gorsethread.nvme_gateway.holding import own_of
-from gorsethread.offline_writes.queue import Stage
+from gorsethread.nvme_gateway.replica_server import own_of
+from gorsethread.offline_writes.write_queue import Stage
 
 
 class BranchWorld(RecordsWorld):
--- a/gorsethread/faults/fleet.py
+++ b/gorsethread/faults/fleet.py
@@ -12,8 +12,8 @@
 from typing import Any
 
 from gorsethread.faults.script import Act, Script
+from gorsethread.membership.gossip_messages import Address, State, Word, read, write
 from gorsethread.membership.view import Pace, View
-from gorsethread.membership.words import Address, State, Word, read, write
 from gorsethread.transport.program import Draws
 
 FLEET = 4711
--- a/gorsethread/faults/kept.py
+++ b/gorsethread/faults/kept.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from gorsethread.durable_log.frames import read
+from gorsethread.durable_log.segments import read
 from gorsethread.nvme.command import Status
 from gorsethread.standins.client import LoadClient
 
--- a/gorsethread/faults/recordsmutants.py
+++ b/gorsethread/faults/recordsmutants.py
@@ -4,18 +4,18 @@
 from dataclasses import replace
 from typing import Any
 
-from gorsethread.durable_log import talk
-from gorsethread.durable_log.kinds import NONE, Record, Table
+from gorsethread.durable_log import replication_messages
+from gorsethread.durable_log.records import NO_SEQUENCE, Record, RecordTable
 from gorsethread.faults.planting import kept_in
 from gorsethread.head.program import Head
-from gorsethread.nvme_gateway.promises import Promises
+from gorsethread.nvme_gateway.replicated_log import ReplicatedLog
 from gorsethread.recovery.stages import Return
 
 KEPT_MUTANTS: dict[str, Callable[[Head], None]] = {}
 mutant = kept_in(KEPT_MUTANTS)
 
 
-def _promises(head: Head) -> Promises:
+def _promises(head: Head) -> ReplicatedLog:
     assert head.promises is not None
     return head.promises
 
@@ -64,8 +64,8 @@
     def opened() -> Any:
         found = honest()
         held = sorted(found.table.records.values())
-        found.table = store.table = Table(held[: len(held) // 2])
-        found.table.last = held[-1].number if held else NONE
+        found.table = store.table = RecordTable(held[: len(held) // 2])
+        found.table.last = held[-1].number if held else NO_SEQUENCE
         return found
 
     store.open = opened  # type: ignore[method-assign]
@@ -130,7 +130,7 @@
 
 @mutant("copies: a holder says so before its disk has it")
 def _holds_early(head: Head) -> None:
-    async def keep(held: Any, m: talk.Put) -> bool:
+    async def keep(held: Any, m: replication_messages.Put) -> bool:
         return True
 
     _holding(head)._keep = keep
@@ -141,7 +141,7 @@
     sender = _promises(head).sender
     honest = sender.piece
 
-    def piece(name: int, table: Table, last: Any) -> Any:
+    def piece(name: int, table: RecordTable, last: Any) -> Any:
         found = honest(name, table, last)
         if found is not None:
             sender.has(name, last)
@@ -155,8 +155,8 @@
     holding = _holding(head)
     honest = holding._keep
 
-    async def keep(held: Any, m: talk.Put) -> bool:
-        return bool(await honest(held, talk.Put(m.life, m.begins, m.entries[:1], m.last)))
+    async def keep(held: Any, m: replication_messages.Put) -> bool:
+        return bool(await honest(held, replication_messages.Put(m.life, m.begins, m.entries[:1], m.last)))
 
     holding._keep = keep
 
@@ -166,9 +166,9 @@
     promises = _promises(head)
     honest = promises._given
 
-    def given(other: int, got: Table) -> None:
+    def given(other: int, got: RecordTable) -> None:
         kept = sorted(got.records.values())[:-3]
-        less = Table(kept)
+        less = RecordTable(kept)
         less.last = got.last
         honest(other, less)
 
--- a/gorsethread/faults/recordsworld.py
+++ b/gorsethread/faults/recordsworld.py
@@ -12,7 +12,7 @@
 from gorsethread.faults.script import Act, Script
 from gorsethread.faults.world import World
 from gorsethread.nvme.subsystem import BLOCK
-from gorsethread.nvme_gateway.holding import own_of
+from gorsethread.nvme_gateway.replica_server import own_of
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.standins.client import LoadClient
 
--- a/gorsethread/faults/script.py
+++ b/gorsethread/faults/script.py
@@ -17,7 +17,7 @@
 
 from dataclasses import dataclass, field
 
-from gorsethread.errors import Faulty
+from gorsethread.errors import InvalidInputError
 
 PROCESSES = ("head", "shelf", "list", "client")
 # Points of a head's code: a transaction is taken, sent to a shelf, pushed back, given up, a forward ended,
@@ -142,7 +142,7 @@
 }
 
 
-class BadScript(Faulty):
+class BadScript(InvalidInputError):
     """Line and reason of each fault found."""
 
     action = "Correct the script's lines named; docs/faults.md lists what an act may be."
--- a/gorsethread/faults/viewmutants.py
+++ b/gorsethread/faults/viewmutants.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 from typing import Any
 
+from gorsethread.membership.gossip_messages import Address, Kind, Message, State, Word
 from gorsethread.membership.view import LAST_ASKED, View
-from gorsethread.membership.words import Address, Kind, Message, State, Word
 
 Plant = Callable[[View], None]
 VIEW_MUTANTS: dict[str, tuple[Plant, str]] = {}
--- a/gorsethread/faults/world.py
+++ b/gorsethread/faults/world.py
@@ -56,7 +56,7 @@
 POINTS = {
     **_points(
         "driver",
-        "head.driver",
+        "gateway.driver",
         "Driver",
         {
             "take": "take",
@@ -70,12 +70,12 @@
     ),
     **_points(
         "promises",
-        "head.promises",
-        "Promises",
+        "nvme_gateway.replicated_log",
+        "ReplicatedLog",
         {"promise": "placed", "flushed": "_flushed", "held": "_settle", "given": "_given"},
     ),
-    **_points("holding", "head.holding", "Holding", {"greeted": "_greeted"}),
-    **_points("promises.store", "records.store", "Store", {"segment": "_forget"}),
+    **_points("holding", "nvme_gateway.replica_server", "ReplicaServer", {"greeted": "_greeted"}),
+    **_points("promises.store", "durable_log.store", "Store", {"segment": "_forget"}),
 }
 COUNTED = ("honoured", "pushed back", "given up", "left")
 
--- a/gorsethread/gateway/messages.py
+++ b/gorsethread/gateway/messages.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from zlib import crc32
 
-from gorsethread.membership.words import Address, Kind, Message, Unreadable, read, write
+from gorsethread.membership.gossip_messages import Address, Kind, Message, Unreadable, read, write
 from gorsethread.transport.base import Transport
 
 SENT_MOST = 400  # messages a second; decisions that ask for more are not carried
--- a/gorsethread/gateway/startfacts.py
+++ b/gorsethread/gateway/startfacts.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from gorsethread.errors import Trouble
+from gorsethread.errors import GorsethreadError
 from gorsethread.scheduling.model import (
     Effect,
     IdempotencyScope,
@@ -17,7 +17,7 @@
 GROUPS = {"all": IdempotencyScope.ALL, "zone": IdempotencyScope.ZONE, "cell": IdempotencyScope.SHARD}
 
 
-class Malformed(Trouble):
+class Malformed(GorsethreadError):
     """What was told does not follow its page."""
 
     action = "Compare the settings with their page: the place named is missing or of another kind."
--- a/gorsethread/harness/branches.py
+++ b/gorsethread/harness/branches.py
@@ -9,7 +9,7 @@
 from gorsethread.faults.script import Script
 from gorsethread.harness import kept
 from gorsethread.harness.kept import KeptTrial
-from gorsethread.nvme_gateway.holding import own_of
+from gorsethread.nvme_gateway.replica_server import own_of
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.witness.judge import Verdict
 
--- a/gorsethread/harness/kept.py
+++ b/gorsethread/harness/kept.py
@@ -17,7 +17,7 @@
 from gorsethread.harness.cast import FOLDERS
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.site import SiteTrial
-from gorsethread.nvme_gateway.holding import own_of
+from gorsethread.nvme_gateway.replica_server import own_of
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.standins.client import LoadClient
 from gorsethread.transport.real import RealTransport
--- a/gorsethread/harness/site.py
+++ b/gorsethread/harness/site.py
@@ -9,13 +9,13 @@
 import msgspec
 from google.protobuf import text_format
 
-from gorsethread.durable_log import talk
+from gorsethread.durable_log import replication_messages
 from gorsethread.faults.script import Act, Script
 from gorsethread.harness.points import planted
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.service import ServiceTrial
 from gorsethread.head.listing import Ask
-from gorsethread.offline_writes import talk as branches
+from gorsethread.offline_writes import messages as offline_messages
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.sitefile.reading import split_address
 from gorsethread.standins.client import LoadClient
@@ -48,9 +48,9 @@
 
 def calls(stream: Stream, first: bytes) -> str:
     """Who called a head for records, or the list, by its first bytes."""
-    with contextlib.suppress(talk.Garbled):
-        for m in talk.Reader(branches.DECODER).take(first):
-            if isinstance(m, talk.Hello | branches.Greet):
+    with contextlib.suppress(replication_messages.ProtocolError):
+        for m in replication_messages.MessageReader(offline_messages.DECODER).take(first):
+            if isinstance(m, replication_messages.Hello | offline_messages.Greet):
                 return f"head {m.head}"
     with contextlib.suppress(msgspec.DecodeError):
         ask: Ask = msgspec.json.decode(first.splitlines()[0], type=Ask)
--- a/gorsethread/head/fleet.py
+++ b/gorsethread/head/fleet.py
@@ -4,8 +4,18 @@
 from collections.abc import Callable
 from typing import Any
 
+from gorsethread.membership.gossip_messages import (
+    PAST,
+    Address,
+    Kind,
+    Message,
+    State,
+    Unreadable,
+    Word,
+    read,
+    write,
+)
 from gorsethread.membership.view import USUAL_PACE, Pace, View
-from gorsethread.membership.words import PAST, Address, Kind, Message, State, Unreadable, Word, read, write
 from gorsethread.transport.base import Transport
 
 TICKS = 10  # a period
--- a/gorsethread/head/peers.py
+++ b/gorsethread/head/peers.py
@@ -8,8 +8,8 @@
 
 from gorsethread.gateway.messages import WORDS_MOST, Allowance
 from gorsethread.head.fleet import FleetSide
+from gorsethread.membership.gossip_messages import Address, Kind, Message, State, Word
 from gorsethread.membership.news import EVERY, Membership, News
-from gorsethread.membership.words import Address, Kind, Message, State, Word
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.sitefile.reading import split_address
 from gorsethread.transport.base import Transport
--- a/gorsethread/head/program.py
+++ b/gorsethread/head/program.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 from typing import Any
 
-from gorsethread.durable_log.kinds import NONE
+from gorsethread.durable_log.records import NO_SEQUENCE
 from gorsethread.gateway.carrying import Place
 from gorsethread.gateway.driver import Driver
 from gorsethread.gateway.linktable import LinkTable
@@ -16,10 +16,10 @@
 from gorsethread.head.placement import SitePlacement
 from gorsethread.nvme.command import Opcode
 from gorsethread.nvme.subsystem import Subsystem
-from gorsethread.nvme_gateway.branching import BranchSide, as_json
-from gorsethread.nvme_gateway.holding import Holding
-from gorsethread.nvme_gateway.landing import LandingSide
-from gorsethread.nvme_gateway.promises import Promises
+from gorsethread.nvme_gateway.branching import OfflineWrites, as_json
+from gorsethread.nvme_gateway.replay_receiver import ReplayReceiver
+from gorsethread.nvme_gateway.replica_server import ReplicaServer
+from gorsethread.nvme_gateway.replicated_log import ReplicatedLog
 from gorsethread.queues.dial import Names
 from gorsethread.queues.serve import QueueServer
 from gorsethread.recovery.spacing import Opens
@@ -51,7 +51,7 @@
     ) -> None:
         self.transport, self.site, self.number, self.log = transport, site, number, log
         placement = SitePlacement(site)
-        self.branch: BranchSide | None = None
+        self.branch: OfflineWrites | None = None
         host_name = f"nqn.2026-12.org.gorsethread:head:{number}"
         names, known = Names(site.subsystem, host_name, number.to_bytes(16, "little")), site.links
         rank, heads = sum(h.number < number for h in site.head), len(site.head)
@@ -91,11 +91,11 @@
         self.book: AccountBook | None = None
         if accounts:
             self.book = AccountBook(transport, site, number, self.driver, accounts, window, log)
-        self.promises: Promises | None = None
-        self.holding: Holding | None = None
+        self.promises: ReplicatedLog | None = None
+        self.holding: ReplicaServer | None = None
         if records:
-            self.promises = Promises(transport, site, number, records, placement, self.peers.living, log)
-            self.holding = Holding(transport, site, number, records, log, peers_listen)
+            self.promises = ReplicatedLog(transport, site, number, records, placement, self.peers.living, log)
+            self.holding = ReplicaServer(transport, site, number, records, log, peers_listen)
             self.driver.keeper = self.clients.keeper = self.promises
             if site.branch:
                 self._branches(placement)
@@ -115,9 +115,9 @@
 
             def copy(origin: int) -> tuple[int, int]:
                 held = holding.of(origin)
-                return held.store.table.last if held.filled else NONE
+                return held.store.table.last if held.filled else NO_SEQUENCE
 
-            branch = self.branch = self.clients.branch = BranchSide(
+            branch = self.branch = self.clients.branch = OfflineWrites(
                 self.transport,
                 self.site,
                 self.number,
@@ -130,7 +130,7 @@
             self.holding.asked = lambda asked: as_json(branch.answer(asked))
             self.holding.kept = branch.heard_of
         else:
-            side = LandingSide(self.transport, self.site, self.promises, self.driver, placement, self.log)
+            side = ReplayReceiver(self.transport, self.site, self.promises, self.driver, placement, self.log)
             self.holding.branch_said = side.took
 
     def start(self) -> None:
--- a/gorsethread/http1/bounds.py
+++ b/gorsethread/http1/bounds.py
@@ -1,6 +1,6 @@
 """What both sides of the codec hold at most, and the one error of each."""
 
-from gorsethread.errors import Trouble
+from gorsethread.errors import GorsethreadError
 
 MOST_HEAD = 16_384  # bytes of a head
 MOST_BODY = 65_536  # bytes of a request's body; the platform's requests have none larger
@@ -12,7 +12,7 @@
 Headers = list[tuple[bytes, bytes]]  # names in lower case, in the order they came
 
 
-class Unreadable(Trouble):
+class Unreadable(GorsethreadError):
     """What a client sent is no request of ours. status: what to answer; the connection ends with it."""
 
     action = "If it is one of your clients, mend its request as the reason says; the head needs nothing."
@@ -22,7 +22,7 @@
         self.status = status
 
 
-class Spoilt(Trouble):
+class Spoilt(GorsethreadError):
     """What came on a connection to a server is not the answer to what was asked; it is of no more use."""
 
     action = "Look at that shelf's or discovery's own log: its answers are not HTTP as the platform has it."
--- a/gorsethread/http_gateway/config.py
+++ b/gorsethread/http_gateway/config.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from gorsethread.errors import Trouble
+from gorsethread.errors import GorsethreadError
 from gorsethread.gateway.startfacts import Fields, Malformed, start_facts
 from gorsethread.http_gateway.listing import ListAnswer
 from gorsethread.scheduling.model import SchedulerSettings
@@ -16,7 +16,7 @@
 NOBODY_KNOWN = {"generation": 0, "reset": False, "instances": []}  # no list at all, so none that is whole
 
 
-class Unusable(Trouble):
+class Unusable(GorsethreadError):
     """The configuration can't be used; the text names the place and the reason."""
 
     action = "Correct that place of the file GW_CONFIG names and start anew, or SIGHUP a head that runs on."
--- a/gorsethread/http_gateway/discovery.py
+++ b/gorsethread/http_gateway/discovery.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from gorsethread.errors import Trouble
+from gorsethread.errors import GorsethreadError
 from gorsethread.gateway.driver import Driver
 from gorsethread.gateway.linktable import LinkTable
 from gorsethread.http1.asking import Answer, Asking
@@ -27,7 +27,7 @@
 NO_WAIT = 0.001  # seconds that a call waits which is to be answered at once
 
 
-class Failed(Trouble):
+class Failed(GorsethreadError):
     """A call brought nothing that can be believed."""
 
     action = "See what discovery answers at its address; the head keeps the list it has and asks again."
--- a/gorsethread/http_gateway/program.py
+++ b/gorsethread/http_gateway/program.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 from typing import Any
 
-from gorsethread.errors import Trouble
+from gorsethread.errors import GorsethreadError
 from gorsethread.gateway.driver import Driver
 from gorsethread.gateway.linktable import LinkTable
 from gorsethread.gateway.messages import Messages
@@ -25,7 +25,7 @@
 LONGEST_WAIT = 2.4  # seconds that a call of discovery may wait for news; its answer may come later
 
 
-class CannotListen(Trouble):
+class CannotListen(GorsethreadError):
     """An address that the configuration names can't be listened on."""
 
     action = "See what else uses that address, or name another in the file GW_CONFIG names, and start anew."
--- a/gorsethread/lab/asking.py
+++ b/gorsethread/lab/asking.py
@@ -7,10 +7,20 @@
 
 import msgspec
 
-from gorsethread.durable_log.talk import Garbled, Reader, said
-from gorsethread.errors import Trouble
-from gorsethread.membership.words import OWN, PAST, Address, Kind, Message, Unreadable, Word, read, write
-from gorsethread.offline_writes import talk as branches
+from gorsethread.durable_log.replication_messages import MessageReader, ProtocolError, encode
+from gorsethread.errors import GorsethreadError
+from gorsethread.membership.gossip_messages import (
+    OWN,
+    PAST,
+    Address,
+    Kind,
+    Message,
+    Unreadable,
+    Word,
+    read,
+    write,
+)
+from gorsethread.offline_writes import messages as offline_messages
 from gorsethread.transport.base import StreamClosed, Transport, Unreachable
 
 AGAIN = 0.25  # seconds until a question is asked again
@@ -27,7 +37,7 @@
     digest: int = 0
 
 
-class NoAnswer(Trouble):
+class NoAnswer(GorsethreadError):
     """Nothing came back in time."""
 
     action = "See that the head runs and that its peers' address is the one given; then ask again."
@@ -62,22 +72,22 @@
     number: tuple[int, int, int] | None = None,
     within: float = 3.0,
 ) -> dict[str, Any]:
-    """What a branch's head answers to a question (branch/talk.py). NoAnswer where none came in time."""
+    """What a branch's head answers to a question (offline_writes/messages.py). NoAnswer where none came in time."""
     where = f"{head[0]}:{head[1]}"
     try:
         stream = await transport.connect(*head, within)
     except Unreachable as error:
         raise NoAnswer(f"{where}: {error}") from None
     guard = transport.at(transport.now() + within, stream.close)
-    reader = Reader(branches.DECODER)
+    reader = MessageReader(offline_messages.DECODER)
     try:
-        stream.write(said(branches.Question(fleet, what, number)))
+        stream.write(encode(offline_messages.Question(fleet, what, number)))
         while True:
             for m in reader.take(await stream.read()):
-                if isinstance(m, branches.Shown):
+                if isinstance(m, offline_messages.Shown):
                     shown: dict[str, Any] = msgspec.json.decode(m.json)
                     return shown
-    except (StreamClosed, Garbled) as error:
+    except (StreamClosed, ProtocolError) as error:
         raise NoAnswer(f"{where}: {error}; it answers heads of a branch with records only") from None
     finally:
         guard.cancel()
--- a/gorsethread/lab/fleet.py
+++ b/gorsethread/lab/fleet.py
@@ -16,7 +16,7 @@
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.relay import DatagramRelay
 from gorsethread.lab.asking import NoAnswer, Shown, ask
-from gorsethread.membership.words import State
+from gorsethread.membership.gossip_messages import State
 from gorsethread.transport.base import Transport
 from gorsethread.transport.real import free_ports
 
--- a/gorsethread/lab/records.py
+++ b/gorsethread/lab/records.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from gorsethread.durable_log.frames import Entry
-from gorsethread.durable_log.kinds import Placed, Record
+from gorsethread.durable_log.records import ExtentPlaced, Record
+from gorsethread.durable_log.segments import Entry
 from gorsethread.durable_log.store import BATCH_MOST, Store
-from gorsethread.errors import Trouble
+from gorsethread.errors import GorsethreadError
 from gorsethread.lab.bench import DEPTH, LOADS, Stand
 from gorsethread.lab.turns import in_turn
 from gorsethread.transport.base import Transport
@@ -24,7 +24,7 @@
 EXTENTS = 20_000
 
 
-class NotThere(Trouble):
+class NotThere(GorsethreadError):
     """The store to compare with is not installed."""
 
     action = "Install the development's requirements (./run test does so) and ask again."
@@ -90,7 +90,7 @@
             if transport.now() < until:
                 give()
 
-        store.add(Record((1, place), Placed(1, place % EXTENTS, place % 7)), done)
+        store.add(Record((1, place), ExtentPlaced(1, place % EXTENTS, place % 7)), done)
 
     for _ in range(depth):
         give()
--- a/gorsethread/lab/views.py
+++ b/gorsethread/lab/views.py
@@ -19,8 +19,8 @@
 
 from gorsethread.faults.fleet import FleetWorld, bound, drawn  # noqa: E402
 from gorsethread.faults.script import read_script  # noqa: E402
+from gorsethread.membership.gossip_messages import Address, Kind, Message, State, Word  # noqa: E402
 from gorsethread.membership.view import Change, Pace, View  # noqa: E402
-from gorsethread.membership.words import Address, Kind, Message, State, Word  # noqa: E402
 
 LOST_AT = 60.0  # seconds from the start of all until one head is gone for good
 WATCHED = 60.0  # seconds after that
--- a/gorsethread/membership/words.py
+++ b/gorsethread/membership/gossip_messages.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from gorsethread.errors import Trouble
+from gorsethread.errors import GorsethreadError
 
 VERSION = 2
 MOST_BYTES = 256
@@ -91,7 +91,7 @@
     news: tuple[tuple[int, int, int, int, int], ...] = ()
 
 
-class Unreadable(Trouble):
+class Unreadable(GorsethreadError):
     """A datagram that is no message of this fleet; the text says why."""
 
     action = "See that all heads run one version and site, and that nothing else sends to the peers' port."
--- a/gorsethread/membership/view.py
+++ b/gorsethread/membership/view.py
@@ -21,7 +21,7 @@
 
 import xxhash
 
-from gorsethread.membership.words import (
+from gorsethread.membership.gossip_messages import (
     HEADER_MOST,
     MOST_BYTES,
     PAST,
--- a/gorsethread/nvme_gateway/branching.py
+++ b/gorsethread/nvme_gateway/branching.py
@@ -1,8 +1,9 @@
 """Carries a branch's queue: what its clients' commands become while the link is gone, on disk and at the
 branch's other head before an answer, and to the main site's heads once the link is back.
 
-What is decided is decided by pure cores: the link (`branch/link.py`), a command's way (`branch/desk.py`),
-queue and replay (`branch/queue.py`, `branch/pace.py`), who takes it and who stands in (`branch/homes.py`).
+What is decided is decided by pure cores (`offline_writes/`): the link (`link_monitor.py`), a command's way
+(`admission.py`), queue and replay (`write_queue.py`, `replay_window.py`), who takes it and who stands in
+(`primaries.py`).
 """
 
 from collections import Counter, deque
@@ -13,23 +14,34 @@
 
 import msgspec
 
-from gorsethread.durable_log.holders import weight
-from gorsethread.durable_log.kinds import NONE, QUEUED, STEP, Discarded, Fact, Gone, Queued, Record, Step
-from gorsethread.durable_log.talk import Garbled, Reader, said
+from gorsethread.durable_log.records import (
+    NO_SEQUENCE,
+    QUEUED,
+    STEP,
+    Fact,
+    Record,
+    Tombstone,
+    WriteDiscarded,
+    WriteProgress,
+    WriteQueued,
+)
+from gorsethread.durable_log.replica_placement import weight
+from gorsethread.durable_log.replication_messages import MessageReader, ProtocolError, encode
 from gorsethread.gateway.carrying import Place
 from gorsethread.head.peers import fleet_of
 from gorsethread.nvme.command import Opcode
 from gorsethread.nvme.subsystem import BLOCK
-from gorsethread.nvme_gateway.promises import CONNECT_WITHIN, Promises
-from gorsethread.offline_writes import desk, talk
-from gorsethread.offline_writes.bases import Bases
-from gorsethread.offline_writes.homes import FENCED, PARKS_AFTER, PROBED, StandIn, homes
-from gorsethread.offline_writes.landing import Answer
-from gorsethread.offline_writes.link import Link, State
-from gorsethread.offline_writes.pace import Pace
-from gorsethread.offline_writes.queue import DEPENDS, Bounds, Held, Queue, Stage
-from gorsethread.offline_writes.shadow import Shadow
-from gorsethread.offline_writes.writes import Context, Number, Write, causes
+from gorsethread.nvme_gateway.replicated_log import CONNECT_WITHIN, ReplicatedLog
+from gorsethread.offline_writes import admission
+from gorsethread.offline_writes import messages as offline_messages
+from gorsethread.offline_writes.applied_writes import Answer
+from gorsethread.offline_writes.base_versions import Bases
+from gorsethread.offline_writes.link_monitor import Link, State
+from gorsethread.offline_writes.pending_overlay import Shadow
+from gorsethread.offline_writes.primaries import FENCED, PARKS_AFTER, PROBED, StandIn, homes
+from gorsethread.offline_writes.replay_window import Pace
+from gorsethread.offline_writes.write_queue import DEPENDS, Bounds, Held, Queue, Stage
+from gorsethread.offline_writes.writes import Context, Write, WriteNumber, causes
 from gorsethread.recovery.spacing import returns_after
 from gorsethread.recovery.stages import AGAIN
 from gorsethread.recovery.stages import Stage as Returns
@@ -62,7 +74,7 @@
 class Taking:
     """A write on its way to the disks. waiting: who is owed the answer, None once there is nobody."""
 
-    fact: Queued
+    fact: WriteQueued
     waiting: Any
     host: str
     timer: Timer | None = None
@@ -73,16 +85,16 @@
 class Mate:
     """The branch's other head, as its records here show it."""
 
-    writes: dict[Number, Queued] = field(default_factory=dict)  # emptied as they are over
-    sure: set[Number] = field(default_factory=set)  # of them, accepted for certain
-    parked: set[Number] = field(default_factory=set)  # of them
+    writes: dict[WriteNumber, WriteQueued] = field(default_factory=dict)  # emptied as they are over
+    sure: set[WriteNumber] = field(default_factory=set)  # of them, accepted for certain
+    parked: set[WriteNumber] = field(default_factory=set)  # of them
     stood_for: Queue | None = None  # its writes, while this head replays them
     epoch: int = 0
-    doubted: set[Number] = field(default_factory=set)  # as its records begin anew, not named by them yet
+    doubted: set[WriteNumber] = field(default_factory=set)  # as its records begin anew, not named by them yet
     clients: dict[str, Context] = field(default_factory=dict)  # by host, as many as the site names
 
 
-class BranchSide:
+class OfflineWrites:
     """open_at: whether a live transaction of that place is still open here. living: heads not held dead.
     copy: of the branch's other head, up to where its records are whole here (life, place)."""
 
@@ -91,7 +103,7 @@
         transport: Transport,
         site: pb.Site,
         head: int,
-        promises: Promises,
+        promises: ReplicatedLog,
         living: Callable[[], list[int]],
         open_at: Callable[[Place], bool],
         copy: Callable[[int], tuple[int, int]],
@@ -125,7 +137,7 @@
         self.epoch = 0  # under which it replays; its life, or later after it was shut out
         self._fenced_until = 0.0
         self._later_epoch = 0  # of whom it was shut out by
-        self._taking: dict[Number, Taking] = {}  # emptied as each lasts, or can't
+        self._taking: dict[WriteNumber, Taking] = {}  # emptied as each lasts, or can't
         self._ways: dict[int, Way] = {}  # as many as heads of the main site
         self._ready = False
 
@@ -160,10 +172,12 @@
 
     def _recover(self, unsure: bool) -> None:
         table = self.promises.store.table
-        steps = {r.fact.thing[1:]: r.fact for r in table.records.values() if isinstance(r.fact, Step)}
-        found = [r.fact for r in table.records.values() if isinstance(r.fact, Queued)]
+        steps = {
+            r.fact.thing[1:]: r.fact for r in table.records.values() if isinstance(r.fact, WriteProgress)
+        }
+        found = [r.fact for r in table.records.values() if isinstance(r.fact, WriteQueued)]
         for f in sorted(found, key=lambda f: (f.life, f.place)):
-            number = Number(self.head, f.life, f.place)
+            number = WriteNumber(self.head, f.life, f.place)
             if number in self.queue.held or number in self._taking:
                 continue
             step = steps.get((f.life, f.place))
@@ -204,7 +218,7 @@
         for h in self.queue.parked:
             self._step(h.write.number)
 
-    def _write(self, number: Number, f: Queued, anyway: bool = False) -> Write:
+    def _write(self, number: WriteNumber, f: WriteQueued, anyway: bool = False) -> Write:
         p = self.site.profile[f.profile]
         return Write(
             number,
@@ -214,21 +228,21 @@
             p.value,
             len(f.data),
             f.at,
-            tuple(Number(*n) for n in f.own),
-            tuple(Number(*n) for n in f.others),
+            tuple(WriteNumber(*n) for n in f.own),
+            tuple(WriteNumber(*n) for n in f.others),
             f.base,
             p.when_changed == pb.PARK and not anyway,
             p.effect == pb.REDOABLE,
             f.label,
         )
 
-    def _hides(self, number: Number, f: Queued) -> None:
+    def _hides(self, number: WriteNumber, f: WriteQueued) -> None:
         """It is parked: what its blocks hold is what the main site has."""
         self.shadow.remove(number)
         self.bases.forget(f.volume, f.block, f.blocks)
 
-    def _shows(self, number: Number, f: Queued) -> None:
-        self.shadow.add(number, f.volume, f.block, f.data, (Number(*n) for n in (*f.own, *f.others)))
+    def _shows(self, number: WriteNumber, f: WriteQueued) -> None:
+        self.shadow.add(number, f.volume, f.block, f.data, (WriteNumber(*n) for n in (*f.own, *f.others)))
 
     # ---- the branch's other head
 
@@ -240,8 +254,8 @@
         if begins:
             mate.doubted = set(mate.writes)
         for r in records:
-            if isinstance(r.fact, Queued):
-                number = Number(origin, r.fact.life, r.fact.place)
+            if isinstance(r.fact, WriteQueued):
+                number = WriteNumber(origin, r.fact.life, r.fact.place)
                 mate.doubted.discard(number)
                 if number not in mate.writes:
                     mate.writes[number] = r.fact
@@ -252,12 +266,12 @@
             mate.doubted.discard(number)
             self._mates_ended(number)
         for r in records:
-            if isinstance(r.fact, Gone) and r.fact.thing[0] == QUEUED:
-                self._mates_ended(Number(origin, *r.fact.thing[1:]))
-            elif isinstance(r.fact, Step):
-                self._mates_step(Number(origin, r.fact.life, r.fact.place), r.fact.stage)
+            if isinstance(r.fact, Tombstone) and r.fact.thing[0] == QUEUED:
+                self._mates_ended(WriteNumber(origin, *r.fact.thing[1:]))
+            elif isinstance(r.fact, WriteProgress):
+                self._mates_step(WriteNumber(origin, r.fact.life, r.fact.place), r.fact.stage)
 
-    def _mates_step(self, number: Number, stage: str) -> None:
+    def _mates_step(self, number: WriteNumber, stage: str) -> None:
         f = self.mate.writes.get(number)
         if f is not None and number not in self.mate.sure:
             self.mate.sure.add(number)
@@ -272,7 +286,7 @@
             self._shows(number, f)
             self._freed(self.queue.freed(number, self.mate.parked.__contains__))
 
-    def _mates_ended(self, number: Number) -> None:
+    def _mates_ended(self, number: WriteNumber) -> None:
         self.mate.writes.pop(number, None)
         self.mate.parked.discard(number)
         self.mate.sure.discard(number)
@@ -282,17 +296,17 @@
         self._freed(self.queue.freed(number, self.mate.parked.__contains__))
         self._replay()
 
-    def _freed(self, numbers: list[Number]) -> None:
+    def _freed(self, numbers: list[WriteNumber]) -> None:
         for n in numbers:
             self._note("released", n, "what it depends on is")
             self._shows(n, self._fact(n))
             self._step(n)
 
-    def _mates_is_over(self, number: Number) -> bool:
+    def _mates_is_over(self, number: WriteNumber) -> bool:
         # A disk that was lost took the copy too: until it is there again nobody here can say.
         return number not in self.mate.writes and self.copy(self.mate_number) >= number[1:]
 
-    def _over(self, number: Number) -> bool:
+    def _over(self, number: WriteNumber) -> bool:
         return number not in self.queue.held and number not in self.mate.writes
 
     def _stands_in(self, now: float) -> None:
@@ -334,17 +348,17 @@
             return True
         last = self.shadow.last(volume, c.first_block, c.blocks)
         if c.opcode == Opcode.READ:
-            say = desk.of_read(self.link.queues, last)
-            if say is desk.Say.SERVE:
+            say = admission.of_read(self.link.queues, last)
+            if say is admission.Say.SERVE:
                 numbers = [n for n in last if n is not None]
                 found = b"".join(self.shadow.data(n, block) for block, n in enumerate(numbers, c.first_block))
                 for n in numbers:
                     self._context(io.host).knows(n)
                 self.counts["reads served"] += 1
                 waiting.served(known.shard[extent % len(known.shard)], found)
-            elif say is desk.Say.BACK:
+            elif say is admission.Say.BACK:
                 self._back(waiting, self._return())
-            return say is not desk.Say.THROUGH
+            return say is not admission.Say.THROUGH
         context, key = self._context(io.host), f"{volume}/{extent}"
         theirs = self.mate.clients.get(io.host, Context()).seen
         before = {
@@ -361,12 +375,12 @@
             and not (n in self.queue.held and self.queue.held[n].stage is Stage.PARKED)
         }
         may = self.site.profile[waiting.profile].held_when_cut_off
-        say = desk.of_write(self.link.queues, may, bool(before))
-        if say is desk.Say.HOLD:
+        say = admission.of_write(self.link.queues, may, bool(before))
+        if say is admission.Say.HOLD:
             self._hold(io, waiting, key, data, before)
-        elif say is desk.Say.BACK:
+        elif say is admission.Say.BACK:
             self._back(waiting, self._return())
-        return say is not desk.Say.THROUGH
+        return say is not admission.Say.THROUGH
 
     def left(self, waiting: Any) -> None:
         for t in self._taking.values():
@@ -383,13 +397,15 @@
         return context
 
     def _return(self) -> float:
-        return returns_after(desk.RETURN_CUT if self.link.queues else desk.RETURN_SOON, self.chance.random())
+        return returns_after(
+            admission.RETURN_CUT if self.link.queues else admission.RETURN_SOON, self.chance.random()
+        )
 
     def _back(self, waiting: Any, after: float) -> None:
         self.counts["pushed back"] += 1
-        waiting.rejected(min(after, max(self.site.rules.longest_return, desk.RETURN_SOON)))
+        waiting.rejected(min(after, max(self.site.rules.longest_return, admission.RETURN_SOON)))
 
-    def _hold(self, io: Any, waiting: Any, key: str, data: bytes, before: set[Number]) -> None:
+    def _hold(self, io: Any, waiting: Any, key: str, data: bytes, before: set[WriteNumber]) -> None:
         c, p = io.command, self.site.profile[waiting.profile]
         if (again := self.queue.again(c.label, c.nsid, c.first_block)) is not None:
             self.counts["repeats"] += 1
@@ -399,16 +415,16 @@
         wall = self.transport.wall()
         refused = self.queue.refuses(p.value, len(data), wall)
         named = causes(self.head, before, self._unsure)
-        known = self._ready and (self.mate_number < 0 or self.copy(self.mate_number) > NONE)
+        known = self._ready and (self.mate_number < 0 or self.copy(self.mate_number) > NO_SEQUENCE)
         after = self.promises.refuses() if known else AGAIN
         if refused is not None or named is None or after > 0.0 or self._fenced(self.transport.now()):
             why = refused.value if refused is not None else "records" if after > 0.0 else "too many causes"
             self.counts[f"refused: {why}"] += 1
             self._back(waiting, after or self._return())
             return
-        number = Number(self.head, *self.promises.next)
+        number = WriteNumber(self.head, *self.promises.next)
         base = self.bases.of(c.nsid, c.first_block, c.blocks) if p.when_changed == pb.PARK else 0
-        fact = Queued(
+        fact = WriteQueued(
             number.life,
             number.place,
             c.nsid,
@@ -431,15 +447,15 @@
         taking.timer = self.transport.at(waiting.deadline, lambda: self._time_is_up(number))
         self.promises.keep(fact, lambda kept: self._kept(number, kept))
 
-    def _unsure(self, number: Number) -> list[Number]:
+    def _unsure(self, number: WriteNumber) -> list[WriteNumber]:
         """Of a write that may yet be taken back what it comes after."""
         if number in self._taking and number in self.queue.held:
             return [n for n in self.queue.held[number].write.causes if not self._over(n)]
         f = self.mate.writes.get(number) if number not in self.mate.sure else None
-        named = map(Number._make, (*f.own, *f.others)) if f is not None else ()
+        named = map(WriteNumber._make, (*f.own, *f.others)) if f is not None else ()
         return [n for n in named if not self._over(n)]
 
-    def _kept(self, number: Number, kept: bool) -> None:
+    def _kept(self, number: WriteNumber, kept: bool) -> None:
         t = self._taking.get(number)
         if t is None or t.failed:
             return
@@ -449,8 +465,8 @@
             self.queue.dropped(number)
             self.counts["not kept"] += 1
 
-            def gone() -> Gone:
-                return Gone([*t.fact.thing])
+            def gone() -> Tombstone:
+                return Tombstone([*t.fact.thing])
 
             def taken_back(there: bool) -> None:
                 self._gave_up(number)
@@ -476,7 +492,7 @@
         if t.waiting is not None:
             t.waiting.accepted()
 
-    def _gave_up(self, number: Number) -> None:
+    def _gave_up(self, number: WriteNumber) -> None:
         t = self._taking.pop(number, None)
         if t is not None:
             if t.timer is not None:
@@ -484,7 +500,7 @@
             if t.waiting is not None:
                 t.waiting.failed()
 
-    def _time_is_up(self, number: Number) -> None:
+    def _time_is_up(self, number: WriteNumber) -> None:
         """Guards rule 1 where disk or holder are slower than the client waits."""
         self._kept(number, False)
         self._gave_up(number)
@@ -532,7 +548,7 @@
         elif now - way.beaten >= BEAT:
             way.beaten, way.beat = now, way.beat + 1
             self.asked()
-            way.stream.write(said(talk.Here(way.beat)))
+            way.stream.write(encode(offline_messages.Here(way.beat)))
 
     async def _lead(self, number: int, way: Way) -> None:
         try:
@@ -542,18 +558,18 @@
             self.log.debug("no way to the main site", other=number, reason=str(error))
             return
         way.stream, way.connecting, way.heard = stream, False, self.transport.now()
-        reader = Reader(talk.DECODER)
+        reader = MessageReader(offline_messages.DECODER)
         try:
-            stream.write(said(talk.Greet(self.fleet, self.head)))
+            stream.write(encode(offline_messages.Greet(self.fleet, self.head)))
             if self._ready:
                 self._mark(number)
             while True:
                 for m in reader.take(await stream.read()):
                     way.heard = self.transport.now()
                     self.heard()
-                    if isinstance(m, talk.Told):
+                    if isinstance(m, offline_messages.Told):
                         self._told(number, m)
-        except (StreamClosed, Garbled) as error:
+        except (StreamClosed, ProtocolError) as error:
             self.log.debug("way to the main site ended", other=number, reason=str(error))
         finally:
             way.stream = None
@@ -568,7 +584,7 @@
             return
         for queue, branch, epoch in self._replayed():
             mark = queue.mark if branch == self.head else (0, 0)
-            way.stream.write(said(talk.Marked(branch, epoch, mark, queue.passed)))
+            way.stream.write(encode(offline_messages.Marked(branch, epoch, mark, queue.passed)))
 
     # ---- replay
 
@@ -612,7 +628,7 @@
             way = self._ways[name]
             if way.stream is not None:
                 queue.asks(number, now)
-                way.stream.write(said(talk.Ask(number, epoch, self._fact(number).profile)))
+                way.stream.write(encode(offline_messages.Ask(number, epoch, self._fact(number).profile)))
                 return
         h.since = h.since or now  # nobody there to ask: it is parked in time
 
@@ -636,13 +652,13 @@
         if h.stage is not Stage.SENT or queue.held.get(number) is not h:
             return
         if not kept or way.stream is None:
-            queue.turned_away(number, h.sending(name), self.transport.now() + desk.RETURN_SOON)
+            queue.turned_away(number, h.sending(name), self.transport.now() + admission.RETURN_SOON)
             return
         f = self._fact(number)
         base = f.base if h.write.parks else 0
         way.stream.write(
-            said(
-                talk.Send(
+            encode(
+                offline_messages.Send(
                     number,
                     epoch,
                     h.sending(name),
@@ -659,17 +675,17 @@
             )
         )
 
-    def _fact(self, number: Number) -> Queued:
+    def _fact(self, number: WriteNumber) -> WriteQueued:
         if number.branch != self.head:
             return self.mate.writes[number]
         fact = self.promises.store.table.records[QUEUED, number.life, number.place].fact
-        assert isinstance(fact, Queued)
+        assert isinstance(fact, WriteQueued)
         return fact
 
-    def _told(self, name: int, m: talk.Told) -> None:
+    def _told(self, name: int, m: offline_messages.Told) -> None:
         if m.answer not in list(Answer):
-            raise Garbled(f"an answer of {m.answer}")
-        number, now = Number(*m.number), self.transport.now()
+            raise ProtocolError(f"an answer of {m.answer}")
+        number, now = WriteNumber(*m.number), self.transport.now()
         found = next(((q, e) for q, b, e in self._replayed() if b == number.branch), None)
         h = found[0].held.get(number) if found is not None else None
         if found is None or h is None:
@@ -699,39 +715,43 @@
             self._shut_out(queue, number, m.sending, now)
         self._replay()
 
-    def _in_effect(self, queue: Queue, number: Number) -> None:
+    def _in_effect(self, queue: Queue, number: WriteNumber) -> None:
         queue.in_effect(number)
         self.counts["replayed"] += 1
         self._note("in effect", number, "")
         self._ends(number)
 
-    def _ends(self, number: Number) -> None:
+    def _ends(self, number: WriteNumber) -> None:
         """It is over, and so for whoever holds this head's records."""
         self.shadow.remove(number)
         if number.branch != self.head:
             self.mate.writes.pop(number, None)
             return
         for kind in (QUEUED, STEP):
-            self._say(lambda kind=kind: Gone([kind, number.life, number.place]))  # type: ignore[misc]
+            self._say(lambda kind=kind: Tombstone([kind, number.life, number.place]))  # type: ignore[misc]
 
     def _say(self, fact: Callable[[], Fact | None]) -> None:
-        """Until it is on the disk; None: it need not be said any more."""
-        said = fact()
-        if said is not None and not self.stopped:
-            self.promises.keep(said, lambda kept: None if kept else self._say_again(fact), True)
+        """Until it is on the disk; None: it need not be encode any more."""
+        encode = fact()
+        if encode is not None and not self.stopped:
+            self.promises.keep(encode, lambda kept: None if kept else self._say_again(fact), True)
 
     def _say_again(self, fact: Callable[[], Fact | None]) -> None:
         self.transport.at(self.transport.now() + SAY_AGAIN, lambda: self._say(fact))
 
-    def _step(self, number: Number) -> None:
-        if self._ready:  # before, its records take nothing; what is parked then is said as they begin
+    def _step(self, number: WriteNumber) -> None:
+        if self._ready:  # before, its records take nothing; what is parked then is encode as they begin
             self._say(lambda: self._step_of(number))
 
-    def _step_of(self, number: Number) -> Step | None:
+    def _step_of(self, number: WriteNumber) -> WriteProgress | None:
         h = self.queue.held.get(number)
-        return Step(number.life, number.place, h.stage.value, h.suspects, h.reason, h.anyway) if h else None
+        return (
+            WriteProgress(number.life, number.place, h.stage.value, h.suspects, h.reason, h.anyway)
+            if h
+            else None
+        )
 
-    def _park(self, queue: Queue, number: Number, why: str) -> None:
+    def _park(self, queue: Queue, number: WriteNumber, why: str) -> None:
         queue.park(number, why)
         self._parked(queue)
 
@@ -766,7 +786,7 @@
                         "would know, do not answer",
                     )
 
-    def _shut_out(self, queue: Queue, number: Number, epoch: int, now: float) -> None:
+    def _shut_out(self, queue: Queue, number: WriteNumber, epoch: int, now: float) -> None:
         """Whoever else replays goes on; nothing more is sent from here."""
         queue.broke()
         if queue is not self.queue:
@@ -786,7 +806,7 @@
 
     # ---- operators
 
-    def _note(self, what: str, number: Number | None, text: str) -> None:
+    def _note(self, what: str, number: WriteNumber | None, text: str) -> None:
         if number is None:
             self.log.info("branch", what=what, text=text)
         self.history.append(
@@ -798,8 +818,8 @@
             }
         )
 
-    def answer(self, asked: talk.Question) -> dict[str, Any]:
-        number = Number(*asked.number) if asked.number is not None else None
+    def answer(self, asked: offline_messages.Question) -> dict[str, Any]:
+        number = WriteNumber(*asked.number) if asked.number is not None else None
         if asked.what == "show":
             return self._shown()
         if asked.what == "history":
@@ -827,7 +847,9 @@
         if not queue.discard(number):
             return {"error": "another write depends on it: discard that first, or release this one"}
         self._say(
-            lambda: Discarded(number.life, number.place, f.volume, f.block, self.transport.wall(), h.reason)
+            lambda: WriteDiscarded(
+                number.life, number.place, f.volume, f.block, self.transport.wall(), h.reason
+            )
         )
         self._ends(number)
         self._note("discarded", number, h.reason)
--- a/gorsethread/nvme_gateway/landing.py
+++ b/gorsethread/nvme_gateway/replay_receiver.py
@@ -1,24 +1,24 @@
 """Carries a main site's head's part of branches' replay: each write that comes is put into effect by this
 head's own decisions, as a transaction like others. What is in effect, under way or not known is kept by
-`branch/landing.py`, and in this head's records where it may not run twice.
+`offline_writes/applied_writes.py`, and in this head's records where it may not run twice.
 """
 
 from collections.abc import Callable
 from typing import Any
 
-from gorsethread.durable_log.kinds import EFFECT, Effect, Gone
-from gorsethread.durable_log.talk import Garbled, said
+from gorsethread.durable_log.records import EFFECT, Tombstone, WriteApplied
+from gorsethread.durable_log.replication_messages import ProtocolError, encode
 from gorsethread.gateway.carrying import Placement
 from gorsethread.gateway.driver import Driver, Open
 from gorsethread.head.facts import Sorter, units_of
 from gorsethread.head.links import Order
 from gorsethread.nvme.command import Opcode, io_command
 from gorsethread.nvme.subsystem import BLOCK
-from gorsethread.nvme_gateway.promises import Promises
-from gorsethread.offline_writes import talk
-from gorsethread.offline_writes.bases import base_of, digests
-from gorsethread.offline_writes.landing import Answer, Landing
-from gorsethread.offline_writes.writes import Number
+from gorsethread.nvme_gateway.replicated_log import ReplicatedLog
+from gorsethread.offline_writes import messages as offline_messages
+from gorsethread.offline_writes.applied_writes import Answer, Landing
+from gorsethread.offline_writes.base_versions import base_of, digests
+from gorsethread.offline_writes.writes import WriteNumber
 from gorsethread.recovery.stages import AGAIN, Stage
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.transport.base import Stream, Transport
@@ -50,12 +50,12 @@
         return Answer.UNKNOWN if ran and not self.redoable else Answer.AGAIN
 
 
-class LandingSide:
+class ReplayReceiver:
     def __init__(
         self,
         transport: Transport,
         site: pb.Site,
-        promises: Promises,
+        promises: ReplicatedLog,
         driver: Driver,
         placement: Placement,
         log: Any,
@@ -67,14 +67,16 @@
         self.of_branches = {n for b in site.branch for n in b.head}
         self.sorter = Sorter(site)
         self.landing: Landing | None = None
-        self._waiters: dict[Number, list[tuple[Stream, int]]] = {}  # who asked or sent; emptied as each ends
+        self._waiters: dict[
+            WriteNumber, list[tuple[Stream, int]]
+        ] = {}  # who asked or sent; emptied as each ends
         promises.given_back = self._recover
 
     def _recover(self) -> None:
         if self.landing is not None:
             for r in self.promises.store.table.records.values():
-                if isinstance(r.fact, Effect):
-                    self.landing.recovered(Number(r.fact.branch, r.fact.life, r.fact.place), r.fact.ran)
+                if isinstance(r.fact, WriteApplied):
+                    self.landing.recovered(WriteNumber(r.fact.branch, r.fact.life, r.fact.place), r.fact.ran)
 
     def _known(self) -> Landing | None:
         """None while this head does not know yet what it had begun."""
@@ -87,23 +89,27 @@
 
     def took(self, stream: Stream, m: Any) -> None:
         """One message of a branch's head."""
-        if isinstance(m, talk.Here):
-            stream.write(said(talk.There(m.beat)))
+        if isinstance(m, offline_messages.Here):
+            stream.write(encode(offline_messages.There(m.beat)))
             return
         landing = self._known()
-        if isinstance(m, talk.Marked | talk.Ask | talk.Send):
-            branch = m.branch if isinstance(m, talk.Marked) else m.number[0]
+        if isinstance(m, offline_messages.Marked | offline_messages.Ask | offline_messages.Send):
+            branch = m.branch if isinstance(m, offline_messages.Marked) else m.number[0]
             if branch not in self.of_branches:
-                raise Garbled(f"head {branch} is of no branch")
-        if isinstance(m, talk.Marked):
+                raise ProtocolError(f"head {branch} is of no branch")
+        if isinstance(m, offline_messages.Marked):
             over = landing.marked(m.branch, m.epoch, m.mark, frozenset(m.parked)) if landing else []
             if over is None:
                 self.log.warning("an earlier epoch of a branch is shut out", branch=m.branch, epoch=m.epoch)
             for place in over or ():
                 if (EFFECT, m.branch, *place) in self.promises.store.table.records:
-                    self.promises.keep(Gone([EFFECT, m.branch, *place]))
-        elif isinstance(m, talk.Ask | talk.Send):
-            if not 0 <= m.profile < len(self.site.profile) or isinstance(m, talk.Send) and not self._fits(m):
+                    self.promises.keep(Tombstone([EFFECT, m.branch, *place]))
+        elif isinstance(m, offline_messages.Ask | offline_messages.Send):
+            if (
+                not 0 <= m.profile < len(self.site.profile)
+                or isinstance(m, offline_messages.Send)
+                and not self._fits(m)
+            ):
                 self.log.error(
                     "a branch's write fits nothing in this head's site file",
                     number=m.number,
@@ -111,13 +117,13 @@
                 )
                 landing = None
             if landing is None:
-                self._tell(stream, Number(*m.number), Answer.AGAIN, after=AGAIN)
-            elif isinstance(m, talk.Ask):
+                self._tell(stream, WriteNumber(*m.number), Answer.AGAIN, after=AGAIN)
+            elif isinstance(m, offline_messages.Ask):
                 self._asked(stream, landing, m)
             else:
                 self._sent(stream, landing, m)
 
-    def _fits(self, m: talk.Send) -> bool:
+    def _fits(self, m: offline_messages.Send) -> bool:
         v = self.volumes.get(m.volume)
         return (
             v is not None
@@ -129,23 +135,23 @@
         )
 
     def _tell(
-        self, stream: Stream, number: Number, answer: Answer, sending: int = 0, after: float = 0.0
+        self, stream: Stream, number: WriteNumber, answer: Answer, sending: int = 0, after: float = 0.0
     ) -> None:
-        stream.write(said(talk.Told(number, int(answer), sending, after)))
+        stream.write(encode(offline_messages.Told(number, int(answer), sending, after)))
 
     def _redoable(self, profile: int) -> bool:
         return self.site.profile[profile].effect == pb.REDOABLE
 
-    def _asked(self, stream: Stream, landing: Landing, m: talk.Ask) -> None:
-        number = Number(*m.number)
+    def _asked(self, stream: Stream, landing: Landing, m: offline_messages.Ask) -> None:
+        number = WriteNumber(*m.number)
         answer, sending = landing.asked(number, m.epoch, self._redoable(m.profile))
         if answer is Answer.WAITS:
             self._waiters.setdefault(number, []).append((stream, 0))
         else:
             self._tell(stream, number, answer, sending)
 
-    def _sent(self, stream: Stream, landing: Landing, m: talk.Send) -> None:
-        number = Number(*m.number)
+    def _sent(self, stream: Stream, landing: Landing, m: offline_messages.Send) -> None:
+        number = WriteNumber(*m.number)
         if m.anyway:
             landing.released(number)
         answer = landing.sent(number, m.sending, m.epoch, self._redoable(m.profile))
@@ -162,15 +168,15 @@
             self._ends(number, Answer.AGAIN, after)
         else:
             # Kept by as many as hold a promise: after a loss of this machine nobody takes it for not begun.
-            self.promises.keep(Effect(*number, False), lambda kept: self._begun(m, kept))
+            self.promises.keep(WriteApplied(*number, False), lambda kept: self._begun(m, kept))
 
-    def _begun(self, m: talk.Send, kept: bool) -> None:
+    def _begun(self, m: offline_messages.Send, kept: bool) -> None:
         if kept:
             self._look(m)
         else:
-            self._not_run(Number(*m.number), AGAIN)
+            self._not_run(WriteNumber(*m.number), AGAIN)
 
-    def _look(self, m: talk.Send) -> None:
+    def _look(self, m: offline_messages.Send) -> None:
         """Where the branch saw what its blocks held, whether they still hold it."""
         if not m.base:
             self._write(m)
@@ -179,26 +185,26 @@
         def looked(one: Landed, answer: Answer, data: bytes, after: float) -> None:
             there = digests(data, BLOCK)
             if answer is not Answer.IN_EFFECT:
-                self._not_run(Number(*m.number), after)
+                self._not_run(WriteNumber(*m.number), after)
             elif base_of(there) in (m.base, base_of(digests(m.data, BLOCK))):
                 self._write(m)
             else:
-                self._not_run(Number(*m.number), 0.0, Answer.CHANGED)
+                self._not_run(WriteNumber(*m.number), 0.0, Answer.CHANGED)
 
         self._take(m, Opcode.READ, Landed(looked, True, self.driver))
 
-    def _write(self, m: talk.Send) -> None:
+    def _write(self, m: offline_messages.Send) -> None:
         self._take(
             m,
             Opcode.WRITE,
             Landed(
-                lambda one, answer, data, after: self._wrote(Number(*m.number), answer, after),
+                lambda one, answer, data, after: self._wrote(WriteNumber(*m.number), answer, after),
                 self._redoable(m.profile),
                 self.driver,
             ),
         )
 
-    def _take(self, m: talk.Send, operation: Opcode, landed: Landed) -> None:
+    def _take(self, m: offline_messages.Send, operation: Opcode, landed: Landed) -> None:
         v, blocks = self.volumes[m.volume], len(m.data) // BLOCK
         reads = operation == Opcode.READ
         profile = self.sorter.profile(v.plan, operation, len(m.data), 0) if reads else m.profile
@@ -228,20 +234,20 @@
             place=(m.volume, extent),
         )
 
-    def _wrote(self, number: Number, answer: Answer, after: float) -> None:
+    def _wrote(self, number: WriteNumber, answer: Answer, after: float) -> None:
         if answer is Answer.IN_EFFECT:
-            self.promises.keep(Effect(*number, True))
+            self.promises.keep(WriteApplied(*number, True))
             self._ends(number, answer, 0.0)
         elif answer is Answer.UNKNOWN:
             self._ends(number, answer, 0.0)
         else:
             self._not_run(number, after)
 
-    def _not_run(self, number: Number, after: float, answer: Answer = Answer.AGAIN) -> None:
-        self.promises.keep(Gone([EFFECT, *number]))
+    def _not_run(self, number: WriteNumber, after: float, answer: Answer = Answer.AGAIN) -> None:
+        self.promises.keep(Tombstone([EFFECT, *number]))
         self._ends(number, answer, after)
 
-    def _ends(self, number: Number, answer: Answer, after: float) -> None:
+    def _ends(self, number: WriteNumber, answer: Answer, after: float) -> None:
         assert self.landing is not None
         self.landing.ended(number, answer)
         for stream, sending in self._waiters.pop(number, ()):
--- a/gorsethread/nvme_gateway/holding.py
+++ b/gorsethread/nvme_gateway/replica_server.py
@@ -1,18 +1,18 @@
 """Carries what a head holds for others: copies of their records on its own disk, given back when asked. Who
-is shut out is decided by `records/copying.py`. What branches' heads and operators say on the same port goes
+is shut out is decided by `durable_log/replication.py`. What branches' heads and operators say on the same port goes
 to whoever is there for it."""
 
 import asyncio
 from collections.abc import Callable
 from typing import Any
 
-from gorsethread.durable_log import talk
-from gorsethread.durable_log.copying import CATCH_UP, CHUNK, CHUNK_BYTES, Keeping
-from gorsethread.durable_log.kinds import NONE, Number, Record, Table, pieces
+from gorsethread.durable_log import replication_messages
+from gorsethread.durable_log.records import NO_SEQUENCE, Record, RecordTable, SequenceNumber, pieces
+from gorsethread.durable_log.replication import CATCH_UP, CHUNK, CHUNK_BYTES, Keeping
 from gorsethread.durable_log.store import Store, strays
-from gorsethread.errors import Trouble
+from gorsethread.errors import GorsethreadError
 from gorsethread.head.peers import fleet_of
-from gorsethread.offline_writes import talk as branches
+from gorsethread.offline_writes import messages as offline_messages
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.sitefile.reading import split_address
 from gorsethread.transport.base import Stream, StreamClosed, Transport
@@ -43,7 +43,7 @@
         self.by: Stream | None = None  # the latest that its owner greeted on; only on that are pieces taken
 
 
-class Holding:
+class ReplicaServer:
     def __init__(
         self, transport: Transport, site: pb.Site, head: int, folder: str, log: Any, listen: str = ""
     ) -> None:
@@ -56,9 +56,9 @@
         self.held: dict[int, Held] = {}  # as many as other heads
         self._streams: set[Stream] = set()
         self.branch_said: Callable[[Stream, Any], None] | None = None  # at a head of the main site
-        self.asked: Callable[[branches.Question], bytes] | None = None  # at a branch's head
+        self.asked: Callable[[offline_messages.Question], bytes] | None = None  # at a branch's head
         # Told of another head's records as they are on this disk: whose, begins anew, all up to that number.
-        self.kept: Callable[[int, list[Record], bool, Number], None] = lambda *_: None
+        self.kept: Callable[[int, list[Record], bool, SequenceNumber], None] = lambda *_: None
 
     def start(self) -> None:
         """OSError where its address can't be had."""
@@ -91,65 +91,79 @@
 
     async def _serve(self, stream: Stream) -> None:
         self._streams.add(stream)
-        reader, origin = talk.Reader(branches.DECODER), -1
+        reader, origin = replication_messages.MessageReader(offline_messages.DECODER), -1
         # Guards against whoever connects and says nothing: it would hold a place that a head needs.
         guard = self.transport.at(self.transport.now() + HELLO_WITHIN, stream.close)
         try:
             while True:
                 for m in reader.take(await stream.read()):
-                    if isinstance(m, talk.Hello):
+                    if isinstance(m, replication_messages.Hello):
                         if m.fleet != self.fleet or m.head not in self.heads or m.head == self.head:
-                            raise talk.Garbled(f"head {m.head} of fleet {m.fleet} is none of this fleet")
+                            raise replication_messages.ProtocolError(
+                                f"head {m.head} of fleet {m.fleet} is none of this fleet"
+                            )
                         origin = m.head
                         guard.cancel()
                         self._greeted(stream, origin, m.life)
-                    elif isinstance(m, branches.Greet):
+                    elif isinstance(m, offline_messages.Greet):
                         if m.fleet != self.fleet or m.head not in self.heads:
-                            raise talk.Garbled(f"head {m.head} of fleet {m.fleet} is none of this fleet")
+                            raise replication_messages.ProtocolError(
+                                f"head {m.head} of fleet {m.fleet} is none of this fleet"
+                            )
                         origin = m.head
                         guard.cancel()
-                    elif isinstance(m, branches.Question):
+                    elif isinstance(m, offline_messages.Question):
                         self._question(stream, m)
                     elif origin < 0:
-                        raise talk.Garbled("no hello came first")
-                    elif isinstance(m, talk.Fetch):
+                        raise replication_messages.ProtocolError("no hello came first")
+                    elif isinstance(m, replication_messages.Fetch):
                         await self._give(stream, origin, m)
-                    elif isinstance(m, talk.Put):
+                    elif isinstance(m, replication_messages.Put):
                         await self._put(stream, origin, m)
-                    elif isinstance(m, branches.OF_BRANCHES) and self.branch_said is not None:
+                    elif isinstance(m, offline_messages.OF_BRANCHES) and self.branch_said is not None:
                         self.branch_said(stream, m)
         except StreamClosed:
             pass
-        except (Trouble, OSError) as error:
+        except (GorsethreadError, OSError) as error:
             self.log.error("no copy is held", of=origin, reason=str(error))
         finally:
             guard.cancel()
             self._streams.discard(stream)
             stream.close()
 
-    def _question(self, stream: Stream, m: branches.Question) -> None:
+    def _question(self, stream: Stream, m: offline_messages.Question) -> None:
         if not stream.peer.startswith(LOOPBACK) or m.fleet != self.fleet or self.asked is None:
-            raise talk.Garbled("an operator's question that is not answered here")
-        stream.write(talk.said(branches.Shown(self.asked(m))))
+            raise replication_messages.ProtocolError("an operator's question that is not answered here")
+        stream.write(replication_messages.encode(offline_messages.Shown(self.asked(m))))
 
     def _greeted(self, stream: Stream, origin: int, life: int) -> None:
         held = self.of(origin)
         latest = self.keeping.greets(origin, life)
-        last = held.store.table.last if held.whole else NONE
+        last = held.store.table.last if held.whole else NO_SEQUENCE
         if life >= latest:
             held.by = stream
-        stream.write(talk.said(talk.Over(latest) if 0 < life < latest else talk.Have(latest, last)))
+        stream.write(
+            replication_messages.encode(
+                replication_messages.Over(latest)
+                if 0 < life < latest
+                else replication_messages.Have(latest, last)
+            )
+        )
 
-    async def _give(self, stream: Stream, origin: int, asked: talk.Fetch) -> None:
+    async def _give(self, stream: Stream, origin: int, asked: replication_messages.Fetch) -> None:
         later = list(pieces(self.of(origin).store.table.after(asked.after), CHUNK, CHUNK_BYTES)) or [[]]
         for n, piece in enumerate(later, 1):
             more = n < len(later)
-            stream.write(talk.said(talk.Give(talk.entries(piece), more)))
+            stream.write(
+                replication_messages.encode(
+                    replication_messages.Give(replication_messages.entries(piece), more)
+                )
+            )
             if more:
                 await stream.drained()
                 await self.transport.sleep(CATCH_UP)  # live work goes first
 
-    async def _put(self, stream: Stream, origin: int, m: talk.Put) -> None:
+    async def _put(self, stream: Stream, origin: int, m: replication_messages.Put) -> None:
         held = self.of(origin)
         async with held.turn:
             # Guards against what a cut held on an earlier stream: a word on what has been taken back since,
@@ -157,19 +171,25 @@
             if held.by is not stream:
                 raise StreamClosed("greeted anew since")
             if not self.keeping.takes(origin, m.life):
-                stream.write(talk.said(talk.Over(self.keeping.lives[origin])))
+                stream.write(
+                    replication_messages.encode(replication_messages.Over(self.keeping.lives[origin]))
+                )
                 return
             kept = await self._keep(held, m)
             if kept:
                 held.store.table.last = max(held.store.table.last, m.last)
                 held.filled = not m.more and (m.begins or held.whole)
-                self.kept(origin, talk.records(m.entries), m.begins, m.last)
-            stream.write(talk.said(talk.Holds(m.last) if kept else talk.Failed()))
+                self.kept(origin, replication_messages.records(m.entries), m.begins, m.last)
+            stream.write(
+                replication_messages.encode(
+                    replication_messages.Holds(m.last) if kept else replication_messages.Failed()
+                )
+            )
 
-    async def _keep(self, held: Held, m: talk.Put) -> bool:
-        store, given = held.store, talk.records(m.entries)
+    async def _keep(self, held: Held, m: replication_messages.Put) -> bool:
+        store, given = held.store, replication_messages.records(m.entries)
         if m.begins:
-            store.replace(Table(given))
+            store.replace(RecordTable(given))
             held.whole = True
         if m.begins or not store.begun or m.life > store.life:
             await store.begin(m.life)
--- a/gorsethread/nvme_gateway/promises.py
+++ b/gorsethread/nvme_gateway/replicated_log.py
@@ -2,9 +2,9 @@
 Heads of a branch hold copies for each other, and the main site's for each other: where the link between them
 is gone, each side keeps its promises alone.
 
-What is decided is decided by pure cores: the disk's state (`records/disk.py`), stages
-(`returning/stages.py`), holders and pieces (`records/holders.py`, `records/copying.py`). Calls to others are
-bounded by their number.
+What is decided is decided by pure cores: the disk's state (`durable_log/disk_health.py`),
+stages (`recovery/stages.py`), holders and pieces (`durable_log/replica_placement.py`, `replication.py`). Calls
+to others are bounded by their number.
 """
 
 from collections import deque
@@ -12,16 +12,29 @@
 from functools import partial
 from typing import Any
 
-from gorsethread.durable_log import talk
-from gorsethread.durable_log.copying import AGAIN_LEAST, AGAIN_MOST, CATCH_UP, HELD_WITHIN, Sender
-from gorsethread.durable_log.holders import Place as At
-from gorsethread.durable_log.holders import holders
-from gorsethread.durable_log.kinds import Fact, Freed, Number, Placed, Record, Table
+from gorsethread.durable_log import replication_messages
+from gorsethread.durable_log.records import (
+    ExtentPlaced,
+    ExtentReleased,
+    Fact,
+    Record,
+    RecordTable,
+    SequenceNumber,
+)
+from gorsethread.durable_log.replica_placement import Place as At
+from gorsethread.durable_log.replica_placement import holders
+from gorsethread.durable_log.replication import (
+    AGAIN_LEAST,
+    AGAIN_MOST,
+    CATCH_UP,
+    HELD_WITHIN,
+    ReplicationSender,
+)
 from gorsethread.durable_log.store import Store, strays
 from gorsethread.gateway.carrying import Place
 from gorsethread.head.peers import fleet_of
 from gorsethread.head.placement import SitePlacement
-from gorsethread.nvme_gateway.holding import copies_of, own_of
+from gorsethread.nvme_gateway.replica_server import copies_of, own_of
 from gorsethread.recovery.spacing import Asks, returns_after
 from gorsethread.recovery.stages import AGAIN, Return, Stage, due
 from gorsethread.sitefile import site_pb2 as pb
@@ -43,7 +56,7 @@
     return mine - {head}
 
 
-class Promises:
+class ReplicatedLog:
     """The owner's side. living: heads that the view does not hold dead."""
 
     def __init__(
@@ -68,14 +81,14 @@
             else {}
         )
         self.given_back: Callable[[], None] = lambda: None  # others had more of this head's than it had
-        self.sender = Sender(min(site.records.held_by, len(self.others)))
+        self.sender = ReplicationSender(min(site.records.held_by, len(self.others)))
         self.returning: Return
         self.chance = transport.chance("promises")
         self.life = 0
         self.stopped = False
         self._place = 0
         self._waiting: dict[Place, list[Done]] = {}  # emptied as each is told
-        self._unheld: deque[tuple[Number, Done]] = deque()  # on the own disk, too few copies yet
+        self._unheld: deque[tuple[SequenceNumber, Done]] = deque()  # on the own disk, too few copies yet
         self._streams: dict[int, Stream] = {}  # to holders; emptied as they end
 
     # ---- the head's start
@@ -140,7 +153,7 @@
                 r.accept(self.transport.now())
         if self.store.holes:
             self.store.holes = False
-            self.store.grow(Table())
+            self.store.grow(RecordTable())
         self.log.info("nothing that it held is missing", after=round(r.since - r.began, 3))
 
     async def _tick(self) -> None:
@@ -167,26 +180,28 @@
             await self.transport.sleep(AGAIN_MOST)  # the view holds it dead: it hardly answers
         try:
             await self._ask_once(other)
-        except (Unreachable, StreamClosed, talk.Garbled) as error:
+        except (Unreachable, StreamClosed, replication_messages.ProtocolError) as error:
             self.log.debug("not asked", other=other, reason=str(error))
         asks.ended(other, other not in r.wanted(), self.transport.now() - began)
 
     async def _ask_once(self, other: int) -> None:
         stream = await self.transport.connect(*self.others[other], CONNECT_WITHIN)
         guard = self.transport.at(self.transport.now() + SILENCE_MOST, stream.close)
-        got, reader = Table(), talk.Reader()
+        got, reader = RecordTable(), replication_messages.MessageReader()
         try:
-            stream.write(talk.said(talk.Hello(self.fleet, self.head, 0)))
+            stream.write(replication_messages.encode(replication_messages.Hello(self.fleet, self.head, 0)))
             while True:
                 for m in reader.take(await stream.read()):
-                    if isinstance(m, talk.Have):
+                    if isinstance(m, replication_messages.Have):
                         if not self.returning.answered(other, m.last, m.life, self.transport.now()):
                             return
-                        stream.write(talk.said(talk.Fetch(self.returning.own)))
-                    elif isinstance(m, talk.Give):
+                        stream.write(
+                            replication_messages.encode(replication_messages.Fetch(self.returning.own))
+                        )
+                    elif isinstance(m, replication_messages.Give):
                         guard.cancel()
                         guard = self.transport.at(self.transport.now() + SILENCE_MOST, stream.close)
-                        for record in talk.records(m.entries):
+                        for record in replication_messages.records(m.entries):
                             got.take(record)
                         if not m.more:
                             self._given(other, got)
@@ -195,7 +210,7 @@
             guard.cancel()
             stream.close()
 
-    def _given(self, other: int, got: Table) -> None:
+    def _given(self, other: int, got: RecordTable) -> None:
         self.log.info("records given back", by=other, records=len(got.records), last=got.last)
         self.store.grow(got)
         self.sender.anew()
@@ -221,15 +236,15 @@
             self.transport.soon(partial(done, False))
             return
         self._waiting[place] = [done]
-        self.keep(Placed(*place, shard), lambda kept: self._settle(place, kept))
+        self.keep(ExtentPlaced(*place, shard), lambda kept: self._settle(place, kept))
 
     def freed(self, place: Place) -> None:
         known = self.store.table.records.get(place)
-        if known is not None and isinstance(known.fact, Placed):
-            self.keep(Freed(*place))
+        if known is not None and isinstance(known.fact, ExtentPlaced):
+            self.keep(ExtentReleased(*place))
 
     @property
-    def next(self) -> Number:
+    def next(self) -> SequenceNumber:
         """The number of what is kept next."""
         return self.life, self._place + 1
 
@@ -239,7 +254,7 @@
         number = self.life, self._place
         self.store.add(Record(number, fact), lambda kept: self._flushed(number, kept, done, here))
 
-    def _flushed(self, number: Number, kept: bool, done: Done | None, here: bool) -> None:
+    def _flushed(self, number: SequenceNumber, kept: bool, done: Done | None, here: bool) -> None:
         if done is not None:
             if not kept or here or self.sender.held_by == 0:
                 done(kept)
@@ -248,7 +263,7 @@
                 self.transport.at(self.transport.now() + HELD_WITHIN, lambda: self._overdue(number))
         self._pump_all()
 
-    def _overdue(self, number: Number) -> None:
+    def _overdue(self, number: SequenceNumber) -> None:
         """Guards against holders that fell silent: who waits for them is told that it can't be kept."""
         while self._unheld and self._unheld[0][0] <= number:
             self._unheld.popleft()[1](False)
@@ -279,7 +294,7 @@
             try:
                 await self._hold_once(other)
                 wait = AGAIN_LEAST
-            except (Unreachable, talk.Garbled) as error:
+            except (Unreachable, replication_messages.ProtocolError) as error:
                 self.log.debug("no way to a holder", other=other, reason=str(error))
                 wait = min(AGAIN_MOST, 2.0 * wait)
             self.sender.lost(other)
@@ -288,7 +303,7 @@
     async def _hold_once(self, other: int) -> None:
         stream = await self.transport.connect(*self.others[other], CONNECT_WITHIN)
         self._streams[other] = stream
-        reader = talk.Reader()
+        reader = replication_messages.MessageReader()
         heard = [self.transport.now()]
 
         def watch() -> None:
@@ -301,7 +316,9 @@
 
         watch()
         try:
-            stream.write(talk.said(talk.Hello(self.fleet, self.head, self.life)))
+            stream.write(
+                replication_messages.encode(replication_messages.Hello(self.fleet, self.head, self.life))
+            )
             while True:
                 for m in reader.take(await stream.read()):
                     heard[0] = self.transport.now()
@@ -312,11 +329,11 @@
             self._streams.pop(other, None)
             stream.close()
 
-    def _told_by(self, other: int, m: talk.Message) -> None:
-        if isinstance(m, talk.Have) and m.life <= self.life:
+    def _told_by(self, other: int, m: replication_messages.Message) -> None:
+        if isinstance(m, replication_messages.Have) and m.life <= self.life:
             self.sender.met(other, m.last, self.store.forgot)
             self._pump(other)
-        elif isinstance(m, talk.Have | talk.Over):
+        elif isinstance(m, replication_messages.Have | replication_messages.Over):
             self.sender.shut_out = True
             self.log.error(
                 "a later life of this head is known; nothing is promised any more",
@@ -325,7 +342,7 @@
                 own=self.life,
                 to_do="end one of the two processes of this head",
             )
-        elif isinstance(m, talk.Holds):
+        elif isinstance(m, replication_messages.Holds):
             full = self.sender.has(other, m.last)
             held = self.sender.held
             while self._unheld and self._unheld[0][0] <= held:
@@ -334,7 +351,7 @@
                 self.transport.at(self.transport.now() + CATCH_UP, lambda: self._pump(other))
             else:
                 self._pump(other)
-        elif isinstance(m, talk.Failed):
+        elif isinstance(m, replication_messages.Failed):
             self._streams[other].close()
 
     def _pump_all(self) -> None:
@@ -348,7 +365,13 @@
         piece = self.sender.piece(other, self.store.table, self.store.flushed)
         if piece is not None:
             stream.write(
-                talk.said(
-                    talk.Put(self.life, piece.begins, talk.entries(piece.records), piece.last, piece.more)
+                replication_messages.encode(
+                    replication_messages.Put(
+                        self.life,
+                        piece.begins,
+                        replication_messages.entries(piece.records),
+                        piece.last,
+                        piece.more,
+                    )
                 )
             )
--- a/gorsethread/offline_writes/desk.py
+++ b/gorsethread/offline_writes/admission.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 from enum import Enum
 
-from gorsethread.offline_writes.writes import Number
+from gorsethread.offline_writes.writes import WriteNumber
 
 RETURN_CUT = 1.0  # seconds after which what can't be had while the link is gone may be asked for again
 RETURN_SOON = 0.2  # and what waits for queued writes only
@@ -17,7 +17,7 @@
     BACK = "push back"
 
 
-def of_read(queues: bool, last: Sequence[Number | None]) -> Say:
+def of_read(queues: bool, last: Sequence[WriteNumber | None]) -> Say:
     """last: of each block the queued write that it would see."""
     if all(n is None for n in last):
         return Say.BACK if queues else Say.THROUGH
--- a/gorsethread/offline_writes/landing.py
+++ b/gorsethread/offline_writes/applied_writes.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from gorsethread.offline_writes.writes import Number
+from gorsethread.offline_writes.writes import WriteNumber
 
 Place = tuple[int, int]  # life and place of a branch's write
 RUNNING_MOST = 32  # of all branches, at one head of the main site
@@ -52,7 +52,7 @@
         self.base = life << 12
         self.of: dict[int, Of] = {}  # as many as heads of branches
 
-    def recovered(self, number: Number, ran: bool) -> None:
+    def recovered(self, number: WriteNumber, ran: bool) -> None:
         """By this head's own records, or those that others held of it."""
         of = self._of(number)
         place = (number.life, number.place)
@@ -78,7 +78,7 @@
             del of.closed[place]
         return over
 
-    def asked(self, number: Number, epoch: int, redoable: bool) -> tuple[Answer, int]:
+    def asked(self, number: WriteNumber, epoch: int, redoable: bool) -> tuple[Answer, int]:
         """The answer, and with NOT which sending is taken from now on. WAITS: it is given with the end."""
         of, place = self._of(number), (number.life, number.place)
         if epoch < of.epoch:
@@ -94,7 +94,7 @@
         of.closed[place] = max(self.base, of.closed.get(place, 0)) + 1
         return Answer.NOT, of.closed[place]
 
-    def sent(self, number: Number, sending: int, epoch: int, redoable: bool) -> Answer:
+    def sent(self, number: WriteNumber, sending: int, epoch: int, redoable: bool) -> Answer:
         of, place = self._of(number), (number.life, number.place)
         if epoch < of.epoch:
             return Answer.SHUT_OUT
@@ -112,7 +112,7 @@
         of.running.add(place)
         return Answer.RUNS
 
-    def ended(self, number: Number, answer: Answer) -> None:
+    def ended(self, number: WriteNumber, answer: Answer) -> None:
         """Of what ran: IN_EFFECT, UNKNOWN, or it has not run."""
         of, place = self._of(number), (number.life, number.place)
         of.running.discard(place)
@@ -123,7 +123,7 @@
         elif answer is Answer.UNKNOWN:
             of.unknown.add(place)
 
-    def released(self, number: Number) -> None:
+    def released(self, number: WriteNumber) -> None:
         """A person says that what may have run is to be sent again."""
         self._of(number).unknown.discard((number.life, number.place))
 
@@ -134,5 +134,5 @@
     def _over(self, of: Of, place: Place) -> bool:
         return place in of.in_effect or place <= of.mark and place not in of.parked
 
-    def _of(self, number: Number) -> Of:
+    def _of(self, number: WriteNumber) -> Of:
         return self.of.setdefault(number.branch, Of())
--- a/gorsethread/offline_writes/talk.py
+++ b/gorsethread/offline_writes/messages.py
@@ -1,11 +1,11 @@
 """What a branch's heads, the main site's heads and operators say to each other of queued writes, as messages
-of the heads' own streams (records/talk.py)."""
+of the heads' own streams (records/replication_messages.py)."""
 
 from typing import Any
 
 import msgspec
 
-from gorsethread.durable_log import talk
+from gorsethread.durable_log import replication_messages
 
 Triple = tuple[int, int, int]  # branch, life, place
 
@@ -64,7 +64,7 @@
 
 
 class Told(msgspec.Struct, frozen=True, tag="told", array_like=True):
-    """answer: of branch/landing.py. sending: which is taken from now on, with NOT; which it answers, else; an
+    """answer: of applied_writes.py. sending: which is taken from now on, with NOT; which it answers, else; an
     epoch with SHUT_OUT. after: seconds, with AGAIN."""
 
     number: Triple
@@ -89,4 +89,4 @@
 
 Message = Greet | Here | There | Marked | Ask | Send | Told | Question | Shown
 OF_BRANCHES = (Greet, Here, There, Marked, Ask, Send, Told, Question, Shown)
-DECODER: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(talk.Message | Message)
+DECODER: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(replication_messages.Message | Message)
--- a/gorsethread/offline_writes/shadow.py
+++ b/gorsethread/offline_writes/pending_overlay.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from gorsethread.offline_writes.writes import Number
+from gorsethread.offline_writes.writes import WriteNumber
 
 
 class Bytes(NamedTuple):
@@ -11,7 +11,7 @@
     block: int
     blocks: int
     data: bytes
-    after: frozenset[Number]
+    after: frozenset[WriteNumber]
 
 
 class Shadow:
@@ -19,10 +19,12 @@
 
     def __init__(self, block_bytes: int) -> None:
         self.block_bytes = block_bytes
-        self._writes: dict[Number, Bytes] = {}
-        self._blocks: dict[tuple[int, int], list[Number]] = {}  # in order; emptied as writes go
+        self._writes: dict[WriteNumber, Bytes] = {}
+        self._blocks: dict[tuple[int, int], list[WriteNumber]] = {}  # in order; emptied as writes go
 
-    def add(self, number: Number, volume: int, block: int, data: bytes, after: Iterable[Number]) -> None:
+    def add(
+        self, number: WriteNumber, volume: int, block: int, data: bytes, after: Iterable[WriteNumber]
+    ) -> None:
         """after: writes that come before it; one of these that is heard of late is put before it."""
         if number in self._writes:
             return
@@ -33,7 +35,7 @@
             at = next((k for k, other in enumerate(line) if number in self._writes[other].after), len(line))
             line.insert(at, number)
 
-    def remove(self, number: Number) -> None:
+    def remove(self, number: WriteNumber) -> None:
         gone = self._writes.pop(number, None)
         if gone is None:
             return
@@ -43,17 +45,17 @@
             if not line:
                 del self._blocks[gone.volume, n]
 
-    def last(self, volume: int, block: int, blocks: int) -> list[Number | None]:
+    def last(self, volume: int, block: int, blocks: int) -> list[WriteNumber | None]:
         """Of each block the last write of it."""
         return [
             line[-1] if (line := self._blocks.get((volume, n))) else None
             for n in range(block, block + blocks)
         ]
 
-    def data(self, number: Number, block: int) -> bytes:
+    def data(self, number: WriteNumber, block: int) -> bytes:
         w = self._writes[number]
         at = (block - w.block) * self.block_bytes
         return w.data[at : at + self.block_bytes]
 
-    def __contains__(self, number: Number) -> bool:
+    def __contains__(self, number: WriteNumber) -> bool:
         return number in self._writes
--- a/gorsethread/offline_writes/homes.py
+++ b/gorsethread/offline_writes/primaries.py
@@ -3,7 +3,7 @@
 
 from collections.abc import Iterable
 
-from gorsethread.durable_log.holders import weight
+from gorsethread.durable_log.replica_placement import weight
 
 TAKES_OVER = 10.0  # seconds that the other head of the branch has been held dead
 PARKS_AFTER = 60.0  # seconds that a head which may have run a write gives no answer
--- a/gorsethread/offline_writes/queue.py
+++ b/gorsethread/offline_writes/write_queue.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from gorsethread.offline_writes.pace import WINDOW
-from gorsethread.offline_writes.writes import Number, Write
+from gorsethread.offline_writes.replay_window import WINDOW
+from gorsethread.offline_writes.writes import Write, WriteNumber
 
 DEAREST_ONLY = 0.9  # of the room: beyond it only the dearest value is taken
 RELEASED, DEPENDS = "released by a person", "depends on"  # reasons, the latter as it begins
@@ -72,14 +72,14 @@
         self,
         bounds: Bounds,
         values: tuple[float, ...],
-        beyond: Callable[[Number], bool] = lambda number: True,
+        beyond: Callable[[WriteNumber], bool] = lambda number: True,
     ) -> None:
         self.bounds, self.values, self.beyond = bounds, sorted(values), beyond
-        self.held: dict[Number, Held] = {}  # in order of acceptance; emptied by what is in effect
+        self.held: dict[WriteNumber, Held] = {}  # in order of acceptance; emptied by what is in effect
         self.size = 0
         self.window = WINDOW
         self.last = (0, 0)  # life and place of the highest number met
-        self._key_last: dict[str, Number] = {}  # of keys that have a write here
+        self._key_last: dict[str, WriteNumber] = {}  # of keys that have a write here
 
     # ---- taking
 
@@ -109,7 +109,7 @@
         self.size += write.size
         self._key_last[write.key] = write.number
 
-    def kept(self, number: Number) -> None:
+    def kept(self, number: WriteNumber) -> None:
         """It is there: it was accepted."""
         h = self.held[number]
         h.stage = Stage.WAITS
@@ -134,10 +134,10 @@
         if any(o.stage is Stage.PARKED for n in h.write.own if (o := self.held.get(n)) is not None):
             self.park(h.write.number, f"{DEPENDS} a parked write")
 
-    def last_of(self, key: str) -> Number | None:
+    def last_of(self, key: str) -> WriteNumber | None:
         return self._key_last.get(key)
 
-    def again(self, label: int, volume: int, block: int) -> Number | None:
+    def again(self, label: int, volume: int, block: int) -> WriteNumber | None:
         """The write that a client's repeat is one of, where it was accepted."""
         return (
             next(
@@ -156,11 +156,11 @@
 
     # ---- replay
 
-    def ready(self, now: float = float("inf")) -> list[tuple[Number, bool]]:
+    def ready(self, now: float = float("inf")) -> list[tuple[WriteNumber, bool]]:
         """What may go to the main site now: (number, whether to ask about it first). In order of acceptance,
         at most as many under way as the window has."""
         out = sum(h.stage in (Stage.ASKED, Stage.SENT) for h in self.held.values())
-        found: list[tuple[Number, bool]] = []
+        found: list[tuple[WriteNumber, bool]] = []
         for number, h in self.held.items():
             if out + len(found) >= self.window:
                 break
@@ -171,16 +171,16 @@
     def _free(self, write: Write) -> bool:
         return all(n not in self.held for n in write.own) and all(self.beyond(n) for n in write.others)
 
-    def asks(self, number: Number, now: float = 0.0) -> None:
+    def asks(self, number: WriteNumber, now: float = 0.0) -> None:
         h = self.held[number]
         h.stage, h.since = Stage.ASKED, h.since or now
 
-    def sends(self, number: Number, via: int = 0, now: float = 0.0) -> None:
+    def sends(self, number: WriteNumber, via: int = 0, now: float = 0.0) -> None:
         """Told, and on disk, before it goes: what is sent and not answered is unknown after a crash."""
         h = self.held[number]
         h.stage, h.via, h.suspects, h.since = Stage.SENT, via, [via], now
 
-    def not_there(self, number: Number, via: int, sending: int) -> None:
+    def not_there(self, number: WriteNumber, via: int, sending: int) -> None:
         """Asked, that head has it not in effect; it takes that sending from now on, and none before it."""
         h = self.held.get(number)
         if h is not None and h.stage is Stage.ASKED and sending > h.sending(via):
@@ -189,7 +189,7 @@
             h.stage = Stage.UNKNOWN if h.suspects else Stage.WAITS
             h.since = 0.0
 
-    def in_effect(self, number: Number) -> None:
+    def in_effect(self, number: WriteNumber) -> None:
         self._end(number)
 
     def broke(self, via: int | None = None) -> None:
@@ -199,19 +199,19 @@
             if h.stage in (Stage.SENT, Stage.ASKED) and (via is None or via in h.suspects):
                 h.stage = Stage.UNKNOWN
 
-    def closed(self, number: Number, sending: int) -> None:
+    def closed(self, number: WriteNumber, sending: int) -> None:
         """That sending is not taken: somebody asked since. Of an earlier one it says nothing of the last."""
         h = self.held.get(number)
         if h is not None and h.stage is Stage.SENT and h.sending(h.via) == sending:
             h.stage, h.since = Stage.UNKNOWN, 0.0
 
-    def turned_away(self, number: Number, sending: int, not_before: float = 0.0) -> None:
+    def turned_away(self, number: WriteNumber, sending: int, not_before: float = 0.0) -> None:
         """It has not run: it waits again."""
         h = self.held.get(number)
         if h is not None and h.stage is Stage.SENT and h.sending(h.via) == sending:
             h.stage, h.not_before, h.suspects = Stage.WAITS, not_before, []
 
-    def conflicts(self, number: Number, why: str) -> bool:
+    def conflicts(self, number: WriteNumber, why: str) -> bool:
         """Its place has changed since the branch last saw it. True: apply it all the same."""
         h = self.held.get(number)
         if h is None:
@@ -221,7 +221,7 @@
         self.park(number, why)
         return False
 
-    def park(self, number: Number, why: str) -> None:
+    def park(self, number: WriteNumber, why: str) -> None:
         """For a person; and what depends on it."""
         h = self.held.get(number)
         if h is None or h.stage is Stage.PARKED:
@@ -233,7 +233,7 @@
 
     # ---- by a person
 
-    def release(self, number: Number) -> list[Number]:
+    def release(self, number: WriteNumber) -> list[WriteNumber]:
         """It is to be applied after all, with what was parked for its sake alone; of these what may have run
         is asked about first."""
         h = self.held.get(number)
@@ -243,7 +243,7 @@
         h.stage, h.reason = Stage.WAITS, RELEASED
         return [number, *self.freed(number)]
 
-    def parked_elsewhere(self, number: Number) -> None:
+    def parked_elsewhere(self, number: WriteNumber) -> None:
         """A write of the other head: what comes after it here is parked with it, so that nothing new waits
         behind these for as long as a person takes."""
         for other, o in list(self.held.items()):
@@ -251,8 +251,8 @@
                 self.park(other, f"{DEPENDS} one of head {number.branch}, which is parked")
 
     def freed(
-        self, number: Number, elsewhere: Callable[[Number], bool] = lambda number: False
-    ) -> list[Number]:
+        self, number: WriteNumber, elsewhere: Callable[[WriteNumber], bool] = lambda number: False
+    ) -> list[WriteNumber]:
         """That write, of either head, is parked no more, or over: with it goes what was parked for its sake
         alone. elsewhere: whether one of the other head is parked."""
         found = [number]
@@ -270,7 +270,7 @@
                     found.append(other)
         return found[1:]
 
-    def discard(self, number: Number) -> bool:
+    def discard(self, number: WriteNumber) -> bool:
         """It is given up, by a person. False: it is not parked, or another depends on it."""
         h = self.held.get(number)
         if h is None or h.stage is not Stage.PARKED or any(number in o.write.own for o in self.held.values()):
@@ -278,7 +278,7 @@
         self._end(number)
         return True
 
-    def dropped(self, number: Number) -> None:
+    def dropped(self, number: WriteNumber) -> None:
         """It could not be kept for sure: it is not accepted, and its client was told so."""
         self._end(number)
 
@@ -302,7 +302,7 @@
         """All that was accepted is in effect or parked."""
         return all(h.stage is Stage.PARKED for h in self.held.values())
 
-    def _end(self, number: Number) -> None:
+    def _end(self, number: WriteNumber) -> None:
         h = self.held.pop(number, None)
         if h is not None:
             self.size -= h.write.size
--- a/gorsethread/offline_writes/writes.py
+++ b/gorsethread/offline_writes/writes.py
@@ -13,7 +13,7 @@
 CAUSES_MOST = 64  # that one write names; one that would need more is taken once some are in effect
 
 
-class Number(NamedTuple):
+class WriteNumber(NamedTuple):
     """Never given again: life is later at each start of that queue. branch: the head that took it."""
 
     branch: int
@@ -27,22 +27,22 @@
     at: by the wall clock, for its age and for people. base: what its blocks held as the branch last saw them,
     0 where it did not. parks: where they changed meanwhile it is for a person."""
 
-    number: Number
+    number: WriteNumber
     volume: int
     block: int
     key: str
     value: float
     size: int
     at: float
-    own: tuple[Number, ...] = ()
-    others: tuple[Number, ...] = ()
+    own: tuple[WriteNumber, ...] = ()
+    others: tuple[WriteNumber, ...] = ()
     base: int = 0
     parks: bool = False
     redoable: bool = False
     label: int = 0
 
     @property
-    def causes(self) -> tuple[Number, ...]:
+    def causes(self) -> tuple[WriteNumber, ...]:
         return self.own + self.others
 
 
@@ -51,9 +51,9 @@
     """What one client knows of writes that are queued: emptied as they are in effect, or as one that it is
     answered comes after them."""
 
-    seen: set[Number] = field(default_factory=set)
+    seen: set[WriteNumber] = field(default_factory=set)
 
-    def knows(self, number: Number) -> None:
+    def knows(self, number: WriteNumber) -> None:
         """It read it, or it may have been answered."""
         self.seen.add(number)
 
@@ -61,15 +61,15 @@
         self.seen.difference_update(write.causes)
         self.seen.add(write.number)
 
-    def forget(self, over: Callable[[Number], bool]) -> None:
+    def forget(self, over: Callable[[WriteNumber], bool]) -> None:
         self.seen = {n for n in self.seen if not over(n)}
 
 
 def causes(
     branch: int,
-    known: Iterable[Number],
-    unsure: Callable[[Number], Iterable[Number]] = lambda number: (),
-) -> tuple[tuple[Number, ...], tuple[Number, ...]] | None:
+    known: Iterable[WriteNumber],
+    unsure: Callable[[WriteNumber], Iterable[WriteNumber]] = lambda number: (),
+) -> tuple[tuple[WriteNumber, ...], tuple[WriteNumber, ...]] | None:
     """Of the own head and of others, as a Write names them; None: too many. unsure: of one that may yet be
     taken back, as it is still on its way to the disks, what it comes after: these are named too, since
     without it nothing else would."""
--- a/gorsethread/queues/dial.py
+++ b/gorsethread/queues/dial.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from gorsethread.errors import Trouble
+from gorsethread.errors import GorsethreadError
 from gorsethread.nvme.command import (
     Admin,
     Command,
@@ -32,7 +32,7 @@
     host_id: bytes = bytes(16)
 
 
-class Refused(Trouble):
+class Refused(GorsethreadError):
     """The controller answered a command of the set-up with a failure."""
 
     action = "Compare the subsystem's and host's names in the site file with those that the other side knows."
--- a/gorsethread/recovery/stages.py
+++ b/gorsethread/recovery/stages.py
@@ -13,7 +13,7 @@
 
 from enum import Enum
 
-from gorsethread.durable_log.kinds import NONE, Number
+from gorsethread.durable_log.records import NO_SEQUENCE, SequenceNumber
 
 ASK_MOST = 1.0  # seconds that a head asks before it serves what it knows
 TRUST = 2.0  # seconds after which whole records of its own are believed, though too few have answered
@@ -33,7 +33,7 @@
     def __init__(
         self,
         now: float,
-        own: Number,
+        own: SequenceNumber,
         whole: bool,
         empty: bool,
         accepted: bool,
@@ -41,7 +41,7 @@
         held_by: int,
     ) -> None:
         # Of records with holes nobody can say up to where they are good: all that others hold is wanted.
-        self.own = own if whole else NONE
+        self.own = own if whole else NO_SEQUENCE
         self.began, self.others, self.held_by = now, others, held_by
         self.sound = accepted or whole and not empty
         # Without copies nobody else can know: an empty folder is a first start, holes are for a person.
@@ -50,7 +50,7 @@
             self.sound = True
         self.stage = Stage.ASKING
         self.since = now
-        self.heard: dict[int, Number] = {}  # what each held as it answered; as many as others
+        self.heard: dict[int, SequenceNumber] = {}  # what each held as it answered; as many as others
         self.fetched: set[int] = set()  # of them: what was later than the own has come
         self.life = own[0]  # the latest life of this head that anyone knows
         self._advance(now)
@@ -73,7 +73,7 @@
             if n not in self.heard or self.heard[n] > self.own and n not in self.fetched
         )
 
-    def answered(self, other: int, last: Number, life: int, now: float) -> bool:
+    def answered(self, other: int, last: SequenceNumber, life: int, now: float) -> bool:
         """It holds this head's records up to there, and has heard of that life of it; whether what it holds
         beyond the own records is worth fetching."""
         if other not in self.others:
--- a/gorsethread/sitefile/reading.py
+++ b/gorsethread/sitefile/reading.py
@@ -8,11 +8,11 @@
 from google.protobuf import text_format
 from google.protobuf.message import Message
 
-from gorsethread.errors import Faulty
+from gorsethread.errors import InvalidInputError
 from gorsethread.sitefile import site_pb2 as pb
 
 
-class BadSite(Faulty):
+class BadSite(InvalidInputError):
     """The faults of a site file, a line each: file:line: field: reason."""
 
     action = "Correct the site file at the lines named; heads that run keep the one they started with."
--- a/gorsethread/transport/base.py
+++ b/gorsethread/transport/base.py
@@ -3,13 +3,13 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any, Protocol
 
-from gorsethread.errors import Trouble
+from gorsethread.errors import GorsethreadError
 
 READ_MOST = 65_536  # bytes that one read of a stream brings at the most
 MOST_DATAGRAM = 256  # bytes; the operators' platform carries no longer ones between heads
 
 
-class StreamClosed(Trouble):
+class StreamClosed(GorsethreadError):
     """The stream has ended; the text says how."""
 
     action = "Nothing at once: connections end; if one party's end again and again, look at that party."
@@ -21,7 +21,7 @@
     action = "Nothing: the other side is done with this connection; a new one is made when it is needed."
 
 
-class Unreachable(Trouble):
+class Unreachable(GorsethreadError):
     """No connection was established in time; nothing was sent."""
 
     action = "See that the other side listens at that address and that the network between lets it through."
--- a/gorsethread/transport/virtual/loop.py
+++ b/gorsethread/transport/virtual/loop.py
@@ -3,12 +3,12 @@
 import asyncio
 from typing import Any
 
-from gorsethread.errors import Trouble
+from gorsethread.errors import GorsethreadError
 
 BEGINS = 1000.0  # seconds on every machine's clock when a world begins
 
 
-class Stuck(Trouble):
+class Stuck(GorsethreadError):
     """Nothing is due and nothing can become due: the world waits for ever."""
 
     action = "Report the seed: a part of the program waits for what nobody will do."
--- a/tests/fuzz_records.py
+++ b/tests/fuzz_records.py
@@ -12,20 +12,32 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 with atheris.instrument_imports(include=["gorsethread.durable_log", "gorsethread.offline_writes"]):
-    from gorsethread.durable_log import talk
-    from gorsethread.durable_log.frames import Begin, Unusable, begun, framed, read, seed_of
-    from gorsethread.durable_log.kinds import Discarded, Effect, Freed, Gone, Placed, Queued, Record, Step
+    from gorsethread.durable_log import replication_messages
+    from gorsethread.durable_log.records import (
+        ExtentPlaced,
+        ExtentReleased,
+        Record,
+        Tombstone,
+        WriteApplied,
+        WriteDiscarded,
+        WriteProgress,
+        WriteQueued,
+    )
     from gorsethread.durable_log.recovery import name_of, recover
-    from gorsethread.offline_writes import talk as branches
+    from gorsethread.durable_log.segments import Begin, Unusable, begun, framed, read, seed_of
+    from gorsethread.offline_writes import messages as offline_messages
 
-OWN = [Record((9, n), Placed(1, n, n % 3) if n % 4 else Freed(1, n)) for n in range(1, 9)]
-HELD = Queued(9, 6, 1, 2, 1, 0, "1/0", "h", 7, 0, 16, 1.5, [(1, 9, 5)], [], 3, b"data" * 9)
+OWN = [Record((9, n), ExtentPlaced(1, n, n % 3) if n % 4 else ExtentReleased(1, n)) for n in range(1, 9)]
+HELD = WriteQueued(9, 6, 1, 2, 1, 0, "1/0", "h", 7, 0, 16, 1.5, [(1, 9, 5)], [], 3, b"data" * 9)
 OWN[5:] = [
     Record((9, 6), HELD),
-    Record((9, 7), Step(9, 6, "parked", [0], "why")),
-    Record((9, 8), Gone([-1, 9, 6])),
+    Record((9, 7), WriteProgress(9, 6, "parked", [0], "why")),
+    Record((9, 8), Tombstone([-1, 9, 6])),
+]
+OTHERS = [
+    Record((9, 9), WriteApplied(3, 9, 6, True)),
+    Record((9, 10), WriteDiscarded(9, 6, 1, 2, 1.5, "why")),
 ]
-OTHERS = [Record((9, 9), Effect(3, 9, 6, True)), Record((9, 10), Discarded(9, 6, 1, 2, 1.5, "why"))]
 NAMES = [name_of(9, 1), name_of(9, 2)]
 
 
@@ -36,25 +48,25 @@
 
 def messages() -> bytes:
     return b"".join(
-        talk.said(m)
+        replication_messages.encode(m)
         for m in (
-            talk.Hello(1, 2, 9),
-            talk.Have(9, (9, 4)),
-            talk.Fetch((9, 1)),
-            talk.Give(talk.entries(OWN), True),
-            talk.Put(9, True, talk.entries(OWN + OTHERS), (9, 10)),
-            talk.Holds((9, 8)),
-            talk.Over(10),
-            talk.Failed(),
-            branches.Greet(1, 3),
-            branches.Here(1),
-            branches.There(1),
-            branches.Marked(3, 9, (9, 4), [(9, 2)]),
-            branches.Ask((3, 9, 6), 9, 0),
-            branches.Told((3, 9, 6), 1, 5, 0.5),
-            branches.Send((3, 9, 6), 9, 5, 0, 1, 2, 16, 7, 0, 3, False, b"data" * 9),
-            branches.Question(1, "release", (3, 9, 6)),
-            branches.Shown(b"{}"),
+            replication_messages.Hello(1, 2, 9),
+            replication_messages.Have(9, (9, 4)),
+            replication_messages.Fetch((9, 1)),
+            replication_messages.Give(replication_messages.entries(OWN), True),
+            replication_messages.Put(9, True, replication_messages.entries(OWN + OTHERS), (9, 10)),
+            replication_messages.Holds((9, 8)),
+            replication_messages.Over(10),
+            replication_messages.Failed(),
+            offline_messages.Greet(1, 3),
+            offline_messages.Here(1),
+            offline_messages.There(1),
+            offline_messages.Marked(3, 9, (9, 4), [(9, 2)]),
+            offline_messages.Ask((3, 9, 6), 9, 0),
+            offline_messages.Told((3, 9, 6), 1, 5, 0.5),
+            offline_messages.Send((3, 9, 6), 9, 5, 0, 1, 2, 16, 7, 0, 3, False, b"data" * 9),
+            offline_messages.Question(1, "release", (3, 9, 6)),
+            offline_messages.Shown(b"{}"),
         )
     )
 
@@ -78,11 +90,11 @@
         except Unusable:
             return
     else:
-        reader = talk.Reader(branches.DECODER)
+        reader = replication_messages.MessageReader(offline_messages.DECODER)
         try:
             for at in range(0, len(data), 1 + which):
                 reader.take(data[at : at + 1 + which])
-        except talk.Garbled:
+        except replication_messages.ProtocolError:
             return
 
 
--- a/tests/test_branch.py
+++ b/tests/test_branch.py
@@ -9,21 +9,21 @@
 from hypothesis import strategies as st
 from minicheck import Protocol, check_safety
 
-from gorsethread.offline_writes.bases import Bases, base_of, digests
-from gorsethread.offline_writes.desk import Say, of_read, of_write
-from gorsethread.offline_writes.homes import TAKES_OVER, StandIn, homes
-from gorsethread.offline_writes.landing import RUNNING_MOST, Answer, Landing, Of
-from gorsethread.offline_writes.link import BACK_AFTER, BACK_MOST, CUT_AFTER, GAP, Link, State
-from gorsethread.offline_writes.pace import WINDOW, Pace
-from gorsethread.offline_writes.queue import Bounds, Held, Queue, Refused, Stage
-from gorsethread.offline_writes.shadow import Shadow
-from gorsethread.offline_writes.writes import CAUSES_MOST, Context, Number, Write, causes
+from gorsethread.offline_writes.admission import Say, of_read, of_write
+from gorsethread.offline_writes.applied_writes import RUNNING_MOST, Answer, Landing, Of
+from gorsethread.offline_writes.base_versions import Bases, base_of, digests
+from gorsethread.offline_writes.link_monitor import BACK_AFTER, BACK_MOST, CUT_AFTER, GAP, Link, State
+from gorsethread.offline_writes.pending_overlay import Shadow
+from gorsethread.offline_writes.primaries import TAKES_OVER, StandIn, homes
+from gorsethread.offline_writes.replay_window import WINDOW, Pace
+from gorsethread.offline_writes.write_queue import Bounds, Held, Queue, Refused, Stage
+from gorsethread.offline_writes.writes import CAUSES_MOST, Context, Write, WriteNumber, causes
 
 ROOM = Bounds(1 << 20, 1000, 600.0)
 
 
-def number(place: int, branch: int = 1, life: int = 1) -> Number:
-    return Number(branch, life, place)
+def number(place: int, branch: int = 1, life: int = 1) -> WriteNumber:
+    return WriteNumber(branch, life, place)
 
 
 def write(
@@ -226,7 +226,7 @@
         self.assertEqual([True, False], [h.anyway for h in q.held.values()])
 
     def test_another_branchs_write_comes_first(self) -> None:
-        there: set[Number] = set()
+        there: set[WriteNumber] = set()
         q = Queue(ROOM, (1.0,), there.__contains__)
         other = number(4, branch=2)
         q.accepted(Write(number(1), 1, 1, "k", 1.0, 1, 0.0, (), (other,)))
@@ -587,15 +587,15 @@
         self, said: list[tuple[int, list[int]]], chance: Any
     ) -> None:
         q, m = Queue(ROOM, (1.0,)), Landing(1)
-        all_causes: dict[Number, tuple[Number, ...]] = {}
+        all_causes: dict[WriteNumber, tuple[WriteNumber, ...]] = {}
         for place, (key, back) in enumerate(said, 1):
             last = q.last_of(str(key))
             own = {number(place - b) for b in back if place > b} | ({last} if last is not None else set())
             w = Write(number(place), 1, place, str(key), 1.0, 1, 0.0, tuple(sorted(own)))
             all_causes[w.number] = w.own
             q.accepted(w)
-        ran: list[Number] = []
-        flying: list[tuple[Number, int]] = []
+        ran: list[WriteNumber] = []
+        flying: list[tuple[WriteNumber, int]] = []
         for _ in range(3000):
             if q.empty:
                 break
--- a/tests/test_branching.py
+++ b/tests/test_branching.py
@@ -13,7 +13,7 @@
 from typer.testing import CliRunner
 
 from gorsethread.cli.main import app
-from gorsethread.durable_log.talk import said
+from gorsethread.durable_log.replication_messages import encode
 from gorsethread.faults.branchmutants import BRANCH_MUTANTS
 from gorsethread.faults.branchworld import BranchWorld
 from gorsethread.faults.runs import drawn, play, play_many
@@ -24,8 +24,8 @@
 from gorsethread.harness.site import PARTIES
 from gorsethread.head.peers import fleet_of
 from gorsethread.logs import log_for, start_logs
-from gorsethread.offline_writes import talk
-from gorsethread.offline_writes.talk import Question
+from gorsethread.offline_writes import messages as offline_messages
+from gorsethread.offline_writes.messages import Question
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.sitefile.reading import BadSite, parse_site, read_site
 from gorsethread.transport.base import StreamClosed
@@ -124,9 +124,9 @@
         w = BranchWorld(SITE, read_script(STANDS_IN))
         o = w.play()
         self.assertEqual(([], []), (o.reasons, o.defects))
-        said = [h["what"] for h in w.heads[4].branch.history if h["number"] is None]
-        self.assertIn("stands in", said)
-        self.assertIn("gives back", said[said.index("stands in") :])
+        encode = [h["what"] for h in w.heads[4].branch.history if h["number"] is None]
+        self.assertIn("stands in", encode)
+        self.assertIn("gives back", encode[encode.index("stands in") :])
         stood = [h for h in w.heads[4].branch.history if h["what"] == "in effect" and h["number"][0] == 3]
         self.assertGreater(len(stood), 2)
 
@@ -198,26 +198,26 @@
         async def say(*words: Any) -> None:
             stream = await process.connect("head-0", 4520, 1.0)
             for m in words:
-                stream.write(said(m))
+                stream.write(encode(m))
             try:
                 while True:
                     await stream.read()
             except StreamClosed as error:
                 ended.append(str(error))
 
-        greet = talk.Greet(fleet, 3)
+        greet = offline_messages.Greet(fleet, 3)
         for words in (
-            (talk.Greet(fleet + 1, 3),),
-            (greet, talk.Marked(0, 9, (1, 1), [])),
-            (talk.Here(1),),
-            (greet, talk.Ask((99, 1, 1), 1, 0)),
-            (talk.Question(fleet, "show"),),
+            (offline_messages.Greet(fleet + 1, 3),),
+            (greet, offline_messages.Marked(0, 9, (1, 1), [])),
+            (offline_messages.Here(1),),
+            (greet, offline_messages.Ask((99, 1, 1), 1, 0)),
+            (offline_messages.Question(fleet, "show"),),
         ):
             w.loop.call_at(w.zero + 1.0, lambda words=words: process.spawn(say(*words)))
         for odd in (
-            talk.Send((3, 1, 1), 1, 0, -1, 8, 0, 0, 0, 0, 0, False, bytes(4096)),
-            talk.Send((3, 1, 2), 1, 0, 2, 8, -5, 0, 0, 0, 0, False, bytes(4096)),
-            talk.Send((3, 1, 3), 1, 0, 2, 77, 0, 0, 0, 0, 0, False, b"x"),
+            offline_messages.Send((3, 1, 1), 1, 0, -1, 8, 0, 0, 0, 0, 0, False, bytes(4096)),
+            offline_messages.Send((3, 1, 2), 1, 0, 2, 8, -5, 0, 0, 0, 0, False, bytes(4096)),
+            offline_messages.Send((3, 1, 3), 1, 0, 2, 77, 0, 0, 0, 0, 0, False, b"x"),
         ):
             w.loop.call_at(w.zero + 1.5, lambda odd=odd: process.spawn(say(greet, odd)))
         o = w.play()
@@ -355,7 +355,8 @@
         text = "".join(line + "\n" for line in REAL.splitlines() if not line.startswith(("14", "17.5")))
         r, _ = self.played(
             text.replace("seconds 30", "seconds 14"),
-            "from gorsethread.offline_writes.queue import Queue\n" "Queue._free = lambda q, write: True\n",
+            "from gorsethread.offline_writes.write_queue import Queue\n"
+            "Queue._free = lambda q, write: True\n",
         )
         self.assertGreater(r.causal_breaks, 0, r)
         self.assertFalse(r.good)
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -7,10 +7,10 @@
 import unittest
 
 import gorsethread
-from gorsethread.errors import Trouble
+from gorsethread.errors import GorsethreadError
 
 
-def family(kind: type[BaseException] = Trouble) -> set[type[BaseException]]:
+def family(kind: type[BaseException] = GorsethreadError) -> set[type[BaseException]]:
     return {kind}.union(*(family(k) for k in kind.__subclasses__()))
 
 
@@ -21,7 +21,7 @@
                 importlib.import_module(module.name)
 
     def test_each_has_an_action_of_its_own(self) -> None:
-        kinds = [k for k in family() if k is not Trouble]
+        kinds = [k for k in family() if k is not GorsethreadError]
         self.assertGreater(len(kinds), 13)
         for kind in kinds:
             self.assertIn("action", vars(kind), f"{kind} says nothing of its own")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -19,7 +19,7 @@
 from gorsethread.lab.asking import NoAnswer, Shown, ask, ask_past
 from gorsethread.lab.fleet import FLEET, PARTIES, PLAYED, RealFleet
 from gorsethread.logs import log_for, start_logs
-from gorsethread.membership.words import Kind, Message, State, Word, write
+from gorsethread.membership.gossip_messages import Kind, Message, State, Word, write
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.sitefile.reading import read_site, split_address
 from gorsethread.transport.real import RealTransport
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -13,8 +13,8 @@
 from typer.testing import CliRunner
 
 from gorsethread.cli.main import app
-from gorsethread.durable_log import talk
-from gorsethread.durable_log.kinds import Placed, Record
+from gorsethread.durable_log import replication_messages
+from gorsethread.durable_log.records import ExtentPlaced, Record
 from gorsethread.durable_log.store import Store
 from gorsethread.faults.recordsmutants import KEPT_MUTANTS
 from gorsethread.faults.recordsworld import RecordsWorld
@@ -179,7 +179,11 @@
             async def greet() -> None:
                 for other in (1, 2):
                     stream = await process.connect(f"head-{other}", 4520, 1.0)
-                    stream.write(talk.said(talk.Hello(earlier.fleet, 0, earlier.life + 1)))
+                    stream.write(
+                        replication_messages.encode(
+                            replication_messages.Hello(earlier.fleet, 0, earlier.life + 1)
+                        )
+                    )
                     await stream.read()
 
             process.spawn(greet())
@@ -193,22 +197,24 @@
 class Talk(unittest.TestCase):
     def test_pieces_of_any_size_make_the_same_messages(self) -> None:
         messages = [
-            talk.Hello(1, 2, 3),
-            talk.Have(3, (1, 2)),
-            talk.Holds((4, 5)),
-            talk.Failed(),
-            talk.Put(3, False, talk.entries([Record((1, 1), Placed(1, 2, 3))]), (1, 1)),
+            replication_messages.Hello(1, 2, 3),
+            replication_messages.Have(3, (1, 2)),
+            replication_messages.Holds((4, 5)),
+            replication_messages.Failed(),
+            replication_messages.Put(
+                3, False, replication_messages.entries([Record((1, 1), ExtentPlaced(1, 2, 3))]), (1, 1)
+            ),
         ]
-        data = b"".join(talk.said(m) for m in messages)
+        data = b"".join(replication_messages.encode(m) for m in messages)
         for size in (1, 3, 7, len(data)):
-            reader = talk.Reader()
+            reader = replication_messages.MessageReader()
             got = [m for at in range(0, len(data), size) for m in reader.take(data[at : at + size])]
             self.assertEqual(messages, got)
 
     def test_what_is_no_message_is_refused(self) -> None:
         for data in (b"GET / HTTP/1.1\r\n", b"\x02\x00\x00\x00\xc1\xc1", b"\xff\xff\xff\xff"):
-            with self.assertRaises(talk.Garbled):
-                talk.Reader().take(data)
+            with self.assertRaises(replication_messages.ProtocolError):
+                replication_messages.MessageReader().take(data)
 
 
 class Commands(unittest.TestCase):
@@ -225,7 +231,7 @@
                 await store.begin(1000)
                 told: list[bool] = []
                 for n in range(1, 9):
-                    store.add(Record((1000, n), Placed(4, n, 1)), told.append)
+                    store.add(Record((1000, n), ExtentPlaced(4, n, 1)), told.append)
                 while len(told) < 8:
                     await transport.sleep(0.01)
                 store.close()
@@ -298,9 +304,9 @@
         code = (
             "import sys, gorsethread.http_gateway.program\n"
             "print([m for m in sys.modules if m.startswith(('gorsethread.durable_log', 'google_crc32c',"
-            " 'gorsethread.recovery', 'concurrent.futures.thread', 'gorsethread.nvme_gateway.promises',"
+            " 'gorsethread.recovery', 'concurrent.futures.thread', 'gorsethread.nvme_gateway.replicated_log',"
             " 'gorsethread.offline_writes', 'gorsethread.nvme_gateway.branching',"
-            " 'gorsethread.nvme_gateway.landing'))])"
+            " 'gorsethread.nvme_gateway.replay_receiver'))])"
         )
         done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
         self.assertEqual("[]", done.stdout.strip(), done.stderr)
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -25,7 +25,7 @@
 from gorsethread.lab.crowd.world import World
 from gorsethread.lab.lending import LENT_UNITS, Result, Trial, script_of
 from gorsethread.logs import log_for, start_logs
-from gorsethread.membership.words import Kind, Message, write
+from gorsethread.membership.gossip_messages import Kind, Message, write
 from gorsethread.scheduling.model import (
     Backend,
     Effect,
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -13,10 +13,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gorsethread.durable_log.disk import AGAIN_LEAST, AGAIN_MOST, PATIENCE, PENDING_MOST, Disk, State
-from gorsethread.durable_log.frames import Begin, Segment, Unusable, begun, framed, read, seed_of
-from gorsethread.durable_log.kinds import Freed, Placed, Record, Table
+from gorsethread.durable_log.disk_health import AGAIN_LEAST, AGAIN_MOST, PATIENCE, PENDING_MOST, Disk, State
+from gorsethread.durable_log.records import ExtentPlaced, ExtentReleased, Record, RecordTable
 from gorsethread.durable_log.recovery import NotItsOwn, name_of, place_of, recover
+from gorsethread.durable_log.segments import Begin, Segment, Unusable, begun, framed, read, seed_of
 from gorsethread.durable_log.store import InUse, Store
 from gorsethread.faults.world import Silent
 from gorsethread.transport.real import RealTransport
@@ -25,8 +25,8 @@
 
 FLEET, HEAD, LIFE = 5, 2, 1000
 facts = st.one_of(
-    st.builds(Placed, st.integers(1, 3), st.integers(0, 3), st.integers(0, 5)),
-    st.builds(Freed, st.integers(1, 3), st.integers(0, 3)),
+    st.builds(ExtentPlaced, st.integers(1, 3), st.integers(0, 3), st.integers(0, 5)),
+    st.builds(ExtentReleased, st.integers(1, 3), st.integers(0, 3)),
 )
 records = st.lists(
     st.builds(
@@ -38,7 +38,7 @@
 
 
 def placed(place: int, extent: int = 0, shard: int = 1, life: int = LIFE) -> Record:
-    return Record((life, place), Placed(1, extent or place, shard))
+    return Record((life, place), ExtentPlaced(1, extent or place, shard))
 
 
 def segment(number: int = 1, held: int = 0, new: int = 0, place: int = 0) -> bytes:
@@ -59,9 +59,9 @@
     @given(records, records, records)
     def test_merging_is_of_any_order_and_any_number_of_times(self, a: Any, b: Any, c: Any) -> None:
         def merged(*lists: list[Record]) -> Any:
-            whole = Table()
+            whole = RecordTable()
             for one in lists:
-                whole.merge(Table(one))
+                whole.merge(RecordTable(one))
             return whole.records, whole.last
 
         # A number is given to one record only: else nobody could say which of the two holds.
@@ -72,7 +72,7 @@
         self.assertEqual(merged(a, a), merged(a))
 
     def test_what_is_freed_is_not_brought_back_by_what_comes_late(self) -> None:
-        table = Table([Record((1, 2), Freed(1, 7)), Record((1, 1), Placed(1, 7, 3))])
+        table = RecordTable([Record((1, 2), ExtentReleased(1, 7)), Record((1, 1), ExtentPlaced(1, 7, 3))])
         self.assertEqual({}, table.placed())
         self.assertEqual((1, 2), table.compact())
         self.assertEqual(({}, (1, 2)), (table.records, table.last))
@@ -112,7 +112,7 @@
     def test_a_frame_of_another_segment_is_not_taken(self) -> None:
         other = framed(placed(2, shard=9), seed_of(FLEET, HEAD, LIFE, 2))
         found = of(segment(new=1) + other + framed(placed(2), seed_of(FLEET, HEAD, LIFE, 1)))
-        self.assertEqual([1, 1], [r.fact.shard for r in found.records if isinstance(r.fact, Placed)])
+        self.assertEqual([1, 1], [r.fact.shard for r in found.records if isinstance(r.fact, ExtentPlaced)])
 
     def test_a_hole_in_the_numbers_is_told(self) -> None:
         seed = seed_of(FLEET, HEAD, LIFE, 1)
@@ -300,7 +300,7 @@
         process = self.process()
         store, _ = self.store(process)
         for n in range(1, 9_001):
-            store.add(Record((LIFE, n), Placed(1, n % 500, n % 7)))
+            store.add(Record((LIFE, n), ExtentPlaced(1, n % 500, n % 7)))
             if n % 300 == 0:
                 self.wait(0.004)
         self.wait(1.0)
@@ -325,7 +325,7 @@
                 return lambda ok: told.__setitem__(n % 300, n) if ok else None
 
             for n in range(1, 12_000):
-                store.add(Record((LIFE, n), Placed(1, n % 300, 1)), kept(n))
+                store.add(Record((LIFE, n), ExtentPlaced(1, n % 300, 1)), kept(n))
                 if n % 400 == 0:
                     (self.files.broken.add if chance.random() < 0.06 else self.files.broken.discard)("head 2")
                     self.wait(chance.choice((0.001, 0.004, 0.02)))
@@ -351,7 +351,7 @@
 
             def add(many: int, store: Store = store, numbers: Any = numbers, kept: Any = kept) -> None:
                 for n in itertools.islice(numbers, many):
-                    store.add(Record((LIFE, n), Placed(1, n % 300, 1)), kept(n))
+                    store.add(Record((LIFE, n), ExtentPlaced(1, n % 300, 1)), kept(n))
 
             while not store._making:
                 add(200)
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -8,9 +8,9 @@
 from hypothesis import strategies as st
 from minicheck import Protocol, check_safety
 
-from gorsethread.durable_log.copying import CHUNK, Keeping, Sender
-from gorsethread.durable_log.holders import Place, holders
-from gorsethread.durable_log.kinds import NONE, Freed, Placed, Record, Table
+from gorsethread.durable_log.records import NO_SEQUENCE, ExtentPlaced, ExtentReleased, Record, RecordTable
+from gorsethread.durable_log.replica_placement import Place, holders
+from gorsethread.durable_log.replication import CHUNK, Keeping, ReplicationSender
 from gorsethread.recovery.stages import ASK_MOST, TRUST, Return, Stage, due
 
 OTHERS = frozenset({1, 2, 3})
@@ -47,7 +47,7 @@
         self.assertEqual((Stage.FULL, None), (r.stage, due(r, TRUST)))
 
     def test_lost_records_wait_for_answers_or_a_person(self) -> None:
-        for lost in ({"own": NONE, "empty": True}, {"whole": False}):
+        for lost in ({"own": NO_SEQUENCE, "empty": True}, {"whole": False}):
             with self.subTest(lost=lost):
                 r = returning(**lost)  # type: ignore[arg-type]
                 r.tick(1000.0)
@@ -80,9 +80,9 @@
 
     def test_without_copies_a_first_start_and_a_whole_folder_are_full_at_once(self) -> None:
         for r in (
-            returning(NONE, empty=True, held_by=0),
+            returning(NO_SEQUENCE, empty=True, held_by=0),
             returning(held_by=0),
-            returning(NONE, empty=True, others=frozenset()),
+            returning(NO_SEQUENCE, empty=True, others=frozenset()),
         ):
             self.assertIs(Stage.FULL, r.stage)
         self.assertIs(Stage.CARE, self.after(returning(whole=False, held_by=0), 1000.0))
@@ -106,10 +106,10 @@
         def made(
             own: int, whole: bool, empty: bool, heard: tuple[Any, ...], fetched: tuple[int, ...], now: float
         ) -> Return:
-            r = Return(0.0, (1, own) if own else NONE, whole, empty, False, frozenset({1, 2}), 1)
+            r = Return(0.0, (1, own) if own else NO_SEQUENCE, whole, empty, False, frozenset({1, 2}), 1)
             plant(r)
             for n, last in heard:
-                r.answered(n, (1, last) if last else NONE, 1, 0.0)
+                r.answered(n, (1, last) if last else NO_SEQUENCE, 1, 0.0)
             for n in fetched:
                 r.got(n, 0.0)
             r.tick(now)
@@ -256,22 +256,22 @@
 
 class Copies(unittest.TestCase):
     def setUp(self) -> None:
-        self.table = Table()
-        self.sender = Sender(1)
+        self.table = RecordTable()
+        self.sender = ReplicationSender(1)
         self.sender.chosen([1, 2])
 
     def placed(self, place: int, life: int = 1) -> Any:
-        self.table.take(Record((life, place), Placed(1, place, 0)))
+        self.table.take(Record((life, place), ExtentPlaced(1, place, 0)))
         return life, place
 
     def test_a_promise_is_held_once_a_holder_says_so(self) -> None:
         last = self.placed(1)
         self.assertIsNone(self.sender.piece(1, self.table, last), "no way to it stands yet")
-        self.sender.met(1, NONE, NONE)
+        self.sender.met(1, NO_SEQUENCE, NO_SEQUENCE)
         piece = self.sender.piece(1, self.table, last)
         assert piece is not None
         self.assertEqual((1, last), (len(piece.records), piece.last))
-        self.assertEqual((NONE, True), (self.sender.held, self.sender.enough))
+        self.assertEqual((NO_SEQUENCE, True), (self.sender.held, self.sender.enough))
         self.assertIsNone(self.sender.piece(1, self.table, self.placed(2)), "one piece at a time")
         self.sender.has(1, last)
         self.assertEqual(last, self.sender.held)
@@ -279,7 +279,7 @@
     def test_one_that_was_away_hears_what_is_later_and_one_too_far_behind_all(self) -> None:
         for place in range(1, 3 * CHUNK):
             last = self.placed(place)
-        self.sender.met(1, (1, 10), NONE)
+        self.sender.met(1, (1, 10), NO_SEQUENCE)
         got: list[Record] = []
         for _ in range(3):
             piece = self.sender.piece(1, self.table, last)
@@ -296,16 +296,16 @@
     def test_holders_change_without_fewer_holding(self) -> None:
         last = self.placed(1)
         for n in (1, 2):
-            self.sender.met(n, last, NONE)
+            self.sender.met(n, last, NO_SEQUENCE)
         self.assertEqual(([3], []), self.sender.chosen([2, 3]))
-        self.sender.met(3, NONE, NONE)
+        self.sender.met(3, NO_SEQUENCE, NO_SEQUENCE)
         self.assertEqual(([], []), self.sender.chosen([2, 3]))
         self.sender.has(3, last)
         self.assertEqual(([], [1]), self.sender.chosen([2, 3]))
 
     def test_none_needed_holds_at_once(self) -> None:
-        self.assertGreater(Sender(0).held, (10**15, 0))
-        self.assertTrue(Sender(0).enough)
+        self.assertGreater(ReplicationSender(0).held, (10**15, 0))
+        self.assertTrue(ReplicationSender(0).enough)
 
     def test_an_earlier_life_is_shut_out(self) -> None:
         keeping = Keeping()
@@ -318,21 +318,21 @@
     @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 6)), max_size=60), st.randoms())
     def test_a_holder_has_what_the_owner_says_it_has(self, steps: list[tuple[int, int]], chance: Any) -> None:
         """Records, losses of the way, compaction in any order: what a holder is known to have it can give."""
-        table, sender, place, forgot = Table(), Sender(1), 0, NONE
+        table, sender, place, forgot = RecordTable(), ReplicationSender(1), 0, NO_SEQUENCE
         sender.chosen([1])
-        holder, reached = Table(), NONE
+        holder, reached = RecordTable(), NO_SEQUENCE
         out: Any = None
         for what, extent in steps:
             if what == 0:
                 place += 1
-                fact = Freed(1, extent) if chance.random() < 0.3 else Placed(1, extent, place)
+                fact = ExtentReleased(1, extent) if chance.random() < 0.3 else ExtentPlaced(1, extent, place)
                 table.take(Record((1, place), fact))
             elif what == 1:
                 if sender.holders[1].mark is None:
                     sender.met(1, reached, forgot)
                 elif out is not None:
                     if out.begins:
-                        holder, reached = Table(), NONE
+                        holder, reached = RecordTable(), NO_SEQUENCE
                     for r in out.records:
                         holder.take(r)
                     reached = max(reached, out.last)
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -13,8 +13,8 @@
 from gorsethread.faults.script import read_script
 from gorsethread.faults.viewmutants import VIEW_MUTANTS
 from gorsethread.membership import view as view_module
+from gorsethread.membership.gossip_messages import Kind, Message, State, Unreadable, Word, beats, read, write
 from gorsethread.membership.view import View
-from gorsethread.membership.words import Kind, Message, State, Unreadable, Word, beats, read, write
 
 HOME = ("10.0.0.1", 1000)
 WORDS = st.builds(
