--- a/gorsethread/lab/asking.py
+++ b/gorsethread/lab/asking.py
@@ -72,7 +72,8 @@
     number: tuple[int, int, int] | None = None,
     within: float = 3.0,
 ) -> dict[str, Any]:
-    """What a branch's head answers to a question (offline_writes/messages.py). NoAnswer where none came in time."""
+    """What a branch's head answers to a question (offline_writes/messages.py). NoAnswer where none
+    came in time."""
     where = f"{head[0]}:{head[1]}"
     try:
         stream = await transport.connect(*head, within)
--- a/gorsethread/nvme_gateway/replica_server.py
+++ b/gorsethread/nvme_gateway/replica_server.py
@@ -1,6 +1,6 @@
 """Carries what a head holds for others: copies of their records on its own disk, given back when asked. Who
-is shut out is decided by `durable_log/replication.py`. What branches' heads and operators say on the same port goes
-to whoever is there for it."""
+is shut out is decided by `durable_log/replication.py`. What branches' heads and operators say on the same
+port goes to whoever is there for it."""
 
 import asyncio
 from collections.abc import Callable
--- a/gorsethread/nvme_gateway/replicated_log.py
+++ b/gorsethread/nvme_gateway/replicated_log.py
@@ -3,8 +3,8 @@
 is gone, each side keeps its promises alone.
 
 What is decided is decided by pure cores: the disk's state (`durable_log/disk_health.py`),
-stages (`recovery/stages.py`), holders and pieces (`durable_log/replica_placement.py`, `replication.py`). Calls
-to others are bounded by their number.
+stages (`recovery/stages.py`), holders and pieces (`durable_log/replica_placement.py`, `replication.py`).
+Calls to others are bounded by their number.
 """
 
 from collections import deque
