--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -4,6 +4,7 @@
 version that can't read them can't take over a gateway's folder.
 """
 
+import asyncio
 import json
 from pathlib import Path
 from typing import Any
@@ -15,7 +16,7 @@
 from gorsethread.accounts import snapshot_pb2
 from gorsethread.accounts.snapshots import FRAME, decode, encode
 from gorsethread.durable_log.recovery import recover
-from gorsethread.durable_log.store import Store, files_of
+from gorsethread.durable_log.store import Store
 from gorsethread.logs import log_for
 from gorsethread.sitefile.reading import read_site
 from gorsethread.transport.real import RealTransport
@@ -41,7 +42,8 @@
 @pytest.mark.parametrize(("folder", "gateway"), [("gateway-log", 2), ("branch-log", 8), ("replica-log", 3)])
 def test_a_gateways_log_holds_what_was_written(folder: str, gateway: int) -> None:
     expected = contents_of(FIXTURES / folder / "contents.json")
-    found = recover(files_of(RealTransport(), str(FIXTURES / folder)), FLEET, gateway)
+    files = {path.name: path.read_bytes() for path in (FIXTURES / folder).glob("*.seg")}
+    found = recover(files, FLEET, gateway)
     records = [
         [list(record.number), plain(msgspec.to_builtins(record.fact, builtin_types=(bytes,)))]
         for record in found.table.whole()
@@ -55,12 +57,16 @@
 def test_a_gateway_starts_on_the_folder(tmp_path: Path) -> None:
     for segment in (FIXTURES / "gateway-log").glob("*.seg"):
         (tmp_path / segment.name).write_bytes(segment.read_bytes())
-    store = Store(RealTransport(), str(tmp_path), FLEET, 2, log_for())
-    try:
-        assert store.open().whole
-        assert store.table.placed() == {(1, 0): 2, (2, 5): 3, (2, 6): 1}
-    finally:
-        store.close()
+
+    async def start() -> None:
+        store = Store(RealTransport(), str(tmp_path), FLEET, 2, log_for())
+        try:
+            assert store.open().whole
+            assert store.table.placed() == {(1, 0): 2, (2, 5): 3, (2, 6): 1}
+        finally:
+            store.close()
+
+    asyncio.run(start())
 
 
 def test_a_snapshot_of_accounts_holds_what_was_written() -> None:
