--- a/gorsethread/cli/records.py
+++ b/gorsethread/cli/records.py
@@ -135,7 +135,9 @@
             for r in sorted(_read(store).table.records.values()):
                 kind = str(r.fact.__struct_config__.tag)
                 counts[kind] += 1
-                said = {name: getattr(r.fact, name) for name in r.fact.__struct_fields__}
+                said = dict(
+                    zip(r.fact.__struct_encode_fields__, msgspec.structs.astuple(r.fact), strict=True)
+                )
                 lines.append(
                     msgspec.json.encode(
                         {
--- a/gorsethread/durable_log/records.py
+++ b/gorsethread/durable_log/records.py
@@ -10,9 +10,10 @@
 from typing import NamedTuple
 
 import msgspec
+from msgspec import field
 
 SequenceNumber = tuple[int, int]  # life, place: as a head counts them
-Thing = tuple[int, ...]
+Subject = tuple[int, ...]
 NO_SEQUENCE: SequenceNumber = (0, 0)
 RECENT_MOST = 4096  # records by which after() is cheap for who is hardly behind
 RECENT_BYTES = 1 << 21  # of these, at most twice
@@ -28,7 +29,7 @@
     shard: int
 
     @property
-    def thing(self) -> tuple[int, int]:
+    def subject(self) -> tuple[int, int]:
         return self.volume, self.extent
 
 
@@ -39,7 +40,7 @@
     extent: int
 
     @property
-    def thing(self) -> tuple[int, int]:
+    def subject(self) -> tuple[int, int]:
         return self.volume, self.extent
 
 
@@ -48,80 +49,80 @@
     the wall clock; own and others: numbers (branch, life, place) that come first; base: what its blocks held
     as the branch last saw them, 0 where it did not."""
 
-    life: int
-    place: int
+    incarnation: int = field(name="life")
+    position: int = field(name="place")
     volume: int
     block: int
     blocks: int
-    profile: int
+    request_class: int = field(name="profile")
     key: str
     host: str
     label: int
     attempt: int
     hints: int
-    at: float
-    own: list[tuple[int, int, int]]
-    others: list[tuple[int, int, int]]
-    base: int
+    accepted_at: float = field(name="at")
+    own_dependencies: list[tuple[int, int, int]] = field(name="own")
+    other_dependencies: list[tuple[int, int, int]] = field(name="others")
+    base_digest: int = field(name="base")
     data: bytes
 
     @property
-    def thing(self) -> Thing:
-        return QUEUED, self.life, self.place
+    def subject(self) -> Subject:
+        return QUEUED, self.incarnation, self.position
 
 
 class WriteProgress(msgspec.Struct, frozen=True, tag="step", array_like=True):
     """How far a queued write has come. suspects: heads of the main site that may have run it; anyway: a
     person said that it is to be applied whatever is known."""
 
-    life: int
-    place: int
+    incarnation: int = field(name="life")
+    position: int = field(name="place")
     stage: str
     suspects: list[int]
     reason: str = ""
-    anyway: bool = False
+    forced: bool = field(default=False, name="anyway")
 
     @property
-    def thing(self) -> Thing:
-        return STEP, self.life, self.place
+    def subject(self) -> Subject:
+        return STEP, self.incarnation, self.position
 
 
 class WriteDiscarded(msgspec.Struct, frozen=True, tag="discarded", array_like=True):
     """A person gave up a parked write."""
 
-    life: int
-    place: int
+    incarnation: int = field(name="life")
+    position: int = field(name="place")
     volume: int
     block: int
-    at: float
+    discarded_at: float = field(name="at")
     reason: str
 
     @property
-    def thing(self) -> Thing:
-        return DISCARDED, self.life, self.place
+    def subject(self) -> Subject:
+        return DISCARDED, self.incarnation, self.position
 
 
 class WriteApplied(msgspec.Struct, frozen=True, tag="effect", array_like=True):
     """At the main site: a branch's write may have run, or has."""
 
     branch: int
-    life: int
-    place: int
+    incarnation: int = field(name="life")
+    position: int = field(name="place")
     ran: bool
 
     @property
-    def thing(self) -> Thing:
-        return EFFECT, self.branch, self.life, self.place
+    def subject(self) -> Subject:
+        return EFFECT, self.branch, self.incarnation, self.position
 
 
 class Tombstone(msgspec.Struct, frozen=True, tag="gone", array_like=True):
     """Nothing is said of that thing any more."""
 
-    what: list[int]
+    removed: list[int] = field(name="what")
 
     @property
-    def thing(self) -> Thing:
-        return tuple(self.what)
+    def subject(self) -> Subject:
+        return tuple(self.removed)
 
 
 Fact = ExtentPlaced | ExtentReleased | WriteQueued | WriteProgress | WriteDiscarded | WriteApplied | Tombstone
@@ -159,7 +160,7 @@
     that the site's volumes have, and by what branches may queue."""
 
     def __init__(self, records: Iterable[Record] = ()) -> None:
-        self.records: dict[Thing, Record] = {}
+        self.records: dict[Subject, Record] = {}
         self.last: SequenceNumber = NO_SEQUENCE  # the highest number met, of any thing
         # In order, all that came after _recent_from; cut at twice RECENT_MOST and RECENT_BYTES.
         self._recent: list[Record] = []
@@ -179,7 +180,7 @@
         else:
             # Not in order: these are not all any more.
             self._recent, self._recent_from, self._recent_bytes = [], self.last, 0
-        thing = record.fact.thing
+        thing = record.fact.subject
         known = self.records.get(thing)
         if known is not None and known.number >= record.number:
             return False
@@ -201,7 +202,9 @@
 
     def placed(self) -> dict[tuple[int, int], int]:
         """The shard of each extent that has one."""
-        return {r.fact.thing: r.fact.shard for r in self.records.values() if isinstance(r.fact, ExtentPlaced)}
+        return {
+            r.fact.subject: r.fact.shard for r in self.records.values() if isinstance(r.fact, ExtentPlaced)
+        }
 
     def after(self, number: SequenceNumber) -> list[Record]:
         """All later ones that hold, in their order, and perhaps some that were replaced since."""
--- a/gorsethread/durable_log/store.py
+++ b/gorsethread/durable_log/store.py
@@ -56,7 +56,7 @@
         self.last: SequenceNumber = (0, 0)  # the last number that was taken
         self.holes = False  # what it has is known to lack something
         self.forgot: SequenceNumber = (0, 0)  # words on what is freed are gone up to here
-        self.begun = False
+        self.started = False
         self.closed = False
         self._highest = 0  # the last segment of this life
         self._journal: Journal | None = None
@@ -98,7 +98,7 @@
         self.last = self._flushed = max(self.last, (life, 0))
         await self.renew()
         self.transport.remove(f"{self.folder}/{ACCEPTED}")
-        self.begun = True
+        self.started = True
         self._kick()
 
     def add(self, record: Record, done: Callable[[bool], None] | None = None) -> None:
@@ -119,7 +119,7 @@
     def grow(self, table: RecordTable) -> None:
         """What others gave back is the store's too; on disk with the next segment, which is begun now."""
         self.table.merge(table)
-        if self.begun and not self._making:
+        if self.started and not self._making:
             self._making = True
             self.transport.spawn(self._compact())
 
@@ -137,7 +137,7 @@
             self._lock = None
 
     def _kick(self) -> None:
-        if not self._working and self.begun and not self.closed:
+        if not self._working and self.started and not self.closed:
             self._working = True
             self.transport.spawn(self._work())
 
--- a/gorsethread/faults/branches.py
+++ b/gorsethread/faults/branches.py
@@ -88,7 +88,7 @@
         table = recover({n: d for n, d in files.items() if place_of(n) is not None}, None, None).table
         for r in table.records.values():
             if isinstance(r.fact, WriteQueued):
-                step = table.records.get((STEP, r.fact.life, r.fact.place))
+                step = table.records.get((STEP, r.fact.incarnation, r.fact.position))
                 is_parked = (
                     step is not None and isinstance(step.fact, WriteProgress) and step.fact.stage == "parked"
                 )
--- a/gorsethread/faults/branchmutants.py
+++ b/gorsethread/faults/branchmutants.py
@@ -48,9 +48,9 @@
 
 
 def _keeps(head: Head, changed: Callable[[ReplicatedLog, Any], Any]) -> None:
-    """Changes how facts are kept: changed() gives the method in place of keep()."""
+    """Changes how facts are kept: changed() gives the method in place of append()."""
     if head.promises is not None:
-        head.promises.keep = changed(head.promises, head.promises.keep)  # type: ignore[method-assign]
+        head.promises.append = changed(head.promises, head.promises.append)  # type: ignore[method-assign]
 
 
 @mutant("branch: accepted before it is on a disk")
--- a/gorsethread/faults/recordsmutants.py
+++ b/gorsethread/faults/recordsmutants.py
@@ -32,7 +32,7 @@
 
     def opened() -> None:
         honest()
-        change(promises.returning)
+        change(promises.recovery)
 
     promises.open = opened  # type: ignore[method-assign]
 
@@ -92,7 +92,7 @@
 @mutant("return: nobody is asked")
 def _not_asked(head: Head) -> None:
     def change(r: Return) -> None:
-        r.alone = r.sound = True
+        r.alone = r.trusts_own_records = True
         r.others = frozenset()
         r.tick(0.0)
 
@@ -101,7 +101,7 @@
 
 @mutant("return: an empty disk is a first start")
 def _empty(head: Head) -> None:
-    _returning(head, lambda r: setattr(r, "sound", True))
+    _returning(head, lambda r: setattr(r, "trusts_own_records", True))
 
 
 @mutant("return: one answer is enough")
@@ -125,7 +125,7 @@
 
 @mutant("return: what is not known is held for nowhere at once")
 def _no_care(head: Head) -> None:
-    _promises(head).refuses = lambda: 0.0  # type: ignore[method-assign]
+    _promises(head).retry_after = lambda: 0.0  # type: ignore[method-assign]
 
 
 @mutant("copies: a holder says so before its disk has it")
--- a/gorsethread/faults/recordsworld.py
+++ b/gorsethread/faults/recordsworld.py
@@ -138,9 +138,9 @@
             if self.processes[f"head {number}"].alive and p is not None:
                 if p._waiting or p._unheld or head.driver.unkept:
                     self._defect(f"left behind: head {number}: promises that nobody was told of")
-                if (after := p.refuses()) > 0.0:
+                if (after := p.retry_after()) > 0.0:
                     self._defect(
-                        f"does not promise again: head {number}: {p.returning.stage.value}, "
+                        f"does not promise again: head {number}: {p.recovery.stage.value}, "
                         f"{after:.1f} s, disk {p.store.disk.state(p.transport.now()).value}"
                     )
 
--- a/gorsethread/gateway/carrying.py
+++ b/gorsethread/gateway/carrying.py
@@ -87,7 +87,7 @@
         """No first write of it has run."""
         ...
 
-    def refuses(self) -> float:
+    def retry_after(self) -> float:
         """0.0: what is placed nowhere may be placed; else after how many seconds to come again."""
         ...
 
--- a/gorsethread/head/clients.py
+++ b/gorsethread/head/clients.py
@@ -147,7 +147,7 @@
             self.placement.placed(volume.number, extent, shard)
             if self.keeper is not None:
                 self.keeper.placed((volume.number, extent), shard, lambda kept: None)
-        if shard == UNPLACED and self.keeper is not None and (after := self.keeper.refuses()) > 0.0:
+        if shard == UNPLACED and self.keeper is not None and (after := self.keeper.retry_after()) > 0.0:
             # Where it belongs is not known now, or can't be kept: nothing of it has run.
             waiting.rejected(after)
             return
--- a/gorsethread/lab/records.py
+++ b/gorsethread/lab/records.py
@@ -66,7 +66,7 @@
     def _write(self, records: list[Record]) -> None:
         with self._env.begin(write=True) as transaction:
             for r in records:
-                transaction.put(b"%d/%d" % r.fact.thing, msgspec.msgpack.encode(Entry(*r.number, r.fact)))
+                transaction.put(b"%d/%d" % r.fact.subject, msgspec.msgpack.encode(Entry(*r.number, r.fact)))
 
     def close(self) -> None:
         self._env.close()
--- a/gorsethread/nvme_gateway/branching.py
+++ b/gorsethread/nvme_gateway/branching.py
@@ -31,7 +31,7 @@
 from gorsethread.head.peers import fleet_of
 from gorsethread.nvme.command import Opcode
 from gorsethread.nvme.subsystem import BLOCK
-from gorsethread.nvme_gateway.replicated_log import CONNECT_WITHIN, ReplicatedLog
+from gorsethread.nvme_gateway.replicated_log import CONNECT_TIMEOUT, ReplicatedLog
 from gorsethread.offline_writes import admission
 from gorsethread.offline_writes import messages as offline_messages
 from gorsethread.offline_writes.applied_writes import Answer
@@ -42,8 +42,8 @@
 from gorsethread.offline_writes.replay_window import Pace
 from gorsethread.offline_writes.write_queue import DEPENDS, Bounds, Held, Queue, Stage
 from gorsethread.offline_writes.writes import Context, Write, WriteNumber, causes
-from gorsethread.recovery.spacing import returns_after
-from gorsethread.recovery.stages import AGAIN
+from gorsethread.recovery.spacing import spread_retry_after
+from gorsethread.recovery.stages import RETRY_AFTER
 from gorsethread.recovery.stages import Stage as Returns
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.sitefile.reading import split_address
@@ -144,10 +144,10 @@
     # ---- the head's start
 
     def start(self) -> None:
-        self.promises.given_back = self._given_back
+        self.promises.on_records_recovered = self._given_back
         if self.mate_number >= 0:
             self.copy(self.mate_number)  # what is held of the other head is known before anything is taken
-        self._recover(not self.promises.returning.sound)
+        self._recover(not self.promises.recovery.trusts_own_records)
         self.transport.spawn(self._run())
 
     def stop(self) -> None:
@@ -157,9 +157,9 @@
                 way.stream.close()
 
     async def _run(self) -> None:
-        while not self.promises.store.begun and not self.stopped:
+        while not self.promises.store.started and not self.stopped:
             await self.transport.sleep(TICK)
-        self.epoch = self.promises.life
+        self.epoch = self.promises.incarnation
         self._ready = True
         self._say_parked()
         while not self.stopped:
@@ -173,17 +173,17 @@
     def _recover(self, unsure: bool) -> None:
         table = self.promises.store.table
         steps = {
-            r.fact.thing[1:]: r.fact for r in table.records.values() if isinstance(r.fact, WriteProgress)
+            r.fact.subject[1:]: r.fact for r in table.records.values() if isinstance(r.fact, WriteProgress)
         }
         found = [r.fact for r in table.records.values() if isinstance(r.fact, WriteQueued)]
-        for f in sorted(found, key=lambda f: (f.life, f.place)):
-            number = WriteNumber(self.head, f.life, f.place)
+        for f in sorted(found, key=lambda f: (f.incarnation, f.position)):
+            number = WriteNumber(self.head, f.incarnation, f.position)
             if number in self.queue.held or number in self._taking:
                 continue
-            step = steps.get((f.life, f.place))
+            step = steps.get((f.incarnation, f.position))
             stage = Stage(step.stage) if step is not None else Stage.WAITS
             suspects = tuple(step.suspects) if step is not None else ()
-            anyway = step is not None and step.anyway
+            anyway = step is not None and step.forced
             if stage is not Stage.PARKED:
                 under_way = unsure or stage in (Stage.SENT, Stage.ASKED, Stage.UNKNOWN)
                 stage = Stage.UNKNOWN if under_way else Stage.WAITS
@@ -219,7 +219,7 @@
             self._step(h.write.number)
 
     def _write(self, number: WriteNumber, f: WriteQueued, anyway: bool = False) -> Write:
-        p = self.site.profile[f.profile]
+        p = self.site.profile[f.request_class]
         return Write(
             number,
             f.volume,
@@ -227,10 +227,10 @@
             f.key,
             p.value,
             len(f.data),
-            f.at,
-            tuple(WriteNumber(*n) for n in f.own),
-            tuple(WriteNumber(*n) for n in f.others),
-            f.base,
+            f.accepted_at,
+            tuple(WriteNumber(*n) for n in f.own_dependencies),
+            tuple(WriteNumber(*n) for n in f.other_dependencies),
+            f.base_digest,
             p.when_changed == pb.PARK and not anyway,
             p.effect == pb.REDOABLE,
             f.label,
@@ -242,7 +242,13 @@
         self.bases.forget(f.volume, f.block, f.blocks)
 
     def _shows(self, number: WriteNumber, f: WriteQueued) -> None:
-        self.shadow.add(number, f.volume, f.block, f.data, (WriteNumber(*n) for n in (*f.own, *f.others)))
+        self.shadow.add(
+            number,
+            f.volume,
+            f.block,
+            f.data,
+            (WriteNumber(*n) for n in (*f.own_dependencies, *f.other_dependencies)),
+        )
 
     # ---- the branch's other head
 
@@ -255,7 +261,7 @@
             mate.doubted = set(mate.writes)
         for r in records:
             if isinstance(r.fact, WriteQueued):
-                number = WriteNumber(origin, r.fact.life, r.fact.place)
+                number = WriteNumber(origin, r.fact.incarnation, r.fact.position)
                 mate.doubted.discard(number)
                 if number not in mate.writes:
                     mate.writes[number] = r.fact
@@ -266,10 +272,10 @@
             mate.doubted.discard(number)
             self._mates_ended(number)
         for r in records:
-            if isinstance(r.fact, Tombstone) and r.fact.thing[0] == QUEUED:
-                self._mates_ended(WriteNumber(origin, *r.fact.thing[1:]))
+            if isinstance(r.fact, Tombstone) and r.fact.subject[0] == QUEUED:
+                self._mates_ended(WriteNumber(origin, *r.fact.subject[1:]))
             elif isinstance(r.fact, WriteProgress):
-                self._mates_step(WriteNumber(origin, r.fact.life, r.fact.place), r.fact.stage)
+                self._mates_step(WriteNumber(origin, r.fact.incarnation, r.fact.position), r.fact.stage)
 
     def _mates_step(self, number: WriteNumber, stage: str) -> None:
         f = self.mate.writes.get(number)
@@ -342,7 +348,7 @@
         known = self.volumes[volume]
         if known.placement != pb.FIXED:
             return False
-        if self.promises.returning.stage is not Returns.FULL:
+        if self.promises.recovery.stage is not Returns.COMPLETE:
             # What it had accepted may be missing: nothing may be read past, or overtake it.
             self._back(waiting, self._return())
             return True
@@ -397,7 +403,7 @@
         return context
 
     def _return(self) -> float:
-        return returns_after(
+        return spread_retry_after(
             admission.RETURN_CUT if self.link.queues else admission.RETURN_SOON, self.chance.random()
         )
 
@@ -416,13 +422,13 @@
         refused = self.queue.refuses(p.value, len(data), wall)
         named = causes(self.head, before, self._unsure)
         known = self._ready and (self.mate_number < 0 or self.copy(self.mate_number) > NO_SEQUENCE)
-        after = self.promises.refuses() if known else AGAIN
+        after = self.promises.retry_after() if known else RETRY_AFTER
         if refused is not None or named is None or after > 0.0 or self._fenced(self.transport.now()):
             why = refused.value if refused is not None else "records" if after > 0.0 else "too many causes"
             self.counts[f"refused: {why}"] += 1
             self._back(waiting, after or self._return())
             return
-        number = WriteNumber(self.head, *self.promises.next)
+        number = WriteNumber(self.head, *self.promises.next_sequence)
         base = self.bases.of(c.nsid, c.first_block, c.blocks) if p.when_changed == pb.PARK else 0
         fact = WriteQueued(
             number.life,
@@ -445,14 +451,14 @@
         self.queue.taking(self._write(number, fact))
         taking = self._taking[number] = Taking(fact, waiting, io.host)
         taking.timer = self.transport.at(waiting.deadline, lambda: self._time_is_up(number))
-        self.promises.keep(fact, lambda kept: self._kept(number, kept))
+        self.promises.append(fact, lambda kept: self._kept(number, kept))
 
     def _unsure(self, number: WriteNumber) -> list[WriteNumber]:
         """Of a write that may yet be taken back what it comes after."""
         if number in self._taking and number in self.queue.held:
             return [n for n in self.queue.held[number].write.causes if not self._over(n)]
         f = self.mate.writes.get(number) if number not in self.mate.sure else None
-        named = map(WriteNumber._make, (*f.own, *f.others)) if f is not None else ()
+        named = map(WriteNumber._make, (*f.own_dependencies, *f.other_dependencies)) if f is not None else ()
         return [n for n in named if not self._over(n)]
 
     def _kept(self, number: WriteNumber, kept: bool) -> None:
@@ -466,14 +472,14 @@
             self.counts["not kept"] += 1
 
             def gone() -> Tombstone:
-                return Tombstone([*t.fact.thing])
+                return Tombstone([*t.fact.subject])
 
             def taken_back(there: bool) -> None:
                 self._gave_up(number)
                 if not there:
                     self._say_again(gone)
 
-            self.promises.keep(gone(), taken_back, True)
+            self.promises.append(gone(), taken_back, True)
             return
         del self._taking[number]
         if t.timer is not None:
@@ -552,7 +558,7 @@
 
     async def _lead(self, number: int, way: Way) -> None:
         try:
-            stream = await self.transport.connect(*self.main[number], CONNECT_WITHIN)
+            stream = await self.transport.connect(*self.main[number], CONNECT_TIMEOUT)
         except Unreachable as error:
             way.connecting = False
             self.log.debug("no way to the main site", other=number, reason=str(error))
@@ -628,7 +634,9 @@
             way = self._ways[name]
             if way.stream is not None:
                 queue.asks(number, now)
-                way.stream.write(encode(offline_messages.Ask(number, epoch, self._fact(number).profile)))
+                way.stream.write(
+                    encode(offline_messages.Ask(number, epoch, self._fact(number).request_class))
+                )
                 return
         h.since = h.since or now  # nobody there to ask: it is parked in time
 
@@ -642,7 +650,7 @@
                 if number.branch == self.head:
                     step = self._step_of(number)
                     assert step is not None
-                    self.promises.keep(step, partial(self._sent, queue, h, name, epoch), True)
+                    self.promises.append(step, partial(self._sent, queue, h, name, epoch), True)
                 else:
                     self._sent(queue, h, name, epoch, True)
                 return
@@ -655,14 +663,14 @@
             queue.turned_away(number, h.sending(name), self.transport.now() + admission.RETURN_SOON)
             return
         f = self._fact(number)
-        base = f.base if h.write.parks else 0
+        base = f.base_digest if h.write.parks else 0
         way.stream.write(
             encode(
                 offline_messages.Send(
                     number,
                     epoch,
                     h.sending(name),
-                    f.profile,
+                    f.request_class,
                     f.volume,
                     f.block,
                     f.hints,
@@ -693,7 +701,9 @@
         queue, answer = found[0], Answer(m.answer)
         if answer is Answer.IN_EFFECT:
             if h.stage is Stage.SENT:
-                self.pace.answered(now - h.since, self.site.profile[self._fact(number).profile].promised)
+                self.pace.answered(
+                    now - h.since, self.site.profile[self._fact(number).request_class].promised
+                )
             self._in_effect(queue, number)
         elif answer is Answer.NOT:
             queue.not_there(number, name, m.sending)
@@ -734,7 +744,7 @@
         """Until it is on the disk; None: it need not be encode any more."""
         encode = fact()
         if encode is not None and not self.stopped:
-            self.promises.keep(encode, lambda kept: None if kept else self._say_again(fact), True)
+            self.promises.append(encode, lambda kept: None if kept else self._say_again(fact), True)
 
     def _say_again(self, fact: Callable[[], Fact | None]) -> None:
         self.transport.at(self.transport.now() + SAY_AGAIN, lambda: self._say(fact))
--- a/gorsethread/nvme_gateway/replay_receiver.py
+++ b/gorsethread/nvme_gateway/replay_receiver.py
@@ -19,7 +19,7 @@
 from gorsethread.offline_writes.applied_writes import Answer, Landing
 from gorsethread.offline_writes.base_versions import base_of, digests
 from gorsethread.offline_writes.writes import WriteNumber
-from gorsethread.recovery.stages import AGAIN, Stage
+from gorsethread.recovery.stages import RETRY_AFTER, Stage
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.transport.base import Stream, Transport
 
@@ -40,7 +40,7 @@
         self.ended(self, self._came_to(), b"", return_after)
 
     def failed(self) -> None:
-        self.ended(self, self._came_to(), b"", AGAIN)
+        self.ended(self, self._came_to(), b"", RETRY_AFTER)
 
     def _came_to(self) -> Answer:
         """AGAIN where none of its forwards may have run, or that does no harm."""
@@ -70,20 +70,22 @@
         self._waiters: dict[
             WriteNumber, list[tuple[Stream, int]]
         ] = {}  # who asked or sent; emptied as each ends
-        promises.given_back = self._recover
+        promises.on_records_recovered = self._recover
 
     def _recover(self) -> None:
         if self.landing is not None:
             for r in self.promises.store.table.records.values():
                 if isinstance(r.fact, WriteApplied):
-                    self.landing.recovered(WriteNumber(r.fact.branch, r.fact.life, r.fact.place), r.fact.ran)
+                    self.landing.recovered(
+                        WriteNumber(r.fact.branch, r.fact.incarnation, r.fact.position), r.fact.ran
+                    )
 
     def _known(self) -> Landing | None:
         """None while this head does not know yet what it had begun."""
-        if self.promises.returning.stage is not Stage.FULL or not self.promises.store.begun:
+        if self.promises.recovery.stage is not Stage.COMPLETE or not self.promises.store.started:
             return None
         if self.landing is None:
-            self.landing = Landing(self.promises.life)
+            self.landing = Landing(self.promises.incarnation)
             self._recover()
         return self.landing
 
@@ -103,7 +105,7 @@
                 self.log.warning("an earlier epoch of a branch is shut out", branch=m.branch, epoch=m.epoch)
             for place in over or ():
                 if (EFFECT, m.branch, *place) in self.promises.store.table.records:
-                    self.promises.keep(Tombstone([EFFECT, m.branch, *place]))
+                    self.promises.append(Tombstone([EFFECT, m.branch, *place]))
         elif isinstance(m, offline_messages.Ask | offline_messages.Send):
             if (
                 not 0 <= m.profile < len(self.site.profile)
@@ -117,7 +119,7 @@
                 )
                 landing = None
             if landing is None:
-                self._tell(stream, WriteNumber(*m.number), Answer.AGAIN, after=AGAIN)
+                self._tell(stream, WriteNumber(*m.number), Answer.AGAIN, after=RETRY_AFTER)
             elif isinstance(m, offline_messages.Ask):
                 self._asked(stream, landing, m)
             else:
@@ -157,24 +159,26 @@
         answer = landing.sent(number, m.sending, m.epoch, self._redoable(m.profile))
         if answer not in (Answer.RUNS, Answer.WAITS):
             shut = answer is Answer.SHUT_OUT
-            self._tell(stream, number, answer, landing.of[number.branch].epoch if shut else m.sending, AGAIN)
+            self._tell(
+                stream, number, answer, landing.of[number.branch].epoch if shut else m.sending, RETRY_AFTER
+            )
             return
         self._waiters.setdefault(number, []).append((stream, m.sending))
         if answer is Answer.WAITS:
             return
         if self._redoable(m.profile):
             self._look(m)
-        elif (after := self.promises.refuses()) > 0.0:
+        elif (after := self.promises.retry_after()) > 0.0:
             self._ends(number, Answer.AGAIN, after)
         else:
             # Kept by as many as hold a promise: after a loss of this machine nobody takes it for not begun.
-            self.promises.keep(WriteApplied(*number, False), lambda kept: self._begun(m, kept))
+            self.promises.append(WriteApplied(*number, False), lambda kept: self._begun(m, kept))
 
     def _begun(self, m: offline_messages.Send, kept: bool) -> None:
         if kept:
             self._look(m)
         else:
-            self._not_run(WriteNumber(*m.number), AGAIN)
+            self._not_run(WriteNumber(*m.number), RETRY_AFTER)
 
     def _look(self, m: offline_messages.Send) -> None:
         """Where the branch saw what its blocks held, whether they still hold it."""
@@ -236,7 +240,7 @@
 
     def _wrote(self, number: WriteNumber, answer: Answer, after: float) -> None:
         if answer is Answer.IN_EFFECT:
-            self.promises.keep(WriteApplied(*number, True))
+            self.promises.append(WriteApplied(*number, True))
             self._ends(number, answer, 0.0)
         elif answer is Answer.UNKNOWN:
             self._ends(number, answer, 0.0)
@@ -244,7 +248,7 @@
             self._not_run(number, after)
 
     def _not_run(self, number: WriteNumber, after: float, answer: Answer = Answer.AGAIN) -> None:
-        self.promises.keep(Tombstone([EFFECT, *number]))
+        self.promises.append(Tombstone([EFFECT, *number]))
         self._ends(number, answer, after)
 
     def _ends(self, number: WriteNumber, answer: Answer, after: float) -> None:
--- a/gorsethread/nvme_gateway/replica_server.py
+++ b/gorsethread/nvme_gateway/replica_server.py
@@ -191,7 +191,7 @@
         if m.begins:
             store.replace(RecordTable(given))
             held.whole = True
-        if m.begins or not store.begun or m.life > store.life:
+        if m.begins or not store.started or m.life > store.life:
             await store.begin(m.life)
             if m.begins:
                 return True
--- a/gorsethread/nvme_gateway/replicated_log.py
+++ b/gorsethread/nvme_gateway/replicated_log.py
@@ -35,13 +35,13 @@
 from gorsethread.head.peers import fleet_of
 from gorsethread.head.placement import SitePlacement
 from gorsethread.nvme_gateway.replica_server import copies_of, own_of
-from gorsethread.recovery.spacing import Asks, returns_after
-from gorsethread.recovery.stages import AGAIN, Return, Stage, due
+from gorsethread.recovery.spacing import Asks, spread_retry_after
+from gorsethread.recovery.stages import RETRY_AFTER, Return, Stage, due
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.sitefile.reading import split_address
 from gorsethread.transport.base import Stream, StreamClosed, Transport, Unreachable
 
-CONNECT_WITHIN = 1.0  # seconds
+CONNECT_TIMEOUT = 1.0  # seconds
 SILENCE_MOST = 3.0  # seconds that an answer may take
 LOOK_EVERY = 0.5  # seconds between looks at who lives and holds
 Address = tuple[str, int]
@@ -80,11 +80,12 @@
             if self.copies
             else {}
         )
-        self.given_back: Callable[[], None] = lambda: None  # others had more of this head's than it had
+        # Called where others had more of this head's than it had.
+        self.on_records_recovered: Callable[[], None] = lambda: None
         self.sender = ReplicationSender(min(site.records.held_by, len(self.others)))
-        self.returning: Return
+        self.recovery: Return
         self.chance = transport.chance("promises")
-        self.life = 0
+        self.incarnation = 0
         self.stopped = False
         self._place = 0
         self._waiting: dict[Place, list[Done]] = {}  # emptied as each is told
@@ -99,7 +100,7 @@
         # After an exchange of disks the copies that another held of this head's stand here.
         found.table.merge(strays(self.transport, copies_of(self.folder, self.head), self.fleet, self.head))
         now = self.transport.now()
-        self.returning = Return(
+        self.recovery = Return(
             now,
             found.table.last,
             found.whole,
@@ -129,16 +130,16 @@
             stream.close()
 
     async def _return(self) -> None:
-        r = self.returning
-        while r.stage is Stage.ASKING:
+        r = self.recovery
+        while r.stage is Stage.POLLING:
             await self._tick()
-        self.life = r.next_life(self.transport.wall() * 1000.0)
-        self.store.holes = r.stage is not Stage.FULL
-        await self.store.begin(self.life)
-        self.log.info("serves by its records", stage=r.stage.value, life=self.life)
+        self.incarnation = r.next_life(self.transport.wall() * 1000.0)
+        self.store.holes = r.stage is not Stage.COMPLETE
+        await self.store.begin(self.incarnation)
+        self.log.info("serves by its records", stage=r.stage.value, life=self.incarnation)
         self._look()
         told = False
-        while r.stage is not Stage.FULL:
+        while r.stage is not Stage.COMPLETE:
             await self._tick()
             if self.stopped:
                 return
@@ -158,25 +159,25 @@
 
     async def _tick(self) -> None:
         now = self.transport.now()
-        at = due(self.returning, now)
+        at = due(self.recovery, now)
         # Answers come in between, so it looks again soon at the latest.
         await self.transport.sleep(min(0.05, max(0.001, at - now)) if at is not None else 0.05)
-        self.returning.tick(self.transport.now())
+        self.recovery.tick(self.transport.now())
 
     async def _ask_all(self) -> None:
         """What others hold of this head's, and that itself where it is later than the own. Who most likely
         holds it is asked first."""
         asks = Asks(holders(self.head, self.places, self.others, len(self.others)), len(self.places))
         while (other := asks.next()) is not None and not self.stopped:
-            if other in self.returning.wanted():
+            if other in self.recovery.wanted():
                 self.transport.spawn(self._ask(other, asks))
             await self.transport.sleep(asks.gap)
-            while not asks.waiting and self.returning.wanted() and not self.stopped:
+            while not asks.waiting and self.recovery.wanted() and not self.stopped:
                 await self.transport.sleep(AGAIN_LEAST)  # what is asked may still fail
 
     async def _ask(self, other: int, asks: Asks) -> None:
-        r, began = self.returning, self.transport.now()
-        if r.stage is not Stage.ASKING and other not in self.living():
+        r, began = self.recovery, self.transport.now()
+        if r.stage is not Stage.POLLING and other not in self.living():
             await self.transport.sleep(AGAIN_MOST)  # the view holds it dead: it hardly answers
         try:
             await self._ask_once(other)
@@ -185,7 +186,7 @@
         asks.ended(other, other not in r.wanted(), self.transport.now() - began)
 
     async def _ask_once(self, other: int) -> None:
-        stream = await self.transport.connect(*self.others[other], CONNECT_WITHIN)
+        stream = await self.transport.connect(*self.others[other], CONNECT_TIMEOUT)
         guard = self.transport.at(self.transport.now() + SILENCE_MOST, stream.close)
         got, reader = RecordTable(), replication_messages.MessageReader()
         try:
@@ -193,10 +194,10 @@
             while True:
                 for m in reader.take(await stream.read()):
                     if isinstance(m, replication_messages.Have):
-                        if not self.returning.answered(other, m.last, m.life, self.transport.now()):
+                        if not self.recovery.answered(other, m.last, m.life, self.transport.now()):
                             return
                         stream.write(
-                            replication_messages.encode(replication_messages.Fetch(self.returning.own))
+                            replication_messages.encode(replication_messages.Fetch(self.recovery.own))
                         )
                     elif isinstance(m, replication_messages.Give):
                         guard.cancel()
@@ -215,43 +216,43 @@
         self.store.grow(got)
         self.sender.anew()
         self.placement.known(self.store.table.placed())
-        self.given_back()
-        self.returning.got(other, self.transport.now())
+        self.on_records_recovered()
+        self.recovery.got(other, self.transport.now())
 
     # ---- promises
 
-    def refuses(self) -> float:
+    def retry_after(self) -> float:
         now = self.transport.now()
-        if not self.store.begun or self.sender.shut_out or not self.sender.enough:
-            least = AGAIN
+        if not self.store.started or self.sender.shut_out or not self.sender.enough:
+            least = RETRY_AFTER
         else:
-            least = max(self.returning.refuses(now), self.store.disk.refuses(now, self.store.pending))
-        return returns_after(least, self.chance.random()) if least else 0.0
+            least = max(self.recovery.refuses(now), self.store.disk.refuses(now, self.store.pending))
+        return spread_retry_after(least, self.chance.random()) if least else 0.0
 
     def placed(self, place: Place, shard: int, done: Done) -> None:
         if place in self._waiting:
             self._waiting[place].append(done)
             return
-        if self.refuses() > 0.0:
+        if self.retry_after() > 0.0:
             self.transport.soon(partial(done, False))
             return
         self._waiting[place] = [done]
-        self.keep(ExtentPlaced(*place, shard), lambda kept: self._settle(place, kept))
+        self.append(ExtentPlaced(*place, shard), lambda kept: self._settle(place, kept))
 
     def freed(self, place: Place) -> None:
         known = self.store.table.records.get(place)
         if known is not None and isinstance(known.fact, ExtentPlaced):
-            self.keep(ExtentReleased(*place))
+            self.append(ExtentReleased(*place))
 
     @property
-    def next(self) -> SequenceNumber:
+    def next_sequence(self) -> SequenceNumber:
         """The number of what is kept next."""
-        return self.life, self._place + 1
+        return self.incarnation, self._place + 1
 
-    def keep(self, fact: Fact, done: Done | None = None, here: bool = False) -> None:
+    def append(self, fact: Fact, done: Done | None = None, here: bool = False) -> None:
         """done: told once whether it lasts; here: on the own disk, else also with as many as must hold it."""
         self._place += 1
-        number = self.life, self._place
+        number = self.incarnation, self._place
         self.store.add(Record(number, fact), lambda kept: self._flushed(number, kept, done, here))
 
     def _flushed(self, number: SequenceNumber, kept: bool, done: Done | None, here: bool) -> None:
@@ -301,7 +302,7 @@
             await self.transport.sleep(wait)
 
     async def _hold_once(self, other: int) -> None:
-        stream = await self.transport.connect(*self.others[other], CONNECT_WITHIN)
+        stream = await self.transport.connect(*self.others[other], CONNECT_TIMEOUT)
         self._streams[other] = stream
         reader = replication_messages.MessageReader()
         heard = [self.transport.now()]
@@ -317,7 +318,9 @@
         watch()
         try:
             stream.write(
-                replication_messages.encode(replication_messages.Hello(self.fleet, self.head, self.life))
+                replication_messages.encode(
+                    replication_messages.Hello(self.fleet, self.head, self.incarnation)
+                )
             )
             while True:
                 for m in reader.take(await stream.read()):
@@ -330,7 +333,7 @@
             stream.close()
 
     def _told_by(self, other: int, m: replication_messages.Message) -> None:
-        if isinstance(m, replication_messages.Have) and m.life <= self.life:
+        if isinstance(m, replication_messages.Have) and m.life <= self.incarnation:
             self.sender.met(other, m.last, self.store.forgot)
             self._pump(other)
         elif isinstance(m, replication_messages.Have | replication_messages.Over):
@@ -339,7 +342,7 @@
                 "a later life of this head is known; nothing is promised any more",
                 by=other,
                 life=m.life,
-                own=self.life,
+                own=self.incarnation,
                 to_do="end one of the two processes of this head",
             )
         elif isinstance(m, replication_messages.Holds):
@@ -367,7 +370,7 @@
             stream.write(
                 replication_messages.encode(
                     replication_messages.Put(
-                        self.life,
+                        self.incarnation,
                         piece.begins,
                         replication_messages.entries(piece.records),
                         piece.last,
--- a/gorsethread/recovery/spacing.py
+++ b/gorsethread/recovery/spacing.py
@@ -54,7 +54,7 @@
         self.gap = max(self._least, 0.5 * self.gap) if quick else min(self._most, 2.0 * self.gap)
 
 
-def returns_after(least: float, draw: float) -> float:
+def spread_retry_after(least: float, draw: float) -> float:
     """When a client that was pushed back meanwhile may come again: spread, as all heads push back at once.
     draw: from 0 to 1."""
     return least * (1.0 + 2.0 * draw)
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -103,7 +103,7 @@
         return w
 
     def stages(self, w: RecordsWorld) -> list[Stage]:
-        return [h.promises.returning.stage for h in w.heads.values()]
+        return [h.promises.recovery.stage for h in w.heads.values()]
 
     def test_drawn_worlds_keep_every_rule_and_every_promise(self) -> None:
         failed = [(p.seed, p.reasons, p.first) for p in play_many(SITE, range(40), kept=True) if p.reasons]
@@ -130,13 +130,13 @@
 
     def test_all_down_at_once_and_one_never_back_are_not_waited_for(self) -> None:
         w = self.good("2 kill head-0 for 0.3\n2 kill head-1 for 0.5\n2 kill head-2 for 5\n")
-        self.assertEqual([Stage.FULL] * 3, self.stages(w))
-        back = w.heads[0].promises.returning
+        self.assertEqual([Stage.COMPLETE] * 3, self.stages(w))
+        back = w.heads[0].promises.recovery
         self.assertLess(back.since - back.began, 2.2)
 
     def test_an_empty_disk_is_known_as_lost_and_given_back(self) -> None:
         w = self.good("3 wipe head-0 for 0.5\n3 kill head-2 for 3\n")
-        returning = w.heads[0].promises.returning
+        returning = w.heads[0].promises.recovery
         self.assertGreater(returning.since - returning.began, 2.0, "it waited for the one that may hold more")
         self.assertGreater(len(w.heads[0].promises.store.table.placed()), 10)
 
@@ -181,7 +181,7 @@
                     stream = await process.connect(f"head-{other}", 4520, 1.0)
                     stream.write(
                         replication_messages.encode(
-                            replication_messages.Hello(earlier.fleet, 0, earlier.life + 1)
+                            replication_messages.Hello(earlier.fleet, 0, earlier.incarnation + 1)
                         )
                     )
                     await stream.read()
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -331,7 +331,7 @@
                     self.wait(chance.choice((0.001, 0.004, 0.02)))
             found = self.again(process)
             self.assertTrue(found.whole, found.faults)
-            there = {r.fact.thing[1]: r.number[1] for r in found.table.records.values()}
+            there = {r.fact.subject[1]: r.number[1] for r in found.table.records.values()}
             for extent, n in told.items():
                 self.assertGreaterEqual(there.get(extent, 0), n, (seed, extent))
 
@@ -362,7 +362,7 @@
             self.files.slow.clear()
             found = self.again(process)
             self.assertTrue(found.whole, found.faults)
-            there = {r.fact.thing[1]: r.number[1] for r in found.table.records.values()}
+            there = {r.fact.subject[1]: r.number[1] for r in found.table.records.values()}
             for extent, last in told.items():
                 self.assertGreaterEqual(there.get(extent, 0), last, (seed, extent))
 
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -32,30 +32,30 @@
     def test_a_whole_folder_that_others_bear_out_is_full_at_once(self) -> None:
         r = returning()
         for n in OTHERS:
-            self.assertIs(Stage.ASKING, r.stage)
+            self.assertIs(Stage.POLLING, r.stage)
             self.assertFalse(r.answered(n, LAST, 7, 0.1))
-        self.assertEqual((Stage.FULL, 0.0), (r.stage, r.refuses(0.1)))
+        self.assertEqual((Stage.COMPLETE, 0.0), (r.stage, r.refuses(0.1)))
 
     def test_nobody_to_ask_does_not_hold_up_whole_records(self) -> None:
         r = returning()
         self.assertEqual(ASK_MOST, due(r, 0.0))
         r.tick(ASK_MOST)
-        self.assertIs(Stage.CARE, r.stage)
+        self.assertIs(Stage.RESTRICTED, r.stage)
         self.assertGreater(r.refuses(ASK_MOST), 0.0)
         self.assertEqual(TRUST, due(r, ASK_MOST))
         r.tick(TRUST)
-        self.assertEqual((Stage.FULL, None), (r.stage, due(r, TRUST)))
+        self.assertEqual((Stage.COMPLETE, None), (r.stage, due(r, TRUST)))
 
     def test_lost_records_wait_for_answers_or_a_person(self) -> None:
         for lost in ({"own": NO_SEQUENCE, "empty": True}, {"whole": False}):
             with self.subTest(lost=lost):
                 r = returning(**lost)  # type: ignore[arg-type]
                 r.tick(1000.0)
-                self.assertEqual((Stage.CARE, True), (r.stage, r.lost))
+                self.assertEqual((Stage.RESTRICTED, True), (r.stage, r.lost))
                 self.assertEqual([1, 2, 3], r.wanted())
                 r.accept(1001.0)
-                self.assertIs(Stage.FULL, r.stage)
-                self.assertIs(Stage.FULL, self.after(returning(**lost, accepted=True), TRUST))  # type: ignore
+                self.assertIs(Stage.COMPLETE, r.stage)
+                self.assertIs(Stage.COMPLETE, self.after(returning(**lost, accepted=True), TRUST))  # type: ignore
 
     def after(self, r: Return, now: float) -> Stage:
         r.tick(now)
@@ -66,9 +66,9 @@
         self.assertTrue(r.answered(1, (7, 41), 7, 0.1))
         r.answered(2, LAST, 7, 0.1)
         r.answered(3, LAST, 7, 0.1)
-        self.assertIs(Stage.ASKING, r.stage)
+        self.assertIs(Stage.POLLING, r.stage)
         r.got(1, 0.2)
-        self.assertIs(Stage.FULL, r.stage)
+        self.assertIs(Stage.COMPLETE, r.stage)
 
     def test_holes_want_everything_from_all(self) -> None:
         r = returning(whole=False)
@@ -84,8 +84,8 @@
             returning(held_by=0),
             returning(NO_SEQUENCE, empty=True, others=frozenset()),
         ):
-            self.assertIs(Stage.FULL, r.stage)
-        self.assertIs(Stage.CARE, self.after(returning(whole=False, held_by=0), 1000.0))
+            self.assertIs(Stage.COMPLETE, r.stage)
+        self.assertIs(Stage.RESTRICTED, self.after(returning(whole=False, held_by=0), 1000.0))
 
     @given(st.integers(0, 10**13), st.lists(st.integers(0, 10**13), max_size=3), st.floats(0, 1e13))
     def test_a_life_is_later_than_any_that_is_known(self, own: int, known: list[int], wall: float) -> None:
@@ -121,7 +121,7 @@
             whole, empty = True, own == 0
             r = made(own, whole, empty, heard, fetched, 1000.0 if late else 0.0)
             got = max([own, *(copies[n - 1] for n in fetched)])
-            if up and r.stage is Stage.FULL:
+            if up and r.stage is Stage.COMPLETE:
                 if promised < self.PROMISES and promised <= got:
                     for n in (1, 2):  # which of them says first that it holds it
                         both = tuple(promised + 1 if k == n - 1 else copies[k] for k in range(2))
@@ -187,7 +187,7 @@
                 return True
             r = made(d["own"], True, d["own"] == 0, d["heard"], d["fetched"], 1000.0 if d["late"] else 0.0)
             has = max([d["own"], *(last for n, last in d["heard"] if n in d["fetched"])])
-            return r.stage is not Stage.FULL or has >= d["promised"]
+            return r.stage is not Stage.COMPLETE or has >= d["promised"]
 
         result: dict[str, Any] = check_safety(
             Protocol(
@@ -209,7 +209,7 @@
 
     def test_each_planted_flaw_is_found(self) -> None:
         def trusting(r: Return) -> None:
-            r.sound = True
+            r.trusts_own_records = True
 
         def one_answer(r: Return) -> None:
             r.held_by = 2
--- a/tests/test_spacing.py
+++ b/tests/test_spacing.py
@@ -13,7 +13,7 @@
 
 from gorsethread.cli.main import app
 from gorsethread.lab.returning import full_after, in_world, most_in_a_second, script_of, shown
-from gorsethread.recovery.spacing import BEHIND_MOST, CALLS, CALLS_MOST, Asks, Opens, returns_after
+from gorsethread.recovery.spacing import BEHIND_MOST, CALLS, CALLS_MOST, Asks, Opens, spread_retry_after
 from gorsethread.sitefile.reading import BadSite, parse_site, read_site
 
 PATH = Path(__file__).parent.parent / "deploy" / "site.txtpb"
@@ -63,7 +63,7 @@
         self.assertEqual(200 / CALLS, asks.gap)
 
     def test_return_times_are_spread(self) -> None:
-        self.assertEqual([0.3, 0.6, 0.9], [round(returns_after(0.3, d), 6) for d in (0.0, 0.5, 1.0)])
+        self.assertEqual([0.3, 0.6, 0.9], [round(spread_retry_after(0.3, d), 6) for d in (0.0, 0.5, 1.0)])
 
     def test_a_bound_that_would_hold_a_head_up_is_refused(self) -> None:
         with self.assertRaises(BadSite) as caught:
