--- a/tests/test_membership.py
+++ b/tests/membership/test_backend_news.py
@@ -11,7 +11,7 @@
 from gorsethread.membership.news import BELIEVED_FOR, KEPT_FOR, NAMES, Membership, News, State
 from gorsethread.sitefile.reading import read_site
 
-SITE = read_site(Path(__file__).parent.parent / "deploy" / "site.txtpb")
+SITE = read_site(Path(__file__).parents[2] / "deploy" / "site.txtpb")
 LIFE = 7
 STATES = st.sampled_from(["ready", "draining", "gone"])
 HISTORY = st.lists(st.tuples(st.integers(0, 3), STATES), max_size=12)
