--- a/gorsethread/faults/coldpart.py
+++ b/gorsethread/faults/coldpart.py
@@ -16,7 +16,7 @@
 def borne(rule: SlowStartRule, age: float) -> float:
     """Units that all heads together may have sent within the span, at that age of a cold shelf: as the rule's
     page has it, not as the module works it out."""
-    return rule.units * (1.0 + (1.0 / rule.first_part - 1.0) * age / rule.warm_after)
+    return rule.units * (1.0 + (1.0 / rule.initial_part - 1.0) * age / rule.warm_after)
 
 
 class Falls:
@@ -37,7 +37,7 @@
         if self.fell or age >= self.rule.warm_after:
             return
         self._came.append((now, units, told))
-        while self._came[0][0] <= now - self.rule.span:
+        while self._came[0][0] <= now - self.rule.window:
             self._came.popleft()
         n = borne(self.rule, age) / self.mean
         whole = sum(u for _, u, _ in self._came)
@@ -98,7 +98,7 @@
         )
         log = self.sent.setdefault((s.id, start), deque())
         log.append((now, t.units))
-        while log[0][0] <= now - self.rule.span / SLACK:
+        while log[0][0] <= now - self.rule.window / SLACK:
             log.popleft()
         if sum(units for _, units in log) > SLACK * borne(self.rule, age):
             self.broken(f"more than a cold shelf's part: shelf {s.id}, {age:.2f} s after its start")
--- a/gorsethread/faults/mutants.py
+++ b/gorsethread/faults/mutants.py
@@ -117,8 +117,8 @@
 
 @mutant("driver: one wake in five is lost")
 def _loses_wakes(head: Head) -> None:
-    honest, now = head.driver.wake, sometimes(5)
-    head.driver.wake = lambda delay, name: (  # type: ignore[method-assign]
+    honest, now = head.driver.set_timer, sometimes(5)
+    head.driver.set_timer = lambda delay, name: (  # type: ignore[method-assign]
         None if now() else honest(delay, name)
     )
 
@@ -365,7 +365,7 @@
 
 @mutant("module: a key does not rest after what may still run")
 def _no_key_rest(head: Head) -> None:
-    _facts(head, key_rest=0.0)
+    _facts(head, key_cool_down=0.0)
 
 
 @mutant("module: keys have no turns")
@@ -386,13 +386,13 @@
 
 @mutant("module: each head takes all that a cold shelf bears for its own")
 def _whole_cold_part(head: Head) -> None:
-    _facts(head, heads=1)
+    _facts(head, gateways=1)
     head.driver.scheduler.lends = False
 
 
 @mutant("module: no budget of further forwards")
 def _no_budget(head: Head) -> None:
-    _facts(head, budget=None, most_forwards=50)
+    _facts(head, retry_budget=None, max_attempts=50)
     scheduler = head.driver.scheduler
     honest = scheduler._may_go_again
 
--- a/gorsethread/faults/planted.py
+++ b/gorsethread/faults/planted.py
@@ -51,7 +51,7 @@
 
 
 def _twice(head: Head) -> None:
-    profiles = head.driver.scheduler.facts.profiles
+    profiles = head.driver.scheduler.facts.request_classes
 
     def act(t: Open, f: Attempt) -> None:
         if profiles[t.client.profile].effect is Effect.NON_IDEMPOTENT:  # type: ignore[attr-defined]
--- a/gorsethread/faults/states.py
+++ b/gorsethread/faults/states.py
@@ -20,7 +20,7 @@
     "a shelf drains": lambda h: any(not s.ready for s in h.driver.scheduler.backends.values()),
     "a rate is cut": lambda h: any(s.rate < FREE_RATE for s in h.driver.scheduler.backends.values()),
     "a limit holds": lambda h: any(
-        v.plan.limit and v.limit_store < 1.0 for v in h.driver.scheduler.volumes.values()
+        v.plan.rate_limit and v.limit_store < 1.0 for v in h.driver.scheduler.volumes.values()
     ),
     "a further forward out": lambda h: any(n for s in h.driver.scheduler.backends.values() for _, n in s.out),
 }
--- a/gorsethread/faults/webmutants.py
+++ b/gorsethread/faults/webmutants.py
@@ -376,13 +376,13 @@
 
 @mutant("lending: every head is each shelf's home")
 def _all_homes(head: Gateway) -> None:
-    head.driver.scheduler._home = lambda shard: head.configuration.facts.index  # type: ignore[method-assign]
+    head.driver.scheduler._home = lambda shard: head.configuration.facts.gateway_index  # type: ignore[method-assign]
 
 
 @mutant("lending: each head takes all that a cold shelf bears")
 def _takes_all(head: Gateway) -> None:
     head.driver.scheduler.lends = False
-    head.driver.scheduler.facts = replace(head.driver.scheduler.facts, heads=1)
+    head.driver.scheduler.facts = replace(head.driver.scheduler.facts, gateways=1)
 
 
 @mutant("clients: the room of connections that were refused or ended is not given back")
--- a/gorsethread/gateway/driver.py
+++ b/gorsethread/gateway/driver.py
@@ -164,21 +164,21 @@
                 heapq.heappush(self._deadlines, (when, t.id))
         if self.open and when < self._deadline_at:
             self._await_deadline(when)
-        self.happened("ends_by", when)
+        self.happened("shutting_down_by", when)
 
     def listed(self, entries: list[tuple[int, int, int, bool, float]], whole: bool, remembered: bool) -> None:
         """(backend, zone, shard, ready, since) of each entry; since in this gateway's time, 0: long ago."""
-        self.happened("list_begins", whole, remembered)
+        self.happened("endpoint_list_begins", whole, remembered)
         for entry in entries:
-            self.happened("backend_listed", *entry)
-        self.happened("list_ended")
+            self.happened("endpoint_listed", *entry)
+        self.happened("endpoint_list_ended")
 
     def list_refused(self, waited: float = 0.0) -> None:
         """waited: seconds that the call took until it failed."""
-        self.happened("list_refused", waited)
+        self.happened("endpoint_poll_failed", waited)
 
     def peer_told(self, origin: int, words: str) -> None:
-        self.happened("peer_told", origin, words)
+        self.happened("peer_message_received", origin, words)
 
     def _work(self) -> None:
         self._due = False
@@ -394,19 +394,19 @@
             t.client.failed()
             self._close(t)
 
-    def wake(self, delay: float, name: str) -> None:
+    def set_timer(self, delay: float, name: str) -> None:
         if self.recorder:
-            self.recorder(("act", "wake", delay, name))
-        self.transport.at(self._now + delay, lambda: self.happened("woken", name))
+            self.recorder(("act", "set_timer", delay, name))
+        self.transport.at(self._now + delay, lambda: self.happened("timer_fired", name))
 
-    def tell(self, head: int, words: str) -> None:
+    def send_peer_message(self, head: int, words: str) -> None:
         if self.recorder:
-            self.recorder(("act", "tell", head, words))
+            self.recorder(("act", "send_peer_message", head, words))
         self.counts["told"] += 1
         if self.teller is not None:
             self.teller(head, words)
 
-    def follow_list(self) -> None:
+    def poll_endpoints(self) -> None:
         if self.recorder:
-            self.recorder(("act", "follow_list"))
+            self.recorder(("act", "poll_endpoints"))
         self._follow_list()
--- a/gorsethread/gateway/held_reasons.py
+++ b/gorsethread/gateway/held_reasons.py
@@ -25,7 +25,7 @@
 
 
 def _held_at(scheduler: Scheduler, t: Request, backend: Backend) -> HoldReason:
-    if t.volume.plan.limit and not t.attempts and t.volume.limit_store < t.units:
+    if t.volume.plan.rate_limit and not t.attempts and t.volume.limit_store < t.units:
         return HoldReason.LIMIT
     if scheduler.now < backend.rest_until:
         return HoldReason.REST
--- a/gorsethread/gateway/startfacts.py
+++ b/gorsethread/gateway/startfacts.py
@@ -44,7 +44,7 @@
             rules.get("freeResends") or 0.0, rules.get("furtherRatio") or 0.0, rules["ratioSpan"]
         )
     return SchedulerSettings(
-        profiles=tuple(
+        request_classes=tuple(
             RequestClass(
                 s["aim"],
                 word(EFFECTS, s["effect"]),
@@ -55,7 +55,7 @@
             )
             for s in setup["services"]
         ),
-        plans=tuple(
+        service_tiers=tuple(
             ServiceTier(
                 g.get("floorRate", 0.0),
                 g.get("proportion", 1.0),
@@ -65,18 +65,18 @@
             )
             for g in setup["grades"]
         ),
-        heads=setup["balancers"],
-        list_on_request=setup["membershipMode"] == "subscribe",
-        ask_within=rules.get("askWithin", 0.0),
+        gateways=setup["balancers"],
+        polls_endpoints=setup["membershipMode"] == "subscribe",
+        poll_within=rules.get("askWithin", 0.0),
         drain_grace=rules["stopSendingWithin"],
-        cold=SlowStartRule(facts["coldUnits"], rules["fall"], rules["cold"], rules["coldFrom"]),
-        budget=budget,
-        key_rest=rules.get("orderSettle") or 0.0,
-        most_forwards=may["maxAttempts"],
-        longest_return=may["maxRetryAfter"] if may["retryAfter"] else 0.0,
-        largest_units=facts["mostUnits"],
-        share_worth=facts.get("shareWorth", 1.0),
+        slow_start=SlowStartRule(facts["coldUnits"], rules["fall"], rules["cold"], rules["coldFrom"]),
+        retry_budget=budget,
+        key_cool_down=rules.get("orderSettle") or 0.0,
+        max_attempts=may["maxAttempts"],
+        max_retry_after=may["maxRetryAfter"] if may["retryAfter"] else 0.0,
+        largest_request_units=facts["mostUnits"],
+        excess_value=facts.get("shareWorth", 1.0),
         repeats_marked=bool(setup["clients"].get("marksRetry")),
-        index=setup.get("index", 0),
-        may_tell=bool(may.get("peerMessages")),
+        gateway_index=setup.get("index", 0),
+        may_send_messages=bool(may.get("peerMessages")),
     )
--- a/gorsethread/head/facts.py
+++ b/gorsethread/head/facts.py
@@ -30,22 +30,24 @@
     if rules.HasField("budget"):
         budget = RetryBudget(rules.budget.free, rules.budget.part, rules.budget.span)
     return SchedulerSettings(
-        profiles=tuple(
+        request_classes=tuple(
             RequestClass(p.promised, EFFECTS[p.effect], GROUPS[p.group], p.remembered, p.in_order, p.value)
             for p in site.profile
         ),
-        plans=tuple(ServiceTier(p.reserve, p.weight, p.limit, p.limit_burst, p.usual) for p in site.plan),
-        heads=len(site.head),
-        list_on_request=True,
-        ask_within=site.list.ask_within,
+        service_tiers=tuple(
+            ServiceTier(p.reserve, p.weight, p.limit, p.limit_burst, p.usual) for p in site.plan
+        ),
+        gateways=len(site.head),
+        polls_endpoints=True,
+        poll_within=site.list.ask_within,
         drain_grace=rules.drain_grace,
-        cold=SlowStartRule(cold.units, cold.span, cold.warm_after, cold.first_part),
-        budget=budget,
-        key_rest=rules.key_rest,
-        most_forwards=rules.most_forwards,
-        longest_return=rules.longest_return,
-        largest_units=float(units_of(site.links.largest_bytes, site.links.unit_bytes)),
-        share_worth=rules.share_worth,
+        slow_start=SlowStartRule(cold.units, cold.span, cold.warm_after, cold.first_part),
+        retry_budget=budget,
+        key_cool_down=rules.key_rest,
+        max_attempts=rules.most_forwards,
+        max_retry_after=rules.longest_return,
+        largest_request_units=float(units_of(site.links.largest_bytes, site.links.unit_bytes)),
+        excess_value=rules.share_worth,
         repeats_marked=True,
     )
 
--- a/gorsethread/head/program.py
+++ b/gorsethread/head/program.py
@@ -73,7 +73,9 @@
         self.follower = ListFollower(transport, site.list.address, number, remember, links, log)
         self.peers = self.follower.peers = PeerSide(transport, site, number, self.follower, log, peers_listen)
         facts = replace(
-            start_facts(site), index=self.peers.heads.index(number), may_tell=self.peers.all_may_tell
+            start_facts(site),
+            gateway_index=self.peers.heads.index(number),
+            may_send_messages=self.peers.all_may_tell,
         )
         self.driver = Driver(transport, facts, seed, placement, self.follower.follow, log)
         self.follower.driver = links.driver = self.driver
--- a/gorsethread/http_gateway/config.py
+++ b/gorsethread/http_gateway/config.py
@@ -116,19 +116,25 @@
     except msgspec.ValidationError as error:
         raise Unusable(f"known: {error}") from None
     facts = start_facts(settings)
-    if not facts.profiles or not facts.plans:
+    if not facts.request_classes or not facts.service_tiers:
         raise Unusable("settings: no profile or no plan")
-    for part in (facts, facts.cold, *facts.profiles, *facts.plans, *([facts.budget] if facts.budget else ())):
+    for part in (
+        facts,
+        facts.slow_start,
+        *facts.request_classes,
+        *facts.service_tiers,
+        *([facts.retry_budget] if facts.retry_budget else ()),
+    ):
         _check_figures(part)
     peer_listen, peers = _peers(given, facts)
     # Also where lists are pushed, it is to the machine's agent, which a gateway hears by a watch of its own.
-    pushed = not facts.list_on_request
-    facts = replace(facts, may_tell=bool(peers), list_on_request=True)
+    pushed = not facts.polls_endpoints
+    facts = replace(facts, may_send_messages=bool(peers), polls_endpoints=True)
     naming = Naming(
         {s["name"].encode(): n for n, s in enumerate(settings["services"])},
         {g["name"].encode(): n for n, g in enumerate(settings["grades"])},
         {name: n for n, name in enumerate(settings.get("azs", []))},
-        facts.largest_units,
+        facts.largest_request_units,
         settings["specifics"]["shards"],
     )
     return Configuration(
@@ -152,11 +158,13 @@
 def _peers(given: Any, facts: SchedulerSettings) -> tuple[Address | None, tuple[Address, ...]]:
     """None where the settings allow no messages or no addresses are told. A number that means another gateway
     at each of two gateways would do harm, so a list that does not fit the settings is refused."""
-    if not facts.may_tell or "peers" not in given or "peer_listen" not in given:
+    if not facts.may_send_messages or "peers" not in given or "peer_listen" not in given:
         return None, ()
     peers = tuple(address_of(p, f"peers.{n}") for n, p in enumerate(_field(given, "peers", list)))
-    if len(peers) != facts.heads or len(set(peers)) != len(peers):
-        raise Unusable(f"peers: {len(set(peers))} different addresses for {facts.heads} heads")
-    if type(facts.index) is not int or not 0 <= facts.index < facts.heads:
-        raise Unusable(f"settings.index: {facts.index!r} is no number of one of {facts.heads} heads")
+    if len(peers) != facts.gateways or len(set(peers)) != len(peers):
+        raise Unusable(f"peers: {len(set(peers))} different addresses for {facts.gateways} heads")
+    if type(facts.gateway_index) is not int or not 0 <= facts.gateway_index < facts.gateways:
+        raise Unusable(
+            f"settings.gateway_index: {facts.gateway_index!r} is no number of one of {facts.gateways} heads"
+        )
     return address_of(given["peer_listen"], "peer_listen"), peers
--- a/gorsethread/http_gateway/program.py
+++ b/gorsethread/http_gateway/program.py
@@ -50,7 +50,7 @@
     def __init__(self, transport: Transport, configuration: Configuration, path: str, log: Any) -> None:
         self.transport, self.configuration, self.path, self.log = transport, configuration, path, log
         links = LinkTable(lambda backend, address: BackendLink(self.pool, backend, address))
-        wait = min(LONGEST_WAIT, 0.5 * configuration.facts.ask_within or LONGEST_WAIT)
+        wait = min(LONGEST_WAIT, 0.5 * configuration.facts.poll_within or LONGEST_WAIT)
         self.discovery = Discovery(transport, configuration.discovery, configuration.naming, links, wait, log)
         self.driver = Driver(
             transport, configuration.facts, configuration.seed, NoPlacement(), self.discovery.follow, log
@@ -65,7 +65,7 @@
             log,
         )
         self.discovery.pool = self.pool
-        self.pool.may_begin = self.driver.scheduler.may_begin
+        self.pool.may_begin = self.driver.scheduler.may_begin_attempt
         self.clients = ClientSide(
             transport, self.driver, configuration.naming, int(configuration.sockets * CLIENTS_PART), log
         )
@@ -75,7 +75,7 @@
                 transport,
                 configuration.peer_listen,
                 configuration.peers,
-                configuration.facts.index,
+                configuration.facts.gateway_index,
                 self.driver.peer_told,
             )
             self.driver.teller = self.messages.tell
--- a/gorsethread/lab/allseeing.py
+++ b/gorsethread/lab/allseeing.py
@@ -63,7 +63,7 @@
     for ask in day.asks:
         if now - ASKED_OF_LATE <= ask.at <= now:
             asked[ask.shard][ask.volume] += ask.units / ASKED_OF_LATE
-    weights = [day.facts.plans[s.plan].weight for s in day.stores]
+    weights = [day.facts.service_tiers[s.plan].weight for s in day.stores]
     usual = world.heads[0].scheduler.usual
     rates = {}
     for n, machine in enumerate(world.machines):
--- a/gorsethread/lab/crowd/day.py
+++ b/gorsethread/lab/crowd/day.py
@@ -101,7 +101,21 @@
         for n, size in enumerate(sizes)
     )
     facts = SchedulerSettings(
-        PROFILES, plans, scene.heads, False, 0.0, 1.0, COLD, None, 0.0, 4, 1.0, 8, 1.0, True, may_tell=True
+        PROFILES,
+        plans,
+        scene.heads,
+        False,
+        0.0,
+        1.0,
+        COLD,
+        None,
+        0.0,
+        4,
+        1.0,
+        8,
+        1.0,
+        True,
+        may_send_messages=True,
     )
     asks = sorted(ask for n, s in enumerate(stores) for ask in _asks(scene, n, s, c))
     return Day(scene, facts, speeds, stores, asks)
--- a/gorsethread/lab/crowd/gateway.py
+++ b/gorsethread/lab/crowd/gateway.py
@@ -48,16 +48,16 @@
         self.away = False
         self.scheduler = self.kind(
             self,
-            replace(self.world.day.facts, index=self.number),
+            replace(self.world.day.facts, gateway_index=self.number),
             (scene.seed * 1000 + self.number) * 8 + self.life,
         )
         self._listed(list(self.told.values()), True)
 
     def _listed(self, entries: list[tuple[int, int, int, bool, float]], whole: bool) -> None:
-        self.scheduler.list_begins(whole, whole)
+        self.scheduler.endpoint_list_begins(whole, whole)
         for entry in entries:
-            self.scheduler.backend_listed(*entry)
-        self.scheduler.list_ended()
+            self.scheduler.endpoint_listed(*entry)
+        self.scheduler.endpoint_list_ended()
         self.scheduler.batch_ended()
 
     def renewed(self, old: int, new: int, shard: int, since: float) -> None:
@@ -154,21 +154,21 @@
         if t.out is None:
             del self.open[id]
 
-    def wake(self, delay: float, name: str) -> None:
+    def set_timer(self, delay: float, name: str) -> None:
         self.world.at(self.world.now + delay, partial(self._woken, name, self.life))
 
     def _woken(self, name: str, life: int) -> None:
         if not self.away and life == self.life:
-            self.scheduler.woken(name)
+            self.scheduler.timer_fired(name)
             self.scheduler.batch_ended()
 
-    def tell(self, head: int, words: str) -> None:
+    def send_peer_message(self, head: int, words: str) -> None:
         self.world.tell(self.number, head, words)
 
     def hear(self, origin: int, words: str) -> None:
         if not self.away:
-            self.scheduler.peer_told(origin, words)
+            self.scheduler.peer_message_received(origin, words)
             self.scheduler.batch_ended()
 
-    def follow_list(self) -> None:
+    def poll_endpoints(self) -> None:
         pass
--- a/gorsethread/lab/crowd/machine.py
+++ b/gorsethread/lab/crowd/machine.py
@@ -45,15 +45,15 @@
     @property
     def speed(self) -> float:
         warmth = min(1.0, (self.world.now - self.since) / COLD.warm_after)
-        return self.full * (COLD.first_part + (1.0 - COLD.first_part) * warmth)
+        return self.full * (COLD.initial_part + (1.0 - COLD.initial_part) * warmth)
 
     def _push(self, work: float) -> None:
         now = self.world.now
         if now - self.since < COLD.warm_after:
             self.pushed.append((now, work))
-            while self.pushed[0][0] <= now - COLD.span:
+            while self.pushed[0][0] <= now - COLD.window:
                 self.pushed.popleft()
-            if sum(w for _, w in self.pushed) > FALLS * 2.0 * self.speed * COLD.span:
+            if sum(w for _, w in self.pushed) > FALLS * 2.0 * self.speed * COLD.window:
                 self.fallen = True
 
     @property
--- a/gorsethread/lab/crowd/score.py
+++ b/gorsethread/lab/crowd/score.py
@@ -43,7 +43,7 @@
     for (shard, second), wants in asked.items():
         left, open_ = USABLE * 2.0 * day.speeds[shard] / UNIT_WORK, dict(wants)
         while open_:
-            weights = {v: day.facts.plans[day.stores[v].plan].weight for v in open_}
+            weights = {v: day.facts.service_tiers[day.stores[v].plan].weight for v in open_}
             level = left / sum(weights.values())
             full = [v for v, units in open_.items() if units <= level * weights[v]]
             if not full:
@@ -70,7 +70,7 @@
     day, due = world.day, due_units(world.day)
 
     def value(ask: Ask) -> float:
-        return PROFILES[ask.profile].value * PRICES[day.stores[ask.volume].plan]
+        return PROFILES[ask.profile].priority_weight * PRICES[day.stores[ask.volume].plan]
 
     offered: dict[tuple[int, int], list[tuple[float, float, int]]] = defaultdict(list)
     got: dict[tuple[int, int], list[tuple[float, float, int]]] = defaultdict(list)
@@ -78,7 +78,7 @@
         offered[(ask.volume, int(ask.at))].append((value(ask), 1.0, ask.units))
     late = 0
     for ask, elapsed in world.served:
-        in_time = elapsed <= PROFILES[ask.profile].promised
+        in_time = elapsed <= PROFILES[ask.profile].latency_objective
         late += not in_time
         part = 1.0 if in_time else LATE_WORTH[ask.profile]
         got[(ask.volume, int(ask.at))].append((value(ask), part, ask.units))
--- a/gorsethread/lab/crowd/world.py
+++ b/gorsethread/lab/crowd/world.py
@@ -78,7 +78,7 @@
         age, sent = self.now - self.machines[shelf].since, self._cold[shelf]
         if age < COLD.warm_after:
             sent.append((self.now, units))
-            while sent[0][0] <= self.now - COLD.span:
+            while sent[0][0] <= self.now - COLD.window:
                 sent.popleft()
             self.over_part += sum(u for _, u in sent) > borne(COLD, age) + 1e-9
 
--- a/gorsethread/lab/lending.py
+++ b/gorsethread/lab/lending.py
@@ -124,7 +124,7 @@
                     continue
                 self.result.cold_units += size
                 log.append((x["t"], size))
-                while log[0][0] <= x["t"] - cold.span + self.jitter:
+                while log[0][0] <= x["t"] - cold.window + self.jitter:
                     log.popleft()
                 if sum(n for _, n in log) > borne(cold, age + self.jitter):
                     self.result.beyond += 1
--- a/gorsethread/scheduling/actions.py
+++ b/gorsethread/scheduling/actions.py
@@ -21,11 +21,11 @@
     def fail(self, request: int) -> None:
         """End a request with an error that promises nothing."""
 
-    def wake(self, delay: float, name: str) -> None:
-        """Have the policy's woken(name) called after a delay."""
+    def set_timer(self, delay: float, name: str) -> None:
+        """Have the scheduler's timer_fired(name) called after a delay."""
 
-    def tell(self, head: int, words: str) -> None:
+    def send_peer_message(self, head: int, words: str) -> None:
         """A message to another gateway, by its number: slow, perhaps never there, 200 characters at most."""
 
-    def follow_list(self) -> None:
+    def poll_endpoints(self) -> None:
         """Ask to be told the list of backends and its changes; the answer may be a refusal."""
--- a/gorsethread/scheduling/model.py
+++ b/gorsethread/scheduling/model.py
@@ -79,12 +79,12 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class RequestClass:
-    promised: float
+    latency_objective: float
     effect: Effect
-    group: IdempotencyScope
-    remembered: float
-    in_order: bool
-    value: float
+    idempotency_scope: IdempotencyScope
+    idempotency_window: float
+    keyed_order: bool
+    priority_weight: float
 
     @property
     def idempotent(self) -> bool:
@@ -97,57 +97,57 @@
         return self.effect is Effect.KEYED
 
     @property
-    def everywhere(self) -> bool:
+    def repeats_dropped_everywhere(self) -> bool:
         """No backend would run a repeat that another drops."""
-        return not self.keyed or self.group is IdempotencyScope.ALL
+        return not self.keyed or self.idempotency_scope is IdempotencyScope.ALL
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceTier:
-    reserve: float
+    reservation: float
     weight: float
-    limit: float
-    limit_burst: float
-    usual: float
+    rate_limit: float
+    burst: float
+    expected_rate: float
 
 
 @dataclass(frozen=True, slots=True)
 class SlowStartRule:
     units: float
-    span: float
+    window: float
     warm_after: float
-    first_part: float
+    initial_part: float
 
-    def borne(self, age: float) -> float:
+    def units_allowed(self, age: float) -> float:
         """Units within the span that all gateways together may send to a backend of that age."""
-        return self.units * (1.0 + (1.0 / self.first_part - 1.0) * max(0.0, age) / self.warm_after)
+        return self.units * (1.0 + (1.0 / self.initial_part - 1.0) * max(0.0, age) / self.warm_after)
 
 
 @dataclass(frozen=True, slots=True)
 class RetryBudget:
     free: float
-    part: float
-    span: float
+    ratio: float
+    window: float
 
 
 @dataclass(frozen=True, slots=True)
 class SchedulerSettings:
-    profiles: tuple[RequestClass, ...]
-    plans: tuple[ServiceTier, ...]
-    heads: int
-    list_on_request: bool
-    ask_within: float
+    request_classes: tuple[RequestClass, ...]
+    service_tiers: tuple[ServiceTier, ...]
+    gateways: int
+    polls_endpoints: bool
+    poll_within: float
     drain_grace: float
-    cold: SlowStartRule
-    budget: RetryBudget | None
-    key_rest: float
-    most_forwards: int
-    longest_return: float
-    largest_units: float
-    share_worth: float
+    slow_start: SlowStartRule
+    retry_budget: RetryBudget | None
+    key_cool_down: float
+    max_attempts: int
+    max_retry_after: float
+    largest_request_units: float
+    excess_value: float
     repeats_marked: bool
-    index: int = 0  # of this gateway among all
-    may_tell: bool = False  # whether gateways may send each other messages
+    gateway_index: int = 0  # of this gateway among all
+    may_send_messages: bool = False  # whether gateways may send each other messages
 
 
 class RequestTaken(NamedTuple):
@@ -155,15 +155,15 @@
     seconds; gateways: how many processes the volume's requests come through; repeat: a client's retry."""
 
     id: int
-    profile: int
-    plan: int
+    request_class: int
+    service_tier: int
     key: str | None
     deadline: float
     volume: str
     units: float
     shard: int
-    heads: int
-    repeat: bool
+    gateways: int
+    is_retry: bool
 
 
 class AttemptEnded(NamedTuple):
@@ -172,11 +172,11 @@
 
     request: int
     number: int
-    how: AttemptOutcome
+    outcome: AttemptOutcome
     backend: int
     elapsed: float
-    finished: bool
-    elsewhere: float
+    request_finished: bool
+    units_elsewhere: float
     usage: float
 
 
--- a/gorsethread/scheduling/scheduler.py
+++ b/gorsethread/scheduling/scheduler.py
@@ -46,7 +46,7 @@
 
 def _turn(t: Request) -> tuple[bool, float, float, int]:
     """Order inside a volume: what can keep its latency target, then by value, the nearest promise first."""
-    return (t.late, -t.profile.value / max(t.units, 1.0), t.promised_by, t.order)
+    return (t.late, -t.profile.priority_weight / max(t.units, 1.0), t.promised_by, t.order)
 
 
 class Scheduler:
@@ -54,19 +54,21 @@
         self.host, self.facts = host, facts
         self.draws = Draws(seed)
         self.born = self.now = self.aged = host.clock()
-        self.dearest = max(p.value for p in facts.profiles) or 1.0
-        self.quickest = min(p.promised for p in facts.profiles)
+        self.dearest = max(p.priority_weight for p in facts.request_classes) or 1.0
+        self.quickest = min(p.latency_objective for p in facts.request_classes)
         # Holding units beyond the reserve costs less the less they earn, so a backend's rate starts lower.
-        self.first_rate = max(1.0, FREE_RATE * facts.share_worth**2)
-        self.kept_slots = max(1.0, FIRST_BOUND / facts.heads)  # at a backend with a line
+        self.first_rate = max(1.0, FREE_RATE * facts.excess_value**2)
+        self.kept_slots = max(1.0, FIRST_BOUND / facts.gateways)  # at a backend with a line
         # An even part too small for a request rests at gateways that have nothing for the backend.
-        self.lends = facts.may_tell and facts.cold.units < facts.heads * facts.largest_units
+        self.lends = (
+            facts.may_send_messages and facts.slow_start.units < facts.gateways * facts.largest_request_units
+        )
         self.lent_for = LENT_PART * self.quickest
-        self.lent_kept = facts.cold.span + self.lent_for
+        self.lent_kept = facts.slow_start.window + self.lent_for
         self.lent: dict[int, list[tuple[float, float]]] = {}  # by shard; emptied by _age
-        self.usual = sum(p.usual / p.weight for p in facts.plans) / len(facts.plans)
+        self.usual = sum(p.expected_rate / p.weight for p in facts.service_tiers) / len(facts.service_tiers)
         self.order = self.list_waits = 0
-        self.spans = [0.0] * len(facts.profiles)  # the longest first try seen of each profile
+        self.spans = [0.0] * len(facts.request_classes)  # the longest first try seen of each profile
         self.requests: dict[int, Request] = {}  # emptied as each is over with its attempts in
         self.volumes: dict[str, Volume] = {}  # emptied of idle volumes by _age
         self.busy: dict[str, Volume] = {}  # volumes with something waiting or out; emptied with them
@@ -78,9 +80,9 @@
         self.list_whole, self.changed = False, True
         self.named: set[int] = set()
         # Guards against the calls of all gateways that came back at once filling the list service for long.
-        self.ask_spread = min(facts.ask_within, ASK_SPREAD_MOST) * (1.0 - 1.0 / facts.heads)
+        self.ask_spread = min(facts.poll_within, ASK_SPREAD_MOST) * (1.0 - 1.0 / facts.gateways)
         first = self.born + FIRST_ASK_PART * self.ask_spread * self.draws.next()
-        self.list_ask_at = first if facts.list_on_request else float("inf")
+        self.list_ask_at = first if facts.polls_endpoints else float("inf")
         self.lines: dict[str, deque[Request]] = {}  # emptied as keys fall idle and their rest ends
         self.key_rests: dict[str, float] = {}
         self.agenda: list[tuple[float, int, Request | str]] = []  # emptied as its times pass
@@ -93,22 +95,22 @@
     def request_taken(self, new: RequestTaken) -> None:
         now = self.now = self.host.clock()
         # One tenant's volume is not another's of the same name: each has the plan that its requests name.
-        if not (v := self.volumes.get(own := f"{new.plan}/{new.volume}")):
-            plan = self.facts.plans[new.plan]
-            v = self.volumes[own] = Volume(own, plan, self.floor * plan.weight, new.heads, 0.0, self.born)
-        v.heads = new.heads
+        if not (v := self.volumes.get(own := f"{new.service_tier}/{new.volume}")):
+            plan = self.facts.service_tiers[new.service_tier]
+            v = self.volumes[own] = Volume(own, plan, self.floor * plan.weight, new.gateways, 0.0, self.born)
+        v.heads = new.gateways
         # A client's repeat belongs to its first try, whose age shows in how little time is left.
         left = new.deadline - now
-        longest = self.spans[new.profile] = max(self.spans[new.profile], left)
-        age = longest - left if new.repeat or not self.facts.repeats_marked else 0.0
-        p = self.facts.profiles[new.profile]
+        longest = self.spans[new.request_class] = max(self.spans[new.request_class], left)
+        age = longest - left if new.is_retry or not self.facts.repeats_marked else 0.0
+        p = self.facts.request_classes[new.request_class]
         # Guards rule 1 where a client leaves before its latency target: no look is set past the deadline.
-        promised_by = min(new.deadline, now - age + p.promised)
+        promised_by = min(new.deadline, now - age + p.latency_objective)
         self.order += 1
-        key = new.key if p.in_order else None
+        key = new.key if p.keyed_order else None
         t = Request(new.id, self.order, p, v, key, new.deadline, promised_by, new.units, new.shard)
         self.requests[new.id] = t
-        if self.facts.budget:
+        if self.facts.retry_budget:
             self.taken.append(now)
         self._note(max(now, t.promised_by - self._expected(t)), t)
         if t.key is not None:
@@ -124,17 +126,17 @@
         if s is None or t is None or (sent := s.out.pop((end.request, end.number), None)) is None:
             return
         self.changed = True
-        self._judge(s, end.how, end.elapsed, t, sent)
+        self._judge(s, end.outcome, end.elapsed, t, sent)
         v = t.volume
         t.out, v.out = t.out - 1, v.out - 1
-        v.total += end.elsewhere  # what others' gateways sent for the volume counts as if sent here
+        v.total += end.units_elsewhere  # what others' gateways sent for the volume counts as if sent here
         if not v.out and not v.lanes:
             self.busy.pop(v.id, None)
-        if not end.how.never_ran and t.ran_at is None:
+        if not end.outcome.never_ran and t.ran_at is None:
             t.ran_at, t.ran_on = now - end.elapsed, s
-        if t.key is not None and end.how.may_still_run:
-            self.key_rests[t.key] = now + self.facts.key_rest
-        if end.finished:
+        if t.key is not None and end.outcome.may_still_run:
+            self.key_rests[t.key] = now + self.facts.key_cool_down
+        if end.request_finished:
             t.over = True
         elif not t.over:
             if self._may_go_again(t):
@@ -151,7 +153,7 @@
             t.over = True
             self._close(t)
 
-    def ends_by(self, when: float) -> None:
+    def shutting_down_by(self, when: float) -> None:
         """This gateway itself ends then: what its clients would wait longer for is answered before."""
         self.now = self.host.clock()
         for t in self.requests.values():
@@ -159,11 +161,11 @@
                 t.deadline, t.promised_by = when, min(t.promised_by, when)
                 self._note(max(self.now, when - self._expected(t)), t)
 
-    def woken(self, name: str) -> None:
+    def timer_fired(self, name: str) -> None:
         if self.host.clock() >= self.alarm - 0.001:  # a clock may round a delay down
             self.alarm = float("inf")
 
-    def peer_told(self, origin: int, words: str) -> None:
+    def peer_message_received(self, origin: int, words: str) -> None:
         """Of a cold backend's part: "ask" or "lent", shard, which asking, units, age. Else passed over."""
         self.now = self.host.clock()
         try:
@@ -172,42 +174,42 @@
         except ValueError:
             return
         home, s = self._home(shard), self.held_by.get(shard)
-        if kind == "ask" and home == self.facts.index and self._lend(shard, *wanted):
-            self.host.tell(origin, f"lent {shard} {number} {units} {age}")
+        if kind == "ask" and home == self.facts.gateway_index and self._lend(shard, *wanted):
+            self.host.send_peer_message(origin, f"lent {shard} {number} {units} {age}")
         elif kind == "lent" and home == origin and s and s.asked == number:
             self._borrow(s)
 
-    def may_begin(self, id: int, backend: int, decided: float, now: float) -> bool:
+    def may_begin_attempt(self, id: int, backend: int, decided: float, now: float) -> bool:
         """Whether an attempt that waited for its connection since it was decided may still go out."""
         t, s = self.requests.get(id), self.backends.get(backend)
         if t is None or s is None or not s.ready and now > s.last_send or not self._is_repeatable(t, now):
             return False
-        return not 0.0 < now - s.since < self.facts.cold.warm_after or now <= decided + self.lent_for
+        return not 0.0 < now - s.since < self.facts.slow_start.warm_after or now <= decided + self.lent_for
 
-    def list_refused(self, waited: float = 0.0) -> None:
+    def endpoint_poll_failed(self, waited: float = 0.0) -> None:
         self.now = self.host.clock()
         self.list_waits += 1
         step = max(0.25, ASK_PART * self.ask_spread) * 2.0 ** min(self.list_waits, 30)
         left = max(LEAST_PAUSE_MOST, ASK_PAUSE_MOST - waited)
-        most = min(self.facts.ask_within or 0.5 * self.facts.drain_grace, step, left)
+        most = min(self.facts.poll_within or 0.5 * self.facts.drain_grace, step, left)
         self.list_ask_at = self.now + most * (0.1 + 0.9 * self.draws.next())
 
-    def list_begins(self, whole: bool, remembered: bool) -> None:
+    def endpoint_list_begins(self, whole: bool, remembered: bool) -> None:
         self.now = self.host.clock()
         self.list_whole, self.named = whole, set()
         if not remembered:
             self.list_waits = 0
 
-    def backend_listed(self, id: int, zone: int, shard: int, ready: bool, since: float) -> None:
+    def endpoint_listed(self, id: int, zone: int, shard: int, ready: bool, since: float) -> None:
         self.named.add(id)
         new = Backend(id, zone, shard, 0.0, ready, self.now, FIRST_BOUND, self.first_rate)
         s = self.backends.setdefault(id, new)
         if since > max(s.since, self.born):
             # Guards against all gateways rushing to one that just came back; costs half of what it lacks.
-            cold = self.facts.cold
-            missing = min(cold.span, cold.warm_after) * (1.0 - cold.first_part)
+            cold = self.facts.slow_start
+            missing = min(cold.window, cold.warm_after) * (1.0 - cold.initial_part)
             s.first_send = 0.0 if self.lends else self.now + 0.5 * missing * self.draws.next()
-            s.rate = max(1.0, FREE_RATE * cold.first_part)
+            s.rate = max(1.0, FREE_RATE * cold.initial_part)
             s.bound, s.rest_until, s.misses, s.errors, s.lent, s.asked = FIRST_BOUND, 0.0, 0, 0.0, 0.0, ""
         if not ready:
             # Guards against a shard without a backend until another holds it. Told again, it has gone.
@@ -216,7 +218,7 @@
         s.zone, s.ready, s.since = zone, ready, max(since, s.since)
         self.shards.place(s, shard)
 
-    def list_ended(self) -> None:
+    def endpoint_list_ended(self) -> None:
         for id in self.backends.keys() - self.named if self.list_whole else ():
             self.shards.withdraw(self.backends[id])
         self._find_holders()
@@ -239,7 +241,7 @@
             self._find_holders()
         if now >= self.list_ask_at:
             self.list_ask_at = float("inf")
-            self.host.follow_list()
+            self.host.poll_endpoints()
         if now - self.aged >= 0.5:
             self._age()
         if self.changed or self.stirred:
@@ -251,7 +253,7 @@
         need = min(noted, self.list_ask_at, self.look_at, self.shards.next_drain_end)
         if need < self.alarm:
             self.alarm = need
-            self.host.wake(max(0.0, need - now), "look")
+            self.host.set_timer(max(0.0, need - now), "look")
 
     # ---- the ordinary path
 
@@ -343,12 +345,12 @@
             if not self.lends:
                 self.lent.setdefault(s.shard, []).append((self.now, t.units))
         if t.attempts == 0:
-            if v.plan.limit:
+            if v.plan.rate_limit:
                 v.limit_store -= t.units
             if t.shard in v.paces:
                 v.paces[t.shard] = (v.paces[t.shard][0] - t.units, v.paces[t.shard][1])
             v.total += t.units
-        elif self.facts.budget:
+        elif self.facts.retry_budget:
             self.further.append(self.now)
         t.out, v.out = t.out + 1, v.out + 1
         self._unhold(t)
@@ -396,7 +398,7 @@
             v.total = (self.floor + lead * 0.5 ** (self.now - self.aged)) * v.plan.weight
             if id not in self.busy and self.now - v.filled > 60.0:
                 self._refill(v)
-                if v.limit_store >= v.plan.limit_burst / v.heads:
+                if v.limit_store >= v.plan.burst / v.heads:
                     del self.volumes[id]
                     self.shards.ranking.forget(id.partition("/")[2])
         self.aged = self.now
@@ -485,7 +487,7 @@
         if part < 1.0:
             # Answers to what was sent before the last cut say nothing of the cut.
             if self.now - elapsed >= s.cut_at:
-                late = elapsed > t.profile.promised  # else it may have met a short stop only
+                late = elapsed > t.profile.latency_objective  # else it may have met a short stop only
                 self._cut(s, self.first_rate * (1.0 if late else 2.0), max(0.2 if late else 0.5, part))
         elif how is AttemptOutcome.SUCCEEDED:
             s.rate = min(FREE_RATE, s.rate * 2.0 ** min(1.0, self.now - s.grown_at))
@@ -503,15 +505,15 @@
         the bound is a rate, the same for a unit of weight at every gateway, so volumes are held alike
         whichever and however many gateways they come through, and what all gateways send adds up."""
         v = t.volume
-        fill = (v.plan.reserve * min(1.0, s.rate) + v.plan.weight * self.usual * s.rate) / v.heads
+        fill = (v.plan.reservation * min(1.0, s.rate) + v.plan.weight * self.usual * s.rate) / v.heads
         if fill <= 0.0:
             return True
-        most = 1.5 * self.facts.largest_units + fill
+        most = 1.5 * self.facts.largest_request_units + fill
         level, at = v.paces.get(t.shard, (most, self.now))
         level = min(most, level + fill * (self.now - at))
         v.paces[t.shard] = (level, self.now)
         # Where a volume is held, its low values leave a part of the store to its high ones.
-        keep = (most - fill) * (1.0 - t.profile.value / self.dearest)
+        keep = (most - fill) * (1.0 - t.profile.priority_weight / self.dearest)
         short = min(most, t.units + keep) + chosen - level
         if short > 0.0 and self.now + short / fill < t.promised_by:
             self.look_at = min(self.look_at, self.now + max(LOOK_AGAIN, short / fill))
@@ -522,21 +524,21 @@
     def _cold_left(self, s: Backend) -> float:
         """Of what a cold backend always bears: the units lent to this gateway, or the rest of its even
         part."""
-        rule, age = self.facts.cold, self.now - s.since
+        rule, age = self.facts.slow_start, self.now - s.since
         if s.since <= 0 or age >= rule.warm_after:
             return float("inf")
         if self.lends:
             return s.lent if self.now < s.lent_until else 0.0
-        if s.since <= self.born and self.now - self.born < rule.span:
+        if s.since <= self.born and self.now - self.born < rule.window:
             return 0.0  # an earlier life of this gateway may have spent the part
         # By shard: a list that began anew may leave out a backend for a moment, which is as cold as before.
-        spent = sum(units for at, units in self.lent.get(s.shard, ()) if at > self.now - rule.span)
-        return rule.borne(age) / self.facts.heads - spent
+        spent = sum(units for at, units in self.lent.get(s.shard, ()) if at > self.now - rule.window)
+        return rule.units_allowed(age) / self.facts.gateways - spent
 
     def _home(self, shard: int) -> int:
         """The gateway that lends what the shard's backend bears while it is cold, the same one at every
         gateway."""
-        return int.from_bytes(blake2b(f"{shard}".encode(), digest_size=8).digest()) % self.facts.heads
+        return int.from_bytes(blake2b(f"{shard}".encode(), digest_size=8).digest()) % self.facts.gateways
 
     def _lend(self, shard: int, units: float, age: float) -> bool:
         """A lent part may be sent until lent_for after its asking, which was before now, then counts for the
@@ -544,10 +546,12 @@
         log = [entry for entry in self.lent.get(shard, ()) if entry[0] > self.now - self.lent_kept]
         # No word of another makes a backend older than this gateway's own list has it.
         own = self.now - s.since if (s := self.held_by.get(shard)) and s.since > 0.0 else 0.0
-        borne = self.facts.cold.borne(min(age, own) if own < self.facts.cold.warm_after else 0.0)
+        borne = self.facts.slow_start.units_allowed(
+            min(age, own) if own < self.facts.slow_start.warm_after else 0.0
+        )
         lends = (
-            0.0 <= age < self.facts.cold.warm_after
-            and 0.0 < units <= self.facts.largest_units
+            0.0 <= age < self.facts.slow_start.warm_after
+            and 0.0 < units <= self.facts.largest_request_units
             and self.now - self.born >= self.lent_kept
             and units + sum(n for _, n in log) <= borne
         )
@@ -566,8 +570,8 @@
             self.order += 1  # no asking before has the same number, also of an earlier life
             s.asked, s.asked_at, s.asked_units = f"{self.now}/{self.order}", self.now, t.units
             age, home = self.now - s.since, self._home(s.shard)
-            if home != self.facts.index:
-                self.host.tell(home, f"ask {s.shard} {s.asked} {t.units:g} {age:.3f}")
+            if home != self.facts.gateway_index:
+                self.host.send_peer_message(home, f"ask {s.shard} {s.asked} {t.units:g} {age:.3f}")
             elif self._lend(s.shard, t.units, age):
                 self._borrow(s)
                 return True
@@ -577,17 +581,17 @@
     # ---- (3) the limit store
 
     def _limit_left(self, v: Volume) -> float:
-        if not v.plan.limit:
+        if not v.plan.rate_limit:
             v.filled = self.now
             return float("inf")
         self._refill(v)
-        if v.limit_store < self.facts.largest_units:
+        if v.limit_store < self.facts.largest_request_units:
             self.look_at = min(self.look_at, self.now + LOOK_AGAIN)
         return v.limit_store
 
     def _refill(self, v: Volume) -> None:
-        filled = v.limit_store + (self.now - v.filled) * v.plan.limit / v.heads
-        v.limit_store, v.filled = min(v.plan.limit_burst / v.heads, filled), self.now
+        filled = v.limit_store + (self.now - v.filled) * v.plan.rate_limit / v.heads
+        v.limit_store, v.filled = min(v.plan.burst / v.heads, filled), self.now
 
     # ---- (4) shedding
 
@@ -620,17 +624,19 @@
 
     def _end(self, t: Request) -> None:
         t.over = True
-        harmless = t.ran_at is None or t.profile.everywhere and self._is_repeatable(t, self.now)
+        harmless = (
+            t.ran_at is None or t.profile.repeats_dropped_everywhere and self._is_repeatable(t, self.now)
+        )
         if harmless and t.out == 0 and self.now < t.deadline:
             s = self.held_by.get(t.shard)
-            self.host.reject(t.id, min(self.facts.longest_return, s.time if s else self.quickest))
+            self.host.reject(t.id, min(self.facts.max_retry_after, s.time if s else self.quickest))
         else:
             self.host.fail(t.id)
 
     # ---- (5) retries
 
     def _may_go_again(self, t: Request) -> bool:
-        if t.out or t.attempts >= min(self.facts.most_forwards, ATTEMPTS_MOST) or self.now >= t.deadline:
+        if t.out or t.attempts >= min(self.facts.max_attempts, ATTEMPTS_MOST) or self.now >= t.deadline:
             return False
         if self.now < self.overload_until or not self._within_budget():
             return False
@@ -640,21 +646,21 @@
         """Whether one more run of what may have run changes nothing, as far as its profile goes."""
         if t.profile.idempotent or t.ran_at is None:
             return True
-        return t.profile.keyed and now < t.ran_at + t.profile.remembered
+        return t.profile.keyed and now < t.ran_at + t.profile.idempotency_window
 
     def _within_budget(self) -> bool:
-        if not (budget := self.facts.budget):
+        if not (budget := self.facts.retry_budget):
             return True
         for log in (self.taken, self.further):
-            while log and log[0] <= self.now - budget.span:
+            while log and log[0] <= self.now - budget.window:
                 log.popleft()
-        return len(self.further) + 1 <= budget.free + budget.part * len(self.taken)
+        return len(self.further) + 1 <= budget.free + budget.ratio * len(self.taken)
 
     def _may_go_to(self, t: Request, s: Backend) -> bool:
         """A keyed request that may have run stays where its repeat would be known."""
         if t.ran_on is None or t.profile.idempotent:
             return True
-        return self._is_repeatable(t, self.now) and t.profile.group.spans(s, t.ran_on)
+        return self._is_repeatable(t, self.now) and t.profile.idempotency_scope.spans(s, t.ran_on)
 
     # ---- (6) key turns
 
--- a/gorsethread/simulator_adapter/__main__.py
+++ b/gorsethread/simulator_adapter/__main__.py
@@ -44,13 +44,13 @@
     def fail(self, request: int) -> None:
         self.said.append({"verb": "dropRequest", "corr": request})
 
-    def wake(self, delay: float, name: str) -> None:
+    def set_timer(self, delay: float, name: str) -> None:
         self.said.append({"verb": "arm", "delay": delay, "keyBack": name})
 
-    def tell(self, head: int, words: str) -> None:
+    def send_peer_message(self, head: int, words: str) -> None:
         self.said.append({"verb": "notify", "addressee": head, "raw": words})
 
-    def follow_list(self) -> None:
+    def poll_endpoints(self) -> None:
         self.said.append({"verb": "subscribe", "active": True})
 
 
@@ -139,28 +139,28 @@
                 )
             )
         elif verb == "due":
-            scheduler.woken(e["keyBack"])
+            scheduler.timer_fired(e["keyBack"])
         elif verb == "cancelledByClient":
             scheduler.client_left(e["corr"])
         elif verb == "sync":
             if e["form"] == "refused":
-                scheduler.list_refused()
+                scheduler.endpoint_poll_failed()
                 return
             entries = self.pages.get(e["page"])
             if entries is None:
                 raise Malformed(f"page {e['page']} was never sent")
-            scheduler.list_begins(e["form"] != "changes", e["form"] == "remembered")
+            scheduler.endpoint_list_begins(e["form"] != "changes", e["form"] == "remembered")
             for s in entries:
-                scheduler.backend_listed(
+                scheduler.endpoint_listed(
                     s["shelf"],
                     s["rackZone"],
                     s.get("pod", -1),
                     s["condition"] == "Ready",
                     s.get("since", 0.0),
                 )
-            scheduler.list_ended()
+            scheduler.endpoint_list_ended()
         elif verb == "peer":
-            scheduler.peer_told(e["originPeer"], e["raw"])
+            scheduler.peer_message_received(e["originPeer"], e["raw"])
         elif verb not in ("ackFirst", "probeResult"):
             raise Malformed(f"unknown verb {verb!r}")
 
--- a/tests/crossing/test_discovery.py
+++ b/tests/crossing/test_discovery.py
@@ -298,10 +298,10 @@
         facts = SchedulerSettings(
             **{
                 **FACTS,
-                "heads": heads,
-                "list_on_request": True,
-                "ask_within": ask_within,
-                "cold": SlowStartRule(8.0, 2.0, 10.0, 0.25),
+                "gateways": heads,
+                "polls_endpoints": True,
+                "poll_within": ask_within,
+                "slow_start": SlowStartRule(8.0, 2.0, 10.0, 0.25),
             }
         )
         return Scheduler(host, facts, seed), host
@@ -312,7 +312,7 @@
                 for refused in range(1, 40):
                     scheduler, host = self.scheduler(ask_within, heads, 7 * refused + heads)
                     for _ in range(refused):
-                        scheduler.list_refused()
+                        scheduler.endpoint_poll_failed()
                     pause = scheduler.list_ask_at - host.now
                     self.assertLessEqual(pause, TOLD_AFTER - 2.0, (ask_within, heads, refused))
 
@@ -322,7 +322,7 @@
                 for waited in (0.0, 1.0, 2.5, 3.9, 4.2):
                     scheduler, host = self.scheduler(ask_within, 200, refused)
                     for _ in range(refused):
-                        scheduler.list_refused(waited)
+                        scheduler.endpoint_poll_failed(waited)
                     pause = scheduler.list_ask_at - host.now
                     self.assertLessEqual(waited + pause, TOLD_AFTER - 1.0, (ask_within, refused, waited))
 
@@ -337,9 +337,9 @@
         for ask_within in (2.0, 10.0, 60.0, 600.0):
             for seed in range(50):
                 scheduler, host = self.scheduler(ask_within, 200, seed)
-                scheduler.list_begins(False, False)
-                scheduler.list_ended()
-                scheduler.list_refused()
+                scheduler.endpoint_list_begins(False, False)
+                scheduler.endpoint_list_ended()
+                scheduler.endpoint_poll_failed()
                 self.assertLessEqual(scheduler.list_ask_at - host.now, 1.0)
 
 
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -22,19 +22,19 @@
 SLOW = RequestClass(9.0, Effect.IDEMPOTENT, IdempotencyScope.ALL, 5.0, False, 1.0)
 OPEN_PLAN = ServiceTier(0.0, 1.0, 0.0, 0.0, 4.0)
 FACTS: dict[str, Any] = {
-    "profiles": (PLAIN,),
-    "plans": (OPEN_PLAN,),
-    "heads": 1,
-    "list_on_request": False,
-    "ask_within": 10.0,
+    "request_classes": (PLAIN,),
+    "service_tiers": (OPEN_PLAN,),
+    "gateways": 1,
+    "polls_endpoints": False,
+    "poll_within": 10.0,
     "drain_grace": 1.0,
-    "cold": SlowStartRule(8.0, 2.0, 10.0, 0.25),
-    "budget": None,
-    "key_rest": 0.0,
-    "most_forwards": 4,
-    "longest_return": 1.0,
-    "largest_units": 8.0,
-    "share_worth": 1.0,
+    "slow_start": SlowStartRule(8.0, 2.0, 10.0, 0.25),
+    "retry_budget": None,
+    "key_cool_down": 0.0,
+    "max_attempts": 4,
+    "max_retry_after": 1.0,
+    "largest_request_units": 8.0,
+    "excess_value": 1.0,
     "repeats_marked": True,
 }
 
@@ -63,10 +63,10 @@
     def fail(self, transaction: int) -> None:
         self.say(f"give up {transaction}")
 
-    def wake(self, delay: float, name: str) -> None:
+    def set_timer(self, delay: float, name: str) -> None:
         self.wakes.append((self.now + delay, name))
 
-    def follow_list(self) -> None:
+    def poll_endpoints(self) -> None:
         self.say("ask to follow the list")
 
 
@@ -82,10 +82,10 @@
     def shelves(
         self, since: dict[int, float], ready: bool = True, whole: bool = True, remembered: bool = False
     ) -> None:
-        self.scheduler.list_begins(whole, remembered)
+        self.scheduler.endpoint_list_begins(whole, remembered)
         for n, at in since.items():
-            self.scheduler.backend_listed(n, n % 2, n, ready, at and 100.0 + at)
-        self.scheduler.list_ended()
+            self.scheduler.endpoint_listed(n, n % 2, n, ready, at and 100.0 + at)
+        self.scheduler.endpoint_list_ended()
 
     def take(
         self,
@@ -134,7 +134,7 @@
             wake = min(self.host.wakes)
             self.host.wakes.remove(wake)
             self.host.now = max(self.host.now, wake[0])
-            self.scheduler.woken(wake[1])
+            self.scheduler.timer_fired(wake[1])
             self.end()
         self.host.now = 100.0 + at
 
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -72,7 +72,7 @@
 
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        self.lent_kept = 0.5 * self.facts.cold.span
+        self.lent_kept = 0.5 * self.facts.slow_start.window
 
 
 class Twice(Scheduler):
@@ -88,7 +88,7 @@
     """Planted: every head is the home of every shelf."""
 
     def _home(self, shard: int) -> int:
-        return self.facts.index
+        return self.facts.gateway_index
 
 
 class Fleet(unittest.TestCase):
@@ -206,24 +206,24 @@
         facts = SchedulerSettings(
             **{
                 **FACTS,
-                "profiles": (profile,),
-                "heads": 3,
-                "may_tell": True,
-                "cold": SlowStartRule(1.0, float(self.SPAN), 1e9, 1.0),
+                "request_classes": (profile,),
+                "gateways": 3,
+                "may_send_messages": True,
+                "slow_start": SlowStartRule(1.0, float(self.SPAN), 1e9, 1.0),
             }
         )
         host = PrintingHost()
         told: list[str] = []
-        host.tell = lambda head, words: told.append(words)  # type: ignore[attr-defined]
+        host.send_peer_message = lambda head, words: told.append(words)  # type: ignore[attr-defined]
         home = Scheduler._home(Scheduler(host, facts, 1), 1)
         askers = [n for n in range(3) if n != home]
-        policies = {n: Scheduler(host, replace(facts, index=n), 1) for n in range(3)}
+        policies = {n: Scheduler(host, replace(facts, gateway_index=n), 1) for n in range(3)}
         for p in policies.values():
-            p.list_begins(True, False)
-            p.backend_listed(1, 0, 1, True, 1.0)
-            p.list_ended()
+            p.endpoint_list_begins(True, False)
+            p.endpoint_listed(1, 0, 1, True, 1.0)
+            p.endpoint_list_ended()
             plant(p)
-        volume = Volume("v", facts.plans[0], 0.0, 1, 0.0, 0.0)
+        volume = Volume("v", facts.service_tiers[0], 0.0, 1, 0.0, 0.0)
         t = Request(1, 1, profile, volume, None, 1e9, 1e9, 1.0, 1)
 
         def asker(now: int, n: int, held: tuple[Any, ...]) -> Scheduler:
@@ -268,7 +268,7 @@
                     p = policies[home]
                     host.now, p.born, p.lent = float(now), float(born), {1: list(ledger)} if ledger else {}
                     told.clear()
-                    p.peer_told(n, words)
+                    p.peer_message_received(n, words)
                     if told:
                         entries = tuple(p.lent.get(1, ()))
                         more = messages | {(n, told[0])}
@@ -276,7 +276,7 @@
                 else:
                     k = askers.index(n)
                     p = asker(now, n, held[k])
-                    p.peer_told(home, words)
+                    p.peer_message_received(home, words)
                     if kept(n, held[k][0]) != held[k]:
                         put("is lent", n, kept(n, held[k][0]), messages, sends)
             return found
@@ -310,7 +310,7 @@
             p._lend = lend  # type: ignore[method-assign]
 
         def too_short(p: Scheduler) -> None:
-            p.lent_kept = p.facts.cold.span
+            p.lent_kept = p.facts.slow_start.window
 
         def from_coming(p: Scheduler) -> None:
             def borrow(s: Backend) -> None:
@@ -331,10 +331,10 @@
 
 class OneHead(Bench):
     def begin(self, index: int = 0, heads: int = 60) -> None:
-        self.start(cold=COLD, heads=heads, may_tell=True, index=index)
+        self.start(slow_start=COLD, gateways=heads, may_send_messages=True, gateway_index=index)
         self.host.now += 10.0
         self.told: list[tuple[int, str]] = []
-        self.host.tell = lambda head, words: self.told.append((head, words))  # type: ignore[attr-defined]
+        self.host.send_peer_message = lambda head, words: self.told.append((head, words))  # type: ignore[attr-defined]
         self.shelves({1: 9.0})
         self.end()
 
@@ -346,16 +346,18 @@
         ((head, words),) = self.told
         self.assertEqual((home, "ask 1"), (head, words[:5]))
         self.assertFalse(self.host.sent)
-        self.scheduler.peer_told((home + 1) % 60, words.replace("ask", "lent"))  # from who is not its home
-        self.scheduler.peer_told(home, "lent 1 another 2 1.000")
+        self.scheduler.peer_message_received(
+            (home + 1) % 60, words.replace("ask", "lent")
+        )  # from who is not its home
+        self.scheduler.peer_message_received(home, "lent 1 another 2 1.000")
         self.end()
         self.assertFalse(self.host.sent)
-        self.scheduler.peer_told(home, words.replace("ask", "lent"))
+        self.scheduler.peer_message_received(home, words.replace("ask", "lent"))
         self.end()
         self.assertEqual([(1, 0)], list(self.host.sent))
 
     def made(self) -> Scheduler:
-        self.start(cold=COLD, heads=60, may_tell=True)
+        self.start(slow_start=COLD, gateways=60, may_send_messages=True)
         return self.scheduler
 
     def test_a_lent_part_that_comes_late_is_not_used(self) -> None:
@@ -364,7 +366,7 @@
         self.take(1, units=2.0)
         self.end()
         self.host.now += self.scheduler.lent_for
-        self.scheduler.peer_told(home, self.told[0][1].replace("ask", "lent"))
+        self.scheduler.peer_message_received(home, self.told[0][1].replace("ask", "lent"))
         self.end()
         self.assertFalse(self.host.sent)
         self.assertEqual(2, len(self.told))  # and asks anew
@@ -375,7 +377,7 @@
         self.take(1, units=2.0)
         self.end()
         self.scheduler.client_left(1)
-        self.scheduler.peer_told(home, self.told[0][1].replace("ask", "lent"))
+        self.scheduler.peer_message_received(home, self.told[0][1].replace("ask", "lent"))
         self.host.now += self.scheduler.lent_for
         self.take(2, units=2.0)
         self.end()
@@ -385,10 +387,10 @@
         home = Scheduler._home(self.made(), 1)
         self.begin(home)
         for n in range(20):
-            self.scheduler.peer_told((home + 1 + n) % 60, f"ask 1 {n} 2 0.0")
+            self.scheduler.peer_message_received((home + 1 + n) % 60, f"ask 1 {n} 2 0.0")
         self.assertEqual(4, len(self.told))  # of 9 units
         self.host.now += 3.0 + self.scheduler.lent_for + 0.001
-        self.scheduler.peer_told((home + 1) % 60, "ask 1 99 2 0.0")
+        self.scheduler.peer_message_received((home + 1) % 60, "ask 1 99 2 0.0")
         self.assertEqual(5, len(self.told))
 
     def test_a_false_age_lends_no_more_than_the_homes_own_list_bears_out(self) -> None:
@@ -400,14 +402,14 @@
                 self.told.clear()
                 self.scheduler.lent.clear()
                 for n in range(20):
-                    self.scheduler.peer_told((home + 1 + n) % 60, f"ask 1 {n} 2 12.9")
+                    self.scheduler.peer_message_received((home + 1 + n) % 60, f"ask 1 {n} 2 12.9")
                 self.assertEqual(int(most / 2), len(self.told))
 
     def test_a_home_is_silent_until_an_earlier_lifes_lending_has_passed(self) -> None:
         home = Scheduler._home(self.made(), 1)
         self.begin(home)
         self.scheduler.born = self.host.now - 3.0
-        self.scheduler.peer_told((home + 1) % 60, "ask 1 1 2 1.5")
+        self.scheduler.peer_message_received((home + 1) % 60, "ask 1 1 2 1.5")
         self.assertFalse(self.told)
 
     def test_few_heads_have_even_parts_and_say_nothing(self) -> None:
@@ -429,7 +431,7 @@
     def test_words_of_any_kind_break_nothing(self, words: str) -> None:
         if not hasattr(self, "policy"):
             self.begin(Scheduler._home(self.made(), 1))
-        self.scheduler.peer_told(5, words)
+        self.scheduler.peer_message_received(5, words)
         self.scheduler.batch_ended()
         self.assertLessEqual(
             sum(units for log in self.scheduler.lent.values() for _, units in log),
@@ -478,7 +480,7 @@
 
     def test_the_benchs_link_carries_both_ways(self) -> None:
         link = Link()
-        facts = SchedulerSettings(**{**FACTS, "cold": COLD, "heads": 60})
+        facts = SchedulerSettings(**{**FACTS, "slow_start": COLD, "gateways": 60})
         setup = json.loads(json.dumps(setup_of(facts)))
         setup["permissions"]["peerMessages"] = True
         setup["index"] = home = int.from_bytes(blake2b(b"1", digest_size=8).digest()) % 60
@@ -533,10 +535,10 @@
 
     def test_messages_need_the_settings_leave_and_addresses(self) -> None:
         addresses = {"peer_listen": "127.0.0.1:7946", "peers": ["127.0.0.1:7946"]}
-        self.assertTrue(self.read(**addresses).facts.may_tell)
+        self.assertTrue(self.read(**addresses).facts.may_send_messages)
         self.assertEqual((("127.0.0.1", 7946),), self.read(**addresses).peers)
-        self.assertFalse(self.read(False, **addresses).facts.may_tell)
-        self.assertFalse(self.read().facts.may_tell)
+        self.assertFalse(self.read(False, **addresses).facts.may_send_messages)
+        self.assertFalse(self.read().facts.may_send_messages)
 
     def test_a_list_of_peers_that_does_not_fit_is_named(self) -> None:
         for index, peers, says in (
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -7,7 +7,8 @@
 class OrdinaryPath(Scene):
     def begin(self, shelves: int, slots: int, *weights: float, reserve: float = 0.0) -> None:
         self.start(
-            shelves, plans=tuple(ServiceTier(reserve * i, w, 0.0, 0.0, 4.0) for i, w in enumerate(weights))
+            shelves,
+            service_tiers=tuple(ServiceTier(reserve * i, w, 0.0, 0.0, 4.0) for i, w in enumerate(weights)),
         )
         for shelf in self.scheduler.backends.values():
             shelf.bound = float(slots)
@@ -62,8 +63,8 @@
     def test_reserve(self) -> None:
         """At a crowded shelf a volume with a reserve is paced above a plain one of the same weight."""
         self.start(
-            profiles=(SLOW,),
-            plans=(ServiceTier(0.0, 1.0, 0.0, 0.0, 4.0), ServiceTier(12.0, 1.0, 0.0, 0.0, 4.0)),
+            request_classes=(SLOW,),
+            service_tiers=(ServiceTier(0.0, 1.0, 0.0, 0.0, 4.0), ServiceTier(12.0, 1.0, 0.0, 0.0, 4.0)),
         )
         self.scheduler.backends[1].bound, self.scheduler.backends[1].rate = 32.0, 0.25
         for id in range(14):
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -44,10 +44,10 @@
 
 
 def tell(told: Scheduler, entries: list[tuple[int, int, bool]], whole: bool) -> None:
-    told.list_begins(whole, False)
+    told.endpoint_list_begins(whole, False)
     for id, shard, ready in entries:
-        told.backend_listed(id, 0, shard, ready, 0.0)
-    told.list_ended()
+        told.endpoint_listed(id, 0, shard, ready, 0.0)
+    told.endpoint_list_ended()
     told.batch_ended()
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -38,7 +38,7 @@
 
     def test_effects(self) -> None:
         """An error may have run: an irreversible transaction ends, a labelled one stays with its shard."""
-        self.start(3, profiles=(PLAIN, ONCE, MARKED))
+        self.start(3, request_classes=(PLAIN, ONCE, MARKED))
         self.take(1, profile=0)
         self.take(2, profile=1)
         self.take(3, profile=2, shard=-1)
@@ -55,9 +55,9 @@
         self.kept("effects")
 
     def test_a_keyed_request_is_sent_again_up_to_the_end_of_its_window_and_not_at_it(self) -> None:
-        for at, again in ((MARKED.remembered - 0.001, True), (MARKED.remembered, False)):
+        for at, again in ((MARKED.idempotency_window - 0.001, True), (MARKED.idempotency_window, False)):
             with self.subTest(at=at):
-                self.start(profiles=(MARKED,))
+                self.start(request_classes=(MARKED,))
                 self.take(1)
                 self.end()
                 self.host.now = 100.0 + at
@@ -66,26 +66,26 @@
                 self.assertEqual(again, (1, 1) in self.host.sent)
 
     def test_a_window_that_ends_while_its_connection_comes_up_is_over(self) -> None:
-        self.start(profiles=(MARKED, ONCE))
+        self.start(request_classes=(MARKED, ONCE))
         self.take(1)
         self.take(2, profile=1, volume="b")
         self.end()
-        self.assertTrue(self.scheduler.may_begin(2, 1, 100.0, 101.5), "a first attempt has no window")
+        self.assertTrue(self.scheduler.may_begin_attempt(2, 1, 100.0, 101.5), "a first attempt has no window")
         self.host.now = 100.5
         self.answer(1, AttemptOutcome.CONNECTION_LOST)
         self.end()
-        self.assertTrue(self.scheduler.may_begin(1, 1, 100.5, 100.999))
-        self.assertFalse(self.scheduler.may_begin(1, 1, 100.5, 101.0))
+        self.assertTrue(self.scheduler.may_begin_attempt(1, 1, 100.5, 100.999))
+        self.assertFalse(self.scheduler.may_begin_attempt(1, 1, 100.5, 101.0))
 
     def test_in_slow_start_an_attempt_older_than_a_lease_holds_does_not_begin(self) -> None:
         self.start()
         self.take(1)
         self.end()
         late = 100.0 + self.scheduler.lent_for + 0.01
-        self.assertTrue(self.scheduler.may_begin(1, 1, 100.0, late), "a warm backend")
+        self.assertTrue(self.scheduler.may_begin_attempt(1, 1, 100.0, late), "a warm backend")
         self.scheduler.backends[1].since = 99.0
-        self.assertTrue(self.scheduler.may_begin(1, 1, 100.0, late - 0.02))
-        self.assertFalse(self.scheduler.may_begin(1, 1, 100.0, late))
+        self.assertTrue(self.scheduler.may_begin_attempt(1, 1, 100.0, late - 0.02))
+        self.assertFalse(self.scheduler.may_begin_attempt(1, 1, 100.0, late))
 
     def test_drain(self) -> None:
         """A shelf told to drain, then gone, then replaced by another that holds the same shard."""
@@ -97,9 +97,9 @@
         self.until(0.8)
         self.take(4, shard=1)  # past its part of the grace: waits for another shelf
         self.end()
-        self.scheduler.list_begins(True, False)
-        self.scheduler.backend_listed(7, 0, 1, True, 0.0)
-        self.scheduler.list_ended()
+        self.scheduler.endpoint_list_begins(True, False)
+        self.scheduler.endpoint_listed(7, 0, 1, True, 0.0)
+        self.scheduler.endpoint_list_ended()
         self.take(3, shard=2)
         self.end()
         self.kept("drain")
@@ -124,7 +124,7 @@
 
     def test_cold_shelf(self) -> None:
         """Half of the always-safe units each span for one of two heads, more as the shelf warms."""
-        self.start(1, heads=2, profiles=(SLOW,))
+        self.start(1, gateways=2, request_classes=(SLOW,))
         self.until(5.0)
         self.shelves({1: 4.5})
         for id in range(12):
@@ -139,7 +139,7 @@
 
     def test_cold_shelf_after_own_start(self) -> None:
         """An earlier life of this head may have spent its part: nothing for one span."""
-        self.start(1, profiles=(SLOW,))
+        self.start(1, request_classes=(SLOW,))
         self.shelves({1: -0.5})
         self.take(1, within=20.0)
         self.end()
@@ -156,9 +156,9 @@
         self.end()
         self.until(0.1)
         self.shelves({7: 0.0}, whole=False)
-        self.scheduler.list_begins(False, False)
-        self.scheduler.backend_listed(7, 0, 1, True, 0.0)
-        self.scheduler.list_ended()
+        self.scheduler.endpoint_list_begins(False, False)
+        self.scheduler.endpoint_listed(7, 0, 1, True, 0.0)
+        self.scheduler.endpoint_list_ended()
         self.end()
         self.kept("gone_without_a_drain")
 
@@ -200,7 +200,7 @@
 
     def test_health(self) -> None:
         """The lowest rate; what is called off or not sent says nothing; which misses ask for a rest."""
-        self.start(profiles=(PLAIN, SLOW))
+        self.start(request_classes=(PLAIN, SLOW))
         self.take(9)
         self.end()
         self.until(0.01)
@@ -234,7 +234,7 @@
 
     def test_shelf_with_a_line(self) -> None:
         """An answer that waited a little, in good time: one slot, until answers come at once."""
-        self.start(profiles=(SLOW,), heads=4)
+        self.start(request_classes=(SLOW,), gateways=4)
         self.take(1, within=30.0)
         self.end()
         self.until(0.1)
@@ -275,7 +275,7 @@
 
     def test_shelf_that_is_hardly_cold(self) -> None:
         """It lacks a tenth of its speed for a second: the wait and the first rate are in that measure."""
-        self.start(cold=SlowStartRule(80.0, 3.0, 1.0, 0.9))
+        self.start(slow_start=SlowStartRule(80.0, 3.0, 1.0, 0.9))
         self.until(5.0)
         self.shelves({1: 5.0})
         self.take(1)
@@ -286,7 +286,7 @@
 
     def test_key_turns(self) -> None:
         """One at a time by key; after a time-out the key rests."""
-        self.start(profiles=(ONCE,), key_rest=0.5)
+        self.start(request_classes=(ONCE,), key_cool_down=0.5)
         for id in (1, 2, 3):
             self.take(id, key="k", within=3.0)
         self.take(4, key="other")
@@ -302,7 +302,7 @@
 
     def test_budget(self) -> None:
         """One further forward free and a quarter of what was taken: two of four."""
-        self.start(4, budget=RetryBudget(1.0, 0.25, 10.0))
+        self.start(4, retry_budget=RetryBudget(1.0, 0.25, 10.0))
         for id in (1, 2, 3, 4):
             self.take(id, shard=id)
         self.end()
@@ -313,7 +313,7 @@
 
     def test_limit(self) -> None:
         """Half of 8 units a second and of 32 at once for one of two heads; empty at the start."""
-        self.start(profiles=(SLOW,), plans=(ServiceTier(0.0, 1.0, 8.0, 32.0, 4.0),))
+        self.start(request_classes=(SLOW,), service_tiers=(ServiceTier(0.0, 1.0, 8.0, 32.0, 4.0),))
         self.until(1.0)
         for id in range(4):
             self.take(id, units=4, heads=2, within=5.0)
@@ -323,9 +323,9 @@
 
     def test_list_asked_for(self) -> None:
         """Refused calls are asked again after growing waits."""
-        self.start(list_on_request=True)
+        self.start(polls_endpoints=True)
         for at in (1.0, 3.0, 7.0):
-            self.scheduler.list_refused()
+            self.scheduler.endpoint_poll_failed()
             self.end()
             self.until(at)
         self.kept("list_asked_for")
--- a/tests/test_same_decisions.py
+++ b/tests/test_same_decisions.py
@@ -51,47 +51,47 @@
 def setup_of(facts: SchedulerSettings) -> dict[str, Any]:
     """The bench's start-up message for the same facts."""
     return {
-        "balancers": facts.heads,
+        "balancers": facts.gateways,
         "membershipMode": "subscribe",
         "clients": {"marksRetry": facts.repeats_marked},
         "contract": {
-            "askWithin": facts.ask_within,
-            "fall": facts.cold.span,
-            "cold": facts.cold.warm_after,
-            "coldFrom": facts.cold.first_part,
-            "orderSettle": facts.key_rest,
+            "askWithin": facts.poll_within,
+            "fall": facts.slow_start.window,
+            "cold": facts.slow_start.warm_after,
+            "coldFrom": facts.slow_start.initial_part,
+            "orderSettle": facts.key_cool_down,
             "stopSendingWithin": facts.drain_grace,
         },
         "permissions": {
-            "maxAttempts": facts.most_forwards,
+            "maxAttempts": facts.max_attempts,
             "retryAfter": True,
-            "maxRetryAfter": facts.longest_return,
+            "maxRetryAfter": facts.max_retry_after,
         },
         "specifics": {
-            "coldUnits": facts.cold.units,
-            "mostUnits": facts.largest_units,
-            "shareWorth": facts.share_worth,
+            "coldUnits": facts.slow_start.units,
+            "mostUnits": facts.largest_request_units,
+            "shareWorth": facts.excess_value,
         },
         "services": [
             {
-                "aim": p.promised,
+                "aim": p.latency_objective,
                 "effect": _word(EFFECTS, p.effect),
-                "group": _word(GROUPS, p.group),
-                "window": p.remembered,
-                "keepOrder": p.in_order,
-                "worth": p.value,
+                "group": _word(GROUPS, p.idempotency_scope),
+                "window": p.idempotency_window,
+                "keepOrder": p.keyed_order,
+                "worth": p.priority_weight,
             }
-            for p in facts.profiles
+            for p in facts.request_classes
         ],
         "grades": [
             {
-                "floorRate": p.reserve,
+                "floorRate": p.reservation,
                 "proportion": p.weight,
-                "neverOver": p.limit,
-                "limitBurst": p.limit_burst,
-                "baseRate": p.usual,
+                "neverOver": p.rate_limit,
+                "limitBurst": p.burst,
+                "baseRate": p.expected_rate,
             }
-            for p in facts.plans
+            for p in facts.service_tiers
         ],
     }
 
@@ -111,20 +111,20 @@
             "setSize",
         )
         event = {k: v for k, v in zip(names, facts[0], strict=False) if v is not None}
-        return [{"verb": "order", **event, "stateBits": 2 if facts[0].repeat else 0}]
+        return [{"verb": "order", **event, "stateBits": 2 if facts[0].is_retry else 0}]
     if method == "attempt_ended":
         names = ("corr", "shot", "how", "shelf", "elapsed", "doneFlag", "delta", "usage")
         event = dict(zip(names, facts[0], strict=True))
         return [{"verb": "done", **event, "how": _word(ENDINGS, event["how"])}]
-    if method == "woken":
+    if method == "timer_fired":
         return [{"verb": "due", "keyBack": facts[0]}]
     if method == "client_left":
         return [{"verb": "cancelledByClient", "corr": facts[0]}]
-    if method == "list_refused":
+    if method == "endpoint_poll_failed":
         return [{"verb": "sync", "form": "refused"}]
-    if method == "list_begins":
+    if method == "endpoint_list_begins":
         page[:] = ["remembered" if facts[1] else "all" if facts[0] else "changes"]
-    elif method == "backend_listed":
+    elif method == "endpoint_listed":
         id, zone, shard, ready, since = facts
         page.append(
             {
@@ -135,7 +135,7 @@
                 "condition": "Ready" if ready else "Terminating",
             }
         )
-    elif method == "list_ended":
+    elif method == "endpoint_list_ended":
         return [
             {"verb": "page", "page": 0, "membersList": page[1:]},
             {"verb": "sync", "form": page[0], "page": 0},
@@ -152,8 +152,8 @@
     if verb == "dropRequest":
         return "fail", act["corr"]
     if verb == "arm":
-        return "wake", act["delay"], act["keyBack"]
-    return ("follow_list",)
+        return "set_timer", act["delay"], act["keyBack"]
+    return ("poll_endpoints",)
 
 
 class SameDecisions(unittest.TestCase):
@@ -163,7 +163,7 @@
                 told, decided = self.play(seed)
                 self.assertGreater(sum(a[0] == "send_attempt" for a in decided), 100)
                 self.assertEqual(
-                    {"send_attempt", "reject", "fail", "wake", "follow_list"}, {a[0] for a in decided}
+                    {"send_attempt", "reject", "fail", "set_timer", "poll_endpoints"}, {a[0] for a in decided}
                 )
                 self.assertEqual(decided, self.through_bench(told, seed))
 
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -95,5 +95,9 @@
         self.assertEqual([0, 1, 2], found)
         self.assertEqual(
             (16.0, 1, None),
-            (start_facts(site).largest_units, start_facts(site).heads, start_facts(site).budget),
+            (
+                start_facts(site).largest_request_units,
+                start_facts(site).gateways,
+                start_facts(site).retry_budget,
+            ),
         )
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -195,21 +195,21 @@
             facts = SchedulerSettings(
                 **{
                     **FACTS,
-                    "heads": heads,
-                    "list_on_request": True,
-                    "ask_within": 10.0,
-                    "cold": SlowStartRule(8.0, 2.0, 10.0, 0.25),
+                    "gateways": heads,
+                    "polls_endpoints": True,
+                    "poll_within": 10.0,
+                    "slow_start": SlowStartRule(8.0, 2.0, 10.0, 0.25),
                 }
             )
             scheduler = Scheduler(host, facts, 77 + n)
             for _ in range(refused):
-                scheduler.list_refused()
+                scheduler.endpoint_poll_failed()
             scheduler.batch_ended()
             while len(host.trace) == 1:
                 wake = min(host.wakes)
                 host.wakes.remove(wake)
                 host.now = max(host.now, wake[0])
-                scheduler.woken(wake[1])
+                scheduler.timer_fired(wake[1])
                 scheduler.batch_ended()
             asked.append(host.now - 100.0)
         return asked
