--- a/gorsethread/recovery/stages.py
+++ b/gorsethread/recovery/stages.py
@@ -9,8 +9,8 @@
 promise is held by `held_by` of the others, so that all but `held_by - 1` of them are enough. Where these
 can't be had it goes on without, and never waits for what cannot come: own records that are whole are believed
 after TRUST seconds; records that have holes, or none at all, let it serve with care for as long as it takes,
-or until a person accepts the loss. A folder that is empty is a first start or a lost disk: only the others can
-tell.
+or until a person accepts the loss. A folder that is empty is a first start or a lost disk: only the others
+can tell.
 """
 
 from enum import Enum
