--- a/gorsethread/faults/mutants.py
+++ b/gorsethread/faults/mutants.py
@@ -1,14 +1,16 @@
 """Defects planted in heads, to learn how many seeds it takes until the worlds show each. Never part of a head
 that serves. Each changes one head that has not started."""
 
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from dataclasses import replace
 from typing import Any
 
 from gorsethread.faults.planted import plant
 from gorsethread.faults.planting import kept_in, sometimes, told_as
-from gorsethread.gateway.carrying import Attempt
-from gorsethread.gateway.driver import Open
+from gorsethread.gateway.attempts import Attempt
+from gorsethread.gateway.driver import EndpointEntry, Open
+from gorsethread.gateway.first_writes import PlacementCheck
+from gorsethread.gateway.interfaces import Extent
 from gorsethread.head.links import BackendLink
 from gorsethread.head.program import Head
 from gorsethread.nvme.command import Completion, Status
@@ -53,7 +55,7 @@
 
 @mutant("driver: a time-out at the cut-off is lost")
 def _no_deadline(head: Head) -> None:
-    head.driver._time_is_up = lambda t: None  # type: ignore[method-assign]
+    head.driver._time_is_up = lambda request: None  # type: ignore[method-assign]
 
 
 @mutant("driver: the cut-off comes a second late")
@@ -64,7 +66,7 @@
 
 @mutant("driver: a client that left is not noticed")
 def _deaf_to_leaving(head: Head) -> None:
-    head.driver.client_left = lambda t: None  # type: ignore[method-assign]
+    head.driver.client_left = lambda request: None  # type: ignore[method-assign]
 
 
 @mutant("driver: one forward's end in fifty is not told")
@@ -152,13 +154,13 @@
 
 @mutant("driver: first writes of an extent may part it")
 def _parts_extents(head: Head) -> None:
-    honest = head.driver._holds
+    honest = head.driver.first_writes.begin
 
-    def holds(t: Open, f: Attempt) -> bool:
-        honest(t, f)
-        return True
+    def begin(extent: Extent, shard: int) -> PlacementCheck:
+        check = honest(extent, shard)
+        return PlacementCheck.BELONGS if check is PlacementCheck.ELSEWHERE else check
 
-    head.driver._holds = holds  # type: ignore[method-assign]
+    head.driver.first_writes.begin = begin  # type: ignore[method-assign]
 
 
 # ---- the links
@@ -354,8 +356,8 @@
 def _deaf_to_restarts(head: Head) -> None:
     honest = head.driver.listed
 
-    def listed(entries: list[Any], whole: bool, remembered: bool) -> None:
-        honest([(*e[:4], 0.0) for e in entries], whole, remembered)
+    def listed(entries: Iterable[EndpointEntry], complete: bool, remembered: bool) -> None:
+        honest([e._replace(since=0.0) for e in entries], complete, remembered)
 
     head.driver.listed = listed  # type: ignore[method-assign]
 
--- a/gorsethread/faults/planted.py
+++ b/gorsethread/faults/planted.py
@@ -1,9 +1,10 @@
 """Heads made to break one rule each, to see that the witness catches it. Never part of a head that serves."""
 
+from collections.abc import Iterable
 from typing import Any
 
-from gorsethread.gateway.carrying import Attempt
-from gorsethread.gateway.driver import Driver, Open
+from gorsethread.gateway.attempts import Attempt, Told
+from gorsethread.gateway.driver import Driver, EndpointEntry, Open
 from gorsethread.head.program import Head
 from gorsethread.scheduling.model import AttemptOutcome, Effect
 
@@ -21,11 +22,11 @@
     driver = head.driver
     honest = driver._ended
 
-    def ended(f: Attempt, how: AttemptOutcome, told: Any) -> None:
-        t = driver.open.get(f.request)
-        if t is not None and t.id % 10 == 0:
-            t.answered = True
-        honest(f, how, told)
+    def ended(attempt: Attempt, outcome: AttemptOutcome, told: Told) -> None:
+        request = driver.open.get(attempt.request)
+        if request is not None and request.id % 10 == 0:
+            request.answered = True
+        honest(attempt, outcome, told)
 
     driver._ended = ended  # type: ignore[method-assign]
 
@@ -63,8 +64,8 @@
 def _deaf_to_drains(head: Head) -> None:
     honest = head.driver.listed
 
-    def listed(entries: list[tuple[int, int, int, bool, float]], whole: bool, remembered: bool) -> None:
-        honest([(*e[:3], True, e[4]) for e in entries], False, remembered)
+    def listed(entries: Iterable[EndpointEntry], complete: bool, remembered: bool) -> None:
+        honest([e._replace(ready=True) for e in entries], False, remembered)
 
     head.driver.listed = listed  # type: ignore[method-assign]
 
@@ -73,9 +74,10 @@
     honest = head.driver.listed
     cold: set[int] = set()
 
-    def listed(entries: list[tuple[int, int, int, bool, float]], whole: bool, remembered: bool) -> None:
-        cold.update(e[0] for e in entries if e[4])
-        honest([(*e[:4], 0.0) for e in entries], whole, remembered)
+    def listed(entries: Iterable[EndpointEntry], complete: bool, remembered: bool) -> None:
+        listed_now = list(entries)
+        cold.update(e.backend for e in listed_now if e.since)
+        honest([e._replace(since=0.0) for e in listed_now], complete, remembered)
 
     def act(t: Open, f: Attempt) -> None:
         if f.backend in cold:
--- a/gorsethread/faults/recordsworld.py
+++ b/gorsethread/faults/recordsworld.py
@@ -136,7 +136,7 @@
         for number, head in self.heads.items():
             p = head.promises
             if self.processes[f"head {number}"].alive and p is not None:
-                if p._waiting or p._unheld or head.driver.unkept:
+                if p._waiting or p._unheld or head.driver.awaiting_placement:
                     self._defect(f"left behind: head {number}: promises that nobody was told of")
                 if (after := p.retry_after()) > 0.0:
                     self._defect(
--- a/gorsethread/faults/states.py
+++ b/gorsethread/faults/states.py
@@ -9,7 +9,7 @@
 DECIDED: States = {
     "nothing open": lambda h: not h.driver.open,
     "forwards out": lambda h: any(s.out for s in h.driver.scheduler.backends.values()),
-    "first writes out": lambda h: bool(h.driver._placing),
+    "first writes out": lambda h: bool(h.driver.first_writes.pending),
     "volumes held": lambda h: any(v.lanes for v in h.driver.scheduler.busy.values()),
     "a key's line": lambda h: any(len(line) > 1 for line in h.driver.scheduler.lines.values()),
     "a key rests": lambda h: bool(h.driver.scheduler.key_rests),
--- a/gorsethread/faults/webmutants.py
+++ b/gorsethread/faults/webmutants.py
@@ -1,13 +1,14 @@
 """Defects planted in heads on the operators' platform, to learn how many seeds it takes until the worlds show
 each. Never part of a head that serves. Each changes one head that has not started."""
 
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from dataclasses import replace
 from typing import Any
 
 import h11
 
 from gorsethread.faults.planting import kept_in, told_as
+from gorsethread.gateway.driver import EndpointEntry
 from gorsethread.http1 import asking, serving
 from gorsethread.http_gateway import backends
 from gorsethread.http_gateway.listing import ListAnswer
@@ -174,7 +175,7 @@
 
 @mutant("clients: one that left is not noticed")
 def _deaf_to_leaving(head: Gateway) -> None:
-    head.driver.client_left = lambda t: None  # type: ignore[method-assign]
+    head.driver.client_left = lambda request: None  # type: ignore[method-assign]
 
 
 @mutant("clients: the cut-off counts from the head's start of work, half a second late")
@@ -276,8 +277,8 @@
 def _deaf_to_drains(head: Gateway) -> None:
     honest = head.driver.listed
 
-    def listed(entries: list[Any], whole: bool, remembered: bool) -> None:
-        honest([(n, zone, shard, True, since) for n, zone, shard, _, since in entries], whole, remembered)
+    def listed(entries: Iterable[EndpointEntry], complete: bool, remembered: bool) -> None:
+        honest([e._replace(ready=True) for e in entries], complete, remembered)
 
     head.driver.listed = listed  # type: ignore[method-assign]
     head.pool.withdraw = lambda unready: None  # type: ignore[method-assign]
@@ -287,8 +288,8 @@
 def _deaf_to_starts(head: Gateway) -> None:
     honest = head.driver.listed
 
-    def listed(entries: list[Any], whole: bool, remembered: bool) -> None:
-        honest([(n, zone, shard, ready, 0.0) for n, zone, shard, ready, _ in entries], whole, remembered)
+    def listed(entries: Iterable[EndpointEntry], complete: bool, remembered: bool) -> None:
+        honest([e._replace(since=0.0) for e in entries], complete, remembered)
 
     head.driver.listed = listed  # type: ignore[method-assign]
 
--- a/gorsethread/faults/world.py
+++ b/gorsethread/faults/world.py
@@ -591,7 +591,7 @@
         for owner in driver.open.values():
             for f in owner.out.values():
                 held = driver.links.get(f.backend)
-                if f in driver.unkept:
+                if f in driver.awaiting_placement:
                     continue  # waits for the disk, or for copies
                 if not f.over and (held is None or held.out.get(f.cid) is not f and f not in held.waiting):
                     self._defect(
--- a/gorsethread/gateway/driver.py
+++ b/gorsethread/gateway/driver.py
@@ -1,111 +1,123 @@
-"""Hands what happens to the scheduler, a batch a turn of the loop, and carries out its acts.
+"""Hands what happens to the scheduler, a batch a turn of the loop, and carries out its actions.
 
-One final answer a command is kept here mechanically: a request that was answered, or whose client left,
-takes no further act. A time-out at the deadline is the wire's; what follows from it is the policy's.
+One final answer a request is kept here mechanically: a request that was answered, or whose client left,
+takes no further action. A time-out at the deadline is the wire's; what follows from it is the scheduler's.
 """
 
-import heapq
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
-from gorsethread.gateway.carrying import (
-    NOTHING,
+from gorsethread.gateway.accounting import AccountingFeed
+from gorsethread.gateway.attempts import NOTHING, Attempt, Told
+from gorsethread.gateway.deadlines import Deadlines
+from gorsethread.gateway.first_writes import FirstWrites, PlacementCheck
+from gorsethread.gateway.held_reasons import why_held
+from gorsethread.gateway.interfaces import (
     UNPLACED,
-    Accounts,
-    Attempt,
+    Arrival,
     Client,
-    Keeper,
-    Place,
+    Extent,
     Placement,
-    Taken,
-    Told,
+    PlacementLog,
 )
-from gorsethread.gateway.held_reasons import why_held
 from gorsethread.scheduling.model import (
     AttemptEnded,
     AttemptOutcome,
-    HoldReason,
     RequestOutcome,
     RequestTaken,
     SchedulerSettings,
 )
 from gorsethread.scheduling.scheduler import Scheduler
-from gorsethread.transport.base import Timer, Transport
+from gorsethread.transport.base import Transport
 
-NEVER = float("inf")
-PASSED_OVER = 0.1  # seconds ahead that answered requests are cleared from the deadlines in one go
+REQUEST_NUMBERS = 2**32  # they are given again after so many
 
 
 @dataclass(slots=True, eq=False)
 class Open:
-    """A request from its taking until it is answered and its attempts are in. place: what a first write
-    of it may part; None where the wire names the shard of all that has one."""
+    """A request from its taking until it is answered and its attempts have ended.
+
+    place is the extent that a first write of it may part; None where the wire names the shard of everything
+    that has one.
+    """
 
     id: int
     client: Client
     payload: Any
-    place: Place | None
+    place: Extent | None
     shard: int
     deadline: float
     attempts: int = 0
     out: dict[int, Attempt] = field(default_factory=dict)
     answered: bool = False
-    untold: Taken | None = None  # what the accounts have not heard of it yet
+
+
+class EndpointEntry(NamedTuple):
+    """One backend as a list names it; since: its start on this gateway's clock in seconds, 0: long ago."""
+
+    backend: int
+    zone: int
+    shard: int
+    ready: bool
+    since: float
 
 
 class Driver:
-    """The host of one scheduler. All times are the transport's."""
+    """Drives one scheduler. All times are the transport's, in seconds.
+
+    open holds the requests that are not over; links a link of the front's own kind for each backend of the
+    list, and for one that has left it until its attempts have ended; shards the shard of each of these.
+    awaiting_placement holds first writes until it is durable where they go. counts only grow.
+    """
 
     def __init__(
         self,
         transport: Transport,
-        facts: SchedulerSettings,
+        settings: SchedulerSettings,
         seed: int,
         placement: Placement,
         follow_list: Callable[[], None],
         log: Any,
     ) -> None:
-        self.transport, self.placement, self.log = transport, placement, log
-        self._follow_list = follow_list
-        self._now = transport.now()
-        self._batch: list[tuple[str, tuple[Any, ...]]] = []
-        self._due = False
-        self.open: dict[int, Open] = {}  # emptied as requests end
-        # A Link each, of the kind that the front's own wire has; emptied as backends leave the list and their
-        # attempts are in.
+        self.transport = transport
+        self.log = log
+        self.open: dict[int, Open] = {}
         self.links: dict[int, Any] = {}
-        self.shards: dict[int, int] = {}  # of every backend in links
-        # First writes out of extents being placed: how many, and if one may have run; emptied as they end.
-        self._placing: dict[Place, tuple[int, bool]] = {}
+        self.shards: dict[int, int] = {}
         self.counts: Counter[str] = Counter()
-        self._last_id = 0
-        # One timer for the soonest deadline, as one each costs several times as much. Each entry goes as its
-        # time passes, so there are no more than were taken within the longest deadline.
-        self._deadlines: list[tuple[float, int]] = []
-        self._deadline_timer: Timer | None = None
-        self._deadline_at = NEVER
-        self.scheduler = Scheduler(self, facts, seed)
-        # Carries messages to other gateways, where a front has a way to them.
+        self.first_writes = FirstWrites(placement)
+        self.awaiting_placement: dict[Attempt, None] = {}
+        self.accounting = AccountingFeed(lambda request: why_held(self.scheduler, request))
+        # Set by a front that has them: a way to other gateways, a durable log of placements, and whoever
+        # records events and actions for replays.
         self.teller: Callable[[int, str], None] | None = None
-        self.recorder: Callable[[tuple[Any, ...]], None] | None = None  # sees events and acts, for replays
-        self.accounts: Accounts | None = None
-        self.keeper: Keeper | None = None  # where what is placed is to last
-        self.unkept: dict[Attempt, None] = {}  # first writes that wait for that; emptied as it is told
-        self._fresh: list[Open] = []  # taken since the last batch, which empties it
-        # The first batch is empty: the scheduler asks for the list in it.
-        self._due = True
-        transport.soon(self._work)
+        self.keeper: PlacementLog | None = None
+        self.recorder: Callable[[tuple[Any, ...]], None] | None = None
+        self._follow_list = follow_list
+        self._now = transport.now()
+        self._events: list[tuple[str, tuple[Any, ...]]] = []
+        self._last_id = 0
+        self._deadlines = Deadlines(transport, self._deadline_of, self._expire)
+        self.scheduler = Scheduler(self, settings, seed)
+        # The first batch is empty: the scheduler polls the list in it.
+        self._batch_is_due = True
+        transport.soon(self._run_batch)
+
+    @property
+    def placement(self) -> Placement:
+        """Where extents live."""
+        return self.first_writes.placement
 
     # ---- what happens
 
-    def happened(self, method: str, *facts: Any) -> None:
-        """Queues one call on the scheduler; all of a turn are worked on together."""
-        self._batch.append((method, facts))
-        if not self._due:
-            self._due = True
-            self.transport.soon(self._work)
+    def happened(self, method: str, *arguments: Any) -> None:
+        """Queues one call of the scheduler; all of a turn of the loop are made together."""
+        self._events.append((method, arguments))
+        if not self._batch_is_due:
+            self._batch_is_due = True
+            self.transport.soon(self._run_batch)
 
     def take(
         self,
@@ -122,291 +134,262 @@
         heads: int,
         repeat: bool,
         arrived: float,
-        place: Place | None = None,
+        place: Extent | None = None,
         awaited: bool = False,
     ) -> Open:
-        self._last_id = (self._last_id + 1) % 2**32
-        while self._last_id in self.open:
-            self._last_id = (self._last_id + 1) % 2**32
-        t = Open(self._last_id, client, payload, place, shard, deadline)
-        self.open[t.id] = t
-        heapq.heappush(self._deadlines, (deadline, t.id))
-        if deadline < self._deadline_at:
-            self._await_deadline(deadline)
+        """Takes a request; its client hears of it by one call of Client.
+
+        awaited: its data came after its command, so it was taken later than it arrived.
+        """
+        request = Open(self._next_id(), client, payload, place, shard, deadline)
+        self.open[request.id] = request
+        self._deadlines.add(deadline, request.id)
         self.counts["taken"] += 1
-        if self.accounts is not None:
-            # What came whole in its capsule was taken as it arrived.
-            when = self.transport.now() if awaited else arrived
-            t.untold = (volume, profile, int(units), shard, key is not None, arrived, when)
-            self._fresh.append(t)
-        taken = RequestTaken(t.id, profile, plan, key, deadline, str(volume), units, shard, heads, repeat)
+        taken_at = self.transport.now() if awaited else arrived
+        arrival = Arrival(volume, profile, int(units), shard, key is not None, arrived, taken_at)
+        self.accounting.taken(request.id, arrival)
+        taken = RequestTaken(
+            request.id, profile, plan, key, deadline, str(volume), units, shard, heads, repeat
+        )
         self.happened("request_taken", taken)
-        return t
+        return request
+
+    def _next_id(self) -> int:
+        self._last_id = (self._last_id + 1) % REQUEST_NUMBERS
+        while self._last_id in self.open:
+            self._last_id = (self._last_id + 1) % REQUEST_NUMBERS
+        return self._last_id
 
-    def client_left(self, t: Open) -> None:
-        """Its client no longer awaits an answer."""
-        if t.answered:
+    def client_left(self, request: Open) -> None:
+        """Its client awaits no answer any more."""
+        if request.answered:
             return
-        t.answered = True
-        self._account(t, RequestOutcome.CLIENT_LEFT)
+        request.answered = True
+        self.accounting.answered(request.id, RequestOutcome.CLIENT_LEFT, self.transport.now())
         self.counts["left"] += 1
-        for f in list(t.out.values()):
-            if link := self.links.get(f.backend):
-                link.cancel(f)
-        self.happened("client_left", t.id)
-        self._close(t)
+        for attempt in list(request.out.values()):
+            if link := self.links.get(attempt.backend):
+                link.cancel(attempt)
+        self.happened("client_left", request.id)
+        self._close(request)
 
     def ends_by(self, when: float) -> None:
         """The program ends then: each open request is answered before, however long its client would wait."""
-        for t in self.open.values():
-            if t.deadline > when:
-                t.deadline = when
-                heapq.heappush(self._deadlines, (when, t.id))
-        if self.open and when < self._deadline_at:
-            self._await_deadline(when)
+        for request in self.open.values():
+            if request.deadline > when:
+                request.deadline = when
+                self._deadlines.add(when, request.id)
         self.happened("shutting_down_by", when)
 
-    def listed(self, entries: list[tuple[int, int, int, bool, float]], whole: bool, remembered: bool) -> None:
-        """(backend, zone, shard, ready, since) of each entry; since in this gateway's time, 0: long ago."""
-        self.happened("endpoint_list_begins", whole, remembered)
+    def listed(self, entries: Iterable[EndpointEntry], complete: bool, remembered: bool) -> None:
+        """A list of backends, or its changes; remembered: from an earlier process, not from discovery."""
+        self.happened("endpoint_list_begins", complete, remembered)
         for entry in entries:
             self.happened("endpoint_listed", *entry)
         self.happened("endpoint_list_ended")
 
     def list_refused(self, waited: float = 0.0) -> None:
-        """waited: seconds that the call took until it failed."""
+        """A poll of the list failed after so many seconds."""
         self.happened("endpoint_poll_failed", waited)
 
     def peer_told(self, origin: int, words: str) -> None:
+        """A message of another gateway's scheduler came."""
         self.happened("peer_message_received", origin, words)
 
-    def _work(self) -> None:
-        self._due = False
+    def _run_batch(self) -> None:
+        self._batch_is_due = False
         self._now = self.transport.now()
-        batch, self._batch = self._batch, []
-        for method, facts in batch:
+        events, self._events = self._events, []
+        for method, arguments in events:
             if self.recorder:
-                self.recorder(("event", self._now, method, *facts))
-            getattr(self.scheduler, method)(*facts)
+                self.recorder(("event", self._now, method, *arguments))
+            getattr(self.scheduler, method)(*arguments)
         if self.recorder:
             self.recorder(("batch", self._now))
         self.scheduler.batch_ended()
-        if self.accounts is not None:
-            for t in self._fresh:
-                if t.untold is not None:
-                    self.accounts.begun(t.id, t.untold)
-                    t.untold = None
-            if unsent := self.accounts.unsent():
-                self._account_held(self.accounts, unsent)
-        if self._fresh:
-            self._fresh = []
-
-    def _await_deadline(self, when: float) -> None:
-        if self._deadline_timer is not None:
-            self._deadline_timer.cancel()
-        self._deadline_at = when
-        self._deadline_timer = self.transport.at(when, self._deadlines_passed)
-
-    def _deadlines_passed(self) -> None:
-        now, due = self.transport.now(), self._deadlines
-        self._deadline_timer, self._deadline_at = None, NEVER
-        while due:
-            when, id = due[0]
-            t = self.open.get(id)
-            # An id may have come to another request since.
-            if t is not None and t.deadline == when:
-                if when > now:
-                    self._await_deadline(when)
-                    return
-                self._time_is_up(t)
-            elif when > now + PASSED_OVER:
-                self._await_deadline(now + PASSED_OVER)
-                return
-            heapq.heappop(due)
-
-    def _time_is_up(self, t: Open) -> None:
-        for f in list(t.out.values()):
-            self._time_out(f)
-
-    def _account(self, t: Open, outcome: RequestOutcome) -> None:
-        if self.accounts is not None:
-            if t.untold is not None:
-                self.accounts.begun(t.id, t.untold)
-                t.untold = None
-            self.accounts.answered(t.id, outcome, self.transport.now())
-
-    def _account_held(self, accounts: Accounts, unsent: list[int]) -> None:
-        """Of what the last search left unsent, the scheduler says why; what it has not seen it holds not."""
-        now = self.transport.now()
-        for id in unsent:
-            why, backend = why_held(self.scheduler, id)
-            if why is not HoldReason.NOT:
-                accounts.held(id, why, backend, now)
-
-    def _ended(self, f: Attempt, how: AttemptOutcome, told: Told) -> None:
-        t = self.open.get(f.request)
-        if t is None:
+        self.accounting.batch_ended(self.transport.now)
+
+    # ---- deadlines
+
+    def _deadline_of(self, request: int) -> float | None:
+        found = self.open.get(request)
+        return found.deadline if found is not None else None
+
+    def _expire(self, request: int) -> None:
+        self._time_is_up(self.open[request])
+
+    def _time_is_up(self, request: Open) -> None:
+        for attempt in list(request.out.values()):
+            self._time_out(attempt)
+
+    def _time_out(self, attempt: Attempt) -> None:
+        if not attempt.over:
+            attempt.over = True
+            if link := self.links.get(attempt.backend):
+                link.cancel(attempt)
+            self._ended(attempt, AttemptOutcome.TIMED_OUT, NOTHING)
+
+    # ---- attempts and answers
+
+    def _ended(self, attempt: Attempt, outcome: AttemptOutcome, told: Told) -> None:
+        """An attempt has ended, by its link's word or by the driver's own."""
+        request = self.open.get(attempt.request)
+        if request is None:
             return
         now = self.transport.now()
-        succeeded = how is AttemptOutcome.SUCCEEDED and not t.answered
-        if self.accounts is not None:
-            self.accounts.ended(
-                t.id, f.number, how, told.service, now, RequestOutcome.SUCCEEDED if succeeded else None
-            )
-        t.out.pop(f.number, None)
-        self.counts["forwards honoured" if how is AttemptOutcome.SUCCEEDED else f"forwards {how.value}"] += 1
-        if f.first_write:
-            self._placing_ended(t, how)
+        succeeded = outcome is AttemptOutcome.SUCCEEDED and not request.answered
+        self.accounting.attempt_ended(attempt, outcome, told, succeeded, now)
+        request.out.pop(attempt.number, None)
+        self._count_attempt(outcome)
+        if attempt.first_write:
+            self._first_write_ended(request, outcome)
         if succeeded:
-            # Not held back until the batch: the answer goes to the client at once.
-            t.answered = True
+            # Not delayed until the batch: the answer goes to the client at once.
+            request.answered = True
             self.counts["honoured"] += 1
-            t.client.succeeded(self.shards.get(f.backend, UNPLACED), told.data)
+            request.client.succeeded(self.shards.get(attempt.backend, UNPLACED), told.data)
         end = AttemptEnded(
-            t.id, f.number, how, f.backend, now - f.sent_at, t.answered, told.elsewhere, told.usage
+            request.id,
+            attempt.number,
+            outcome,
+            attempt.backend,
+            now - attempt.sent_at,
+            request.answered,
+            told.elsewhere,
+            told.usage,
         )
         self.happened("attempt_ended", end)
-        self._close(t)
+        self._close(request)
 
-    def _close(self, t: Open) -> None:
-        if t.answered and not t.out:
-            self.open.pop(t.id, None)
+    def _count_attempt(self, outcome: AttemptOutcome) -> None:
+        if outcome is AttemptOutcome.SUCCEEDED:
+            self.counts["forwards honoured"] += 1
+        else:
+            self.counts[f"forwards {outcome.value}"] += 1
 
-    # ---- the policy's acts (gorsethread/scheduling/actions.py)
+    def _first_write_ended(self, request: Open, outcome: AttemptOutcome) -> None:
+        assert request.place is not None
+        released = self.first_writes.ended(request.place, outcome)
+        if released and self.keeper is not None:
+            self.keeper.freed(request.place)
+
+    def _close(self, request: Open) -> None:
+        if request.answered and not request.out:
+            self.open.pop(request.id, None)
+
+    # ---- the scheduler's actions (gorsethread/scheduling/actions.py)
 
     def clock(self) -> float:
+        """The time at which the present batch began."""
         return self._now
 
     def send_attempt(self, request: int, backend: int, wait: float) -> None:
+        """Sends a request to a backend; wait 0 lasts until the deadline."""
         if self.recorder:
             self.recorder(("act", "send_attempt", request, backend, wait))
-        t = self.open.get(request)
-        if t is None:
+        found = self.open.get(request)
+        if found is None:
             return
-        f = Attempt(t.id, t.attempts, backend, self._now, t.payload, self._ended)
-        t.attempts += 1
-        t.out[f.number] = f
+        attempt = Attempt(found.id, found.attempts, backend, self._now, found.payload, self._ended)
+        found.attempts += 1
+        found.out[attempt.number] = attempt
         link = self.links.get(backend)
-        if (
-            t.answered
-            or self._now >= t.deadline
-            or link is None
-            or not (t.shard == self.shards[backend] if t.shard != UNPLACED else self._holds(t, f))
-        ):
-            f.over = True
-            self._ended(f, AttemptOutcome.NOT_SENT, NOTHING)
+        if link is None or not self._may_send(found, attempt):
+            self._not_sent(attempt)
             return
         self.counts["forwards"] += 1
-        if wait > 0 and self._now + wait < t.deadline:
-            self.transport.at(self._now + wait, lambda: self._time_out(f))
-        if self.accounts is not None:
-            self.accounts.sent(t.id, f.number, backend, self.transport.now(), t.untold)
-            t.untold = None
-        if f.first_write and self.keeper is not None and t.place is not None:
-            self.unkept[f] = None
-            self.keeper.placed(t.place, self.shards[backend], lambda kept: self._kept(f, kept))
+        if wait > 0 and self._now + wait < found.deadline:
+            self.transport.at(self._now + wait, lambda: self._time_out(attempt))
+        self.accounting.sent(attempt, self.transport.now())
+        if attempt.first_write and self.keeper is not None and found.place is not None:
+            self.awaiting_placement[attempt] = None
+            self.keeper.placed(found.place, self.shards[backend], lambda kept: self._kept(attempt, kept))
         else:
-            link.send(f)
+            link.send(attempt)
 
-    def _kept(self, f: Attempt, kept: bool) -> None:
-        """Where this extent belongs lasts, or can't be made to: then nothing has gone to a backend."""
-        self.unkept.pop(f, None)
-        if f.over:
+    def _may_send(self, request: Open, attempt: Attempt) -> bool:
+        if request.answered or self._now >= request.deadline:
+            return False
+        shard = self.shards[attempt.backend]
+        if request.shard != UNPLACED:
+            return request.shard == shard
+        if request.place is None:
+            return True
+        check = self.first_writes.begin(request.place, shard)
+        attempt.first_write = check is PlacementCheck.FIRST_WRITE
+        return check is not PlacementCheck.ELSEWHERE
+
+    def _not_sent(self, attempt: Attempt) -> None:
+        attempt.over = True
+        self._ended(attempt, AttemptOutcome.NOT_SENT, NOTHING)
+
+    def _kept(self, attempt: Attempt, kept: bool) -> None:
+        """It is durable where this first write's extent is placed, or can't be: then nothing is sent."""
+        self.awaiting_placement.pop(attempt, None)
+        if attempt.over:
             return
-        t, link, s = (
-            self.open.get(f.request),
-            self.links.get(f.backend),
-            self.scheduler.backends.get(f.backend),
-        )
+        request = self.open.get(attempt.request)
         # While it waited its client may have left, or the backend begun to drain.
-        if kept and link is not None and t is not None and not t.answered and s is not None and s.ready:
-            link.send(f)
+        awaited = kept and request is not None and not request.answered
+        link = self.links.get(attempt.backend)
+        backend = self.scheduler.backends.get(attempt.backend)
+        if awaited and link is not None and backend is not None and backend.ready:
+            link.send(attempt)
         else:
-            f.over = True
-            self._ended(f, AttemptOutcome.NOT_SENT, NOTHING)
-
-    def _holds(self, t: Open, f: Attempt) -> bool:
-        """Two first writes of one extent must not part it: the second goes where the first went."""
-        if t.place is None:
-            return True
-        shard = self.shards[f.backend]
-        owner = self.placement.shard_of(*t.place)
-        if owner == UNPLACED:
-            self.placement.placed(*t.place, shard)
-            self._placing[t.place] = (0, False)
-        elif owner != shard:
-            return False
-        if (placing := self._placing.get(t.place)) is not None:
-            f.first_write = True
-            self._placing[t.place] = (placing[0] + 1, placing[1])
-        return True
-
-    def _placing_ended(self, t: Open, how: AttemptOutcome) -> None:
-        """An extent stays where a first write of it may have run; it is free again once none has."""
-        assert t.place is not None
-        out, ran = self._placing[t.place]
-        out, ran = out - 1, ran or not how.never_ran
-        if out:
-            self._placing[t.place] = (out, ran)
-            return
-        del self._placing[t.place]
-        if not ran:
-            self.placement.released(*t.place)
-            if self.keeper is not None:
-                self.keeper.freed(t.place)
-
-    def _time_out(self, f: Attempt) -> None:
-        if not f.over:
-            f.over = True
-            if link := self.links.get(f.backend):
-                link.cancel(f)
-            self._ended(f, AttemptOutcome.TIMED_OUT, NOTHING)
+            self._not_sent(attempt)
 
     def cancel_attempt(self, request: int, number: int) -> None:
+        """Stops waiting for one attempt."""
         if self.recorder:
             self.recorder(("act", "cancel_attempt", request, number))
-        t = self.open.get(request)
-        if t and (f := t.out.get(number)) and not f.over:
-            f.over = True
-            if link := self.links.get(f.backend):
-                link.cancel(f)
-            self._ended(f, AttemptOutcome.CANCELLED, NOTHING)
+        found = self.open.get(request)
+        attempt = found.out.get(number) if found is not None else None
+        if attempt is not None and not attempt.over:
+            attempt.over = True
+            if link := self.links.get(attempt.backend):
+                link.cancel(attempt)
+            self._ended(attempt, AttemptOutcome.CANCELLED, NOTHING)
 
     def reject(self, request: int, return_after: float) -> None:
+        """Ends a request whose client may try again, best after so many seconds (0: no advice)."""
         if self.recorder:
             self.recorder(("act", "reject", request, return_after))
-        t = self.open.get(request)
-        if t and not t.answered:
-            t.answered = True
-            self._account(t, RequestOutcome.REJECTED)
+        found = self.open.get(request)
+        if found is not None and not found.answered:
+            found.answered = True
+            self.accounting.answered(found.id, RequestOutcome.REJECTED, self.transport.now())
             self.counts["pushed back"] += 1
-            t.client.rejected(return_after)
-            self._close(t)
+            found.client.rejected(return_after)
+            self._close(found)
 
     def fail(self, request: int) -> None:
+        """Ends a request with an error that promises nothing."""
         if self.recorder:
             self.recorder(("act", "fail", request))
-        t = self.open.get(request)
-        if t and not t.answered:
-            t.answered = True
-            self._account(t, RequestOutcome.FAILED)
+        found = self.open.get(request)
+        if found is not None and not found.answered:
+            found.answered = True
+            self.accounting.answered(found.id, RequestOutcome.FAILED, self.transport.now())
             self.counts["given up"] += 1
-            t.client.failed()
-            self._close(t)
+            found.client.failed()
+            self._close(found)
 
     def set_timer(self, delay: float, name: str) -> None:
+        """Calls the scheduler's timer_fired(name) after so many seconds."""
         if self.recorder:
             self.recorder(("act", "set_timer", delay, name))
         self.transport.at(self._now + delay, lambda: self.happened("timer_fired", name))
 
-    def send_peer_message(self, head: int, words: str) -> None:
+    def send_peer_message(self, gateway: int, words: str) -> None:
+        """Sends a message to another gateway's scheduler, where the front has a way to it."""
         if self.recorder:
-            self.recorder(("act", "send_peer_message", head, words))
+            self.recorder(("act", "send_peer_message", gateway, words))
         self.counts["told"] += 1
         if self.teller is not None:
-            self.teller(head, words)
+            self.teller(gateway, words)
 
     def poll_endpoints(self) -> None:
+        """Asks discovery for the list of backends and its changes."""
         if self.recorder:
             self.recorder(("act", "poll_endpoints"))
         self._follow_list()
--- a/gorsethread/gateway/linktable.py
+++ b/gorsethread/gateway/linktable.py
@@ -1,4 +1,4 @@
-"""A link for each backend in the list, in the driver's tables; the same for both fronts."""
+"""A link for each backend of the list, in the driver's tables; the same for all fronts."""
 
 from collections.abc import Callable
 from typing import Any
@@ -7,22 +7,26 @@
 
 
 class LinkTable:
-    """make: a link of the front's own kind for a backend at an address. driver is set before the first
-    list."""
+    """Makes links as backends join the list and lets go of them as they leave.
+
+    make returns a link of the front's own kind for a backend at an address; driver is set before the first
+    list. A link whose backend has left stays while it has attempts in flight.
+    """
 
     def __init__(self, make: Callable[[int, tuple[str, int]], Any]) -> None:
         self._make = make
         self.driver: Driver
-        self._leaving: set[int] = set()  # gone, with attempts out; emptied as these are in, or it is back
+        self._leaving: set[int] = set()  # gone, with attempts in flight; emptied as these end, or it is back
 
     def listed(self, backend: int, shard: int, address: tuple[str, int], state: str) -> None:
-        links = self.driver.links
-        link = links.get(backend)
+        """The list names the backend, in the state "ready", "draining" or "gone"."""
         if state == "gone":
-            self._forget(backend)
+            self._remove(backend)
             return
+        links = self.driver.links
+        link = links.get(backend)
         if link is not None and link.address != address:
-            # What is out at the old address ends there; nothing new goes to it.
+            # Attempts in flight at the old address end there; nothing new goes to it.
             link.close()
             link = None
         if link is None:
@@ -31,20 +35,19 @@
         self.driver.shards[backend] = shard
 
     def only(self, backends: set[int]) -> None:
-        """The whole list: every other one is gone."""
+        """The list was complete: every other backend is gone."""
         for backend in [known for known in self.driver.links if known not in backends]:
-            self._forget(backend)
+            self._remove(backend)
 
     def forget_idle(self) -> None:
-        """Lets go of links that had attempts out when their backend left the list, once these are in."""
+        """Removes links that had attempts in flight when their backend left, once these have ended."""
         for backend in list(self._leaving):
-            self._forget(backend)
+            self._remove(backend)
 
-    def _forget(self, backend: int) -> None:
-        """A link with attempts out stays until they are in; the list may name the backend again by then."""
+    def _remove(self, backend: int) -> None:
         link = self.driver.links.get(backend)
         if link is not None and not link.idle:
-            self._leaving.add(backend)
+            self._leaving.add(backend)  # the list may name the backend again by the time its attempts end
             return
         self._leaving.discard(backend)
         if link is not None:
--- a/gorsethread/gateway/messages.py
+++ b/gorsethread/gateway/messages.py
@@ -1,5 +1,7 @@
-"""Carries what the decisions of one gateway tell another's: datagrams both ways, with a bound on how many.
-Decides nothing; what is not of this fleet or from no peer is counted and changes nothing."""
+"""Carries the messages between the schedulers of gateways: datagrams both ways, with a bound on their rate.
+
+Decides nothing; what is not of this fleet, or comes from no peer, is counted and changes nothing.
+"""
 
 from collections import Counter
 from collections.abc import Callable
@@ -8,27 +10,34 @@
 from gorsethread.membership.gossip_messages import Address, Kind, Message, Unreadable, read, write
 from gorsethread.transport.base import Transport
 
-SENT_MOST = 400  # messages a second; decisions that ask for more are not carried
+SENT_MOST = 400  # messages a second; a scheduler that asks for more is not obeyed
 WORDS_MOST = 200  # characters of a message
 
 
 class Allowance:
-    """How many messages a second may go; as many at once."""
+    """A token bucket of messages: so many a second, as many at once."""
 
     def __init__(self, most: int = SENT_MOST) -> None:
-        self.most, self.room, self.filled = float(most), float(most), -float("inf")
+        self._most = float(most)
+        self._tokens = float(most)
+        self._filled_at = -float("inf")
 
     def takes(self, now: float) -> bool:
-        self.room, self.filled = min(self.most, self.room + (now - self.filled) * self.most), now
-        if self.room < 1.0:
+        """Whether one more message may go now; it is counted."""
+        self._tokens = min(self._most, self._tokens + (now - self._filled_at) * self._most)
+        self._filled_at = now
+        if self._tokens < 1.0:
             return False
-        self.room -= 1.0
+        self._tokens -= 1.0
         return True
 
 
 class Messages:
-    """me: this gateway's place among the addresses, which are all gateways' as the others' datagrams come
-    from and go to them. told: what hears them."""
+    """Sends and receives messages of this gateway's scheduler.
+
+    addresses are all gateways', by their numbers, as datagrams come from and go to them; me is this gateway's
+    number; told is called with the sender's number and the text of each message.
+    """
 
     def __init__(
         self,
@@ -38,38 +47,43 @@
         me: int,
         told: Callable[[int, str], None],
     ) -> None:
-        self.transport, self.listen, self.addresses = transport, listen, addresses
-        self.me, self.told = me, told
-        self.fleet = crc32(repr(addresses).encode())  # of another list, numbers may mean other gateways
-        self.numbers = {address: n for n, address in enumerate(addresses)}
-        self.counts: Counter[str] = Counter()  # by reason; as many as there are reasons
-        self.allowance = Allowance()
+        self._transport = transport
+        self._listen = listen
+        self._addresses = addresses
+        self._me = me
+        self._received = told
+        # Gateways with another list of addresses may mean others by the same numbers.
+        self._fleet = crc32(repr(addresses).encode())
+        self._numbers = {address: number for number, address in enumerate(addresses)}
+        self._allowance = Allowance()
+        self.counts: Counter[str] = Counter()  # by reason, of which there are few
 
     def start(self) -> None:
-        """OSError where its address can't be had."""
-        self._port = self.transport.datagrams(*self.listen, self._came)
+        """Begins to receive; OSError where its address can't be had."""
+        self._port = self._transport.datagrams(*self._listen, self._came)
 
     def stop(self) -> None:
+        """Closes the port."""
         self._port.close()
 
-    def tell(self, head: int, words: str) -> None:
-        known = 0 <= head < len(self.addresses)
-        if not known or len(words) > WORDS_MOST or not self.allowance.takes(self.transport.now()):
+    def tell(self, gateway: int, words: str) -> None:
+        """Sends a message to another gateway; dropped where it is unknown, too long or over the rate."""
+        known = 0 <= gateway < len(self._addresses)
+        if not known or len(words) > WORDS_MOST or not self._allowance.takes(self._transport.now()):
             self.counts["not carried"] += 1
             return
         self.counts["sent"] += 1
-        self._port.send(
-            self.addresses[head], write(Message(Kind.TOLD, self.me, 0, 0, 0, (), said=words), self.fleet)
-        )
+        message = Message(Kind.TOLD, self._me, 0, 0, 0, (), said=words)
+        self._port.send(self._addresses[gateway], write(message, self._fleet))
 
     def _came(self, data: bytes, source: Address) -> None:
         try:
-            message = read(data, self.fleet)
+            message = read(data, self._fleet)
         except Unreadable as error:
             self.counts[str(error)] += 1
             return
-        if self.numbers.get(source) != message.sender or message.sender == self.me:
+        if self._numbers.get(source) != message.sender or message.sender == self._me:
             self.counts["from no peer"] += 1
         elif message.kind == Kind.TOLD:
             self.counts["heard"] += 1
-            self.told(message.sender, message.said)
+            self._received(message.sender, message.said)
--- a/gorsethread/head/accounting.py
+++ b/gorsethread/head/accounting.py
@@ -39,7 +39,7 @@
         self._kept = sorted(
             name for name in transport.names(folder) if name.startswith(mine) and name.endswith(SUFFIX)
         )
-        driver.accounts = self.accounts
+        driver.accounting.accounts = self.accounts
         self._look()
         self._next()
 
--- a/gorsethread/head/clients.py
+++ b/gorsethread/head/clients.py
@@ -2,8 +2,8 @@
 
 from typing import Any, NamedTuple
 
-from gorsethread.gateway.carrying import UNPLACED, Keeper, Placement
 from gorsethread.gateway.driver import Driver, Open
+from gorsethread.gateway.interfaces import UNPLACED, Extent, Placement, PlacementLog
 from gorsethread.head.facts import Sorter, units_of
 from gorsethread.head.links import Order
 from gorsethread.nvme.command import SGL_IN_CAPSULE, Completion, Opcode, Status
@@ -107,7 +107,7 @@
         }
         self._shards = {s.shard for s in site.shelf}
         self.draining = False
-        self.keeper: Keeper | None = None  # where what is placed is to last
+        self.keeper: PlacementLog | None = None  # where what is placed is to last
         self.branch: Any = None  # of a branch's head: gorsethread/nvme_gateway/branching.py
 
     def announced(self, io: IoCommand) -> None:
@@ -168,7 +168,7 @@
             key=key,
             deadline=waiting.deadline,
             volume=volume.number,
-            place=(volume.number, extent),
+            place=Extent(volume.number, extent),
             units=float(units_of(length, self._unit_bytes)),
             shard=shard,
             heads=volume.heads,
--- a/gorsethread/head/listing.py
+++ b/gorsethread/head/listing.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from gorsethread.gateway.driver import Driver
+from gorsethread.gateway.driver import Driver, EndpointEntry
 from gorsethread.head.peers import PeerSide
 from gorsethread.sitefile.reading import split_address
 from gorsethread.transport.base import Stream, StreamClosed, Transport, Unreachable
@@ -183,7 +183,7 @@
         # Also links that had forwards out when their shelf left the list go, once these are in.
         self.links.only(set(self.shelves))
         self._ready(entries)
-        told = [(s.number, s.zone, s.shard, self._usable(s), since) for s, since in entries]
+        told = [EndpointEntry(s.number, s.zone, s.shard, self._usable(s), since) for s, since in entries]
         self.driver.listed(told, whole, remembered)
 
     def _ready(self, entries: list[tuple[Listed, float]]) -> None:
@@ -199,7 +199,7 @@
         known = [self.shelves[n] for n in shelves if n in self.shelves]
         if known:
             self._ready(known)
-            told = [(s.number, s.zone, s.shard, self._usable(s), since) for s, since in known]
+            told = [EndpointEntry(s.number, s.zone, s.shard, self._usable(s), since) for s, since in known]
             self.driver.listed(told, False, False)
 
     def _save(self) -> None:
--- a/gorsethread/http_gateway/discovery.py
+++ b/gorsethread/http_gateway/discovery.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from gorsethread.errors import GorsethreadError
-from gorsethread.gateway.driver import Driver
+from gorsethread.gateway.driver import Driver, EndpointEntry
 from gorsethread.gateway.linktable import LinkTable
 from gorsethread.http1.asking import Answer, Asking
 from gorsethread.http1.bounds import Spoilt
@@ -213,7 +213,7 @@
             since = s.started_at_ms * 0.001 - self._clocks if s.started_at_ms > 0 else 0.0
             zone = self.naming.zones.get(s.zone, backend_number(s.zone))
             unready[number] = s.lifecycle != "ready"
-            entries.append((number, zone, s.cell, s.lifecycle == "ready", since))
+            entries.append(EndpointEntry(number, zone, s.cell, s.lifecycle == "ready", since))
         if whole:
             self.links.only(set(self.known))
             unready = {number: unready.get(number, True) for number in self.pool.links}
--- a/gorsethread/lab/alternate.py
+++ b/gorsethread/lab/alternate.py
@@ -27,12 +27,12 @@
 
     def _turn(self) -> None:
         honoured = self.head.driver.counts["honoured"] - self.honoured
-        on = self.head.driver.accounts is not None
+        on = self.head.driver.accounting.accounts is not None
         if honoured:
             self.stretches.append((on, honoured / (self.transport.now() - self.started)))
         # What is open at the turn is in neither; what waits to be counted is counted in the next with them.
         self.book.accounts = self.book.accounts.renewed(self.transport.now())
-        self.head.driver.accounts = None if on else self.book.accounts
+        self.head.driver.accounting.accounts = None if on else self.book.accounts
         self._begin()
 
     def figures(self) -> dict[str, Any]:
--- a/gorsethread/nvme_gateway/replay_receiver.py
+++ b/gorsethread/nvme_gateway/replay_receiver.py
@@ -8,7 +8,7 @@
 
 from gorsethread.durable_log.records import EFFECT, Tombstone, WriteApplied
 from gorsethread.durable_log.replication_messages import ProtocolError, encode
-from gorsethread.gateway.carrying import Placement
+from gorsethread.gateway.carrying import Extent, Placement
 from gorsethread.gateway.driver import Driver, Open
 from gorsethread.head.facts import Sorter, units_of
 from gorsethread.head.links import Order
@@ -235,7 +235,7 @@
             heads=len(v.head),
             repeat=m.attempt > 0,
             arrived=now,
-            place=(m.volume, extent),
+            place=Extent(m.volume, extent),
         )
 
     def _wrote(self, number: WriteNumber, answer: Answer, after: float) -> None:
--- a/tests/test_same_decisions.py
+++ b/tests/test_same_decisions.py
@@ -193,7 +193,7 @@
         driver.links.update(links)  # type: ignore[arg-type]
         driver.shards.update({0: 0, 1: 1})
         if accounts:
-            driver.accounts = Accounts([p.promised for p in site.profile], clock.time)
+            driver.accounting.accounts = Accounts([p.promised for p in site.profile], clock.time)
         clock.settle()
         driver.listed([(0, 0, 0, True, 0.0), (1, 0, 1, True, 0.0)], True, True)
         for step in range(600):
@@ -227,10 +227,10 @@
                         driver._ended(f, how, told_too)
         clock.move(clock.time + 3.0)
         self.assertEqual({}, driver.open, "every transaction has ended")
-        self.assertEqual({}, driver._placing)
-        if driver.accounts:
-            self.assertEqual(0, driver.accounts.open)
-            self.assertEqual(0, driver.accounts.window.remainders)
+        self.assertEqual({}, driver.first_writes.pending)
+        if driver.accounting.accounts:
+            self.assertEqual(0, driver.accounting.accounts.open)
+            self.assertEqual(0, driver.accounting.accounts.window.remainders)
         return told, [t[1:] for t in told if t[0] == "act"]
 
     def take(self, driver: Driver, chance: random.Random) -> None:
