--- a/gorsethread/faults/states.py
+++ b/gorsethread/faults/states.py
@@ -30,7 +30,7 @@
 }
 WEB_STATES: States = DECIDED | {
     "a connection comes up": lambda h: h.pool.held
-    > len(h.pool.busy) + sum(len(link.kept) for link in h.driver.links.values()),
+    > len(h.pool.busy) + sum(len(link.idle_connections) for link in h.driver.links.values()),
     "none is kept": lambda h: not h.pool.trust.holds(h.transport.now()),
     "the list is not followed": lambda h: h.discovery._stream is None,
 }
--- a/gorsethread/faults/webmutants.py
+++ b/gorsethread/faults/webmutants.py
@@ -9,9 +9,9 @@
 
 from gorsethread.faults.planting import kept_in, told_as
 from gorsethread.http1 import asking, serving
-from gorsethread.http_gateway import backends
-from gorsethread.http_gateway.listing import ListAnswer
-from gorsethread.http_gateway.program import Gateway
+from gorsethread.http_gateway import backend_link
+from gorsethread.http_gateway.endpoint_list import ListAnswer
+from gorsethread.http_gateway.gateway import Gateway
 from gorsethread.scheduling.model import AttemptOutcome, Backend
 
 Change = Callable[[Gateway], None]
@@ -19,9 +19,9 @@
 mutant = kept_in(WEB_MUTANTS)
 
 
-def _on_links(head: Gateway, change: Callable[[backends.BackendLink], None]) -> None:
+def _on_links(head: Gateway, change: Callable[[backend_link.BackendLink], None]) -> None:
     """Changes each link as it is made."""
-    links = head.discovery.links
+    links = head.discovery.updates.links
     honest = links._make
 
     def make(shelf: int, address: tuple[str, int]) -> Any:
@@ -65,15 +65,15 @@
 
 @mutant("shelves: a forward called off leaves its connection in use")
 def _keeps_called_off(head: Gateway) -> None:
-    def change(link: backends.BackendLink) -> None:
-        def cancel(f: Any) -> None:
-            connection = link.pool.busy.pop(f.request, None)
-            if connection is not None and connection.out is f:
-                connection.out = None
-                link.out -= 1
-                connection.asking.waiting = False
-                link._rest(connection)
-            link.end(f, AttemptOutcome.CANCELLED)
+    def change(link: backend_link.BackendLink) -> None:
+        def cancel(attempt: Any) -> None:
+            connection = link.pool.busy.pop(attempt.request, None)
+            if connection is not None and connection.attempt is attempt:
+                connection.attempt = None
+                link.attempts_out -= 1
+                connection.codec.waiting = False
+                link._keep_idle(connection)
+            link.end(attempt, AttemptOutcome.CANCELLED)
 
         link.cancel = cancel  # type: ignore[method-assign]
 
@@ -82,14 +82,14 @@
 
 @mutant("shelves: a connection that brought more than its answer is used again")
 def _uses_noisy(head: Gateway) -> None:
-    def change(link: backends.BackendLink) -> None:
+    def change(link: backend_link.BackendLink) -> None:
         honest = link._answered
 
         def answered(connection: Any, answer: asking.Answer) -> None:
             if answer.last and not connection.over:
                 # What a codec without the check would do: the bytes behind stand for the next answer.
-                more = connection.asking._wire.trailing_data[0]
-                connection.asking = _Stale(bytes(more))
+                more = connection.codec._wire.trailing_data[0]
+                connection.codec = _Stale(bytes(more))
                 answer = answer._replace(last=False)
             honest(connection, answer)
 
@@ -112,7 +112,7 @@
 
 @mutant("shelves: what broke is sent once more by the link itself")
 def _sends_again(head: Gateway) -> None:
-    def change(link: backends.BackendLink) -> None:
+    def change(link: backend_link.BackendLink) -> None:
         honest, again = link.end, set[int]()
 
         def end(f: Any, how: AttemptOutcome, *told: Any) -> None:
@@ -135,7 +135,7 @@
 
 @mutant("shelves: connections are not counted as they end")
 def _never_counts_down(head: Gateway) -> None:
-    def change(link: backends.BackendLink) -> None:
+    def change(link: backend_link.BackendLink) -> None:
         honest = link.lose
 
         def lose(connection: Any) -> Any:
@@ -157,12 +157,12 @@
             self.waiting = False
             return asking.Answer(200, [], body if split else head_, True)
 
-    def change(link: backends.BackendLink) -> None:
+    def change(link: backend_link.BackendLink) -> None:
         honest = link._submit
 
-        def submit(connection: Any, f: Any) -> None:
-            honest(connection, f)
-            connection.asking.__class__ = Trusting
+        def submit(connection: Any, attempt: Any) -> None:
+            honest(connection, attempt)
+            connection.codec.__class__ = Trusting
 
         link._submit = submit  # type: ignore[method-assign]
 
@@ -300,14 +300,14 @@
 
 @mutant("discovery: one change in three is passed over")
 def _skips_changes(head: Gateway) -> None:
-    honest, count = head.discovery._pass_on, [0]
+    honest, count = head.discovery.updates.apply, [0]
 
     def pass_on(instances: ListAnswer, whole: bool, remembered: bool) -> None:
         count[0] += 1
         if whole or count[0] % 3:
             honest(instances, whole, remembered)  # type: ignore[arg-type]
 
-    head.discovery._pass_on = pass_on  # type: ignore[method-assign, assignment]
+    head.discovery.updates.apply = pass_on  # type: ignore[method-assign, assignment]
 
 
 @mutant("signals: told to end, it ends at once")
@@ -376,7 +376,7 @@
 
 @mutant("lending: every head is each shelf's home")
 def _all_homes(head: Gateway) -> None:
-    head.driver.scheduler._home = lambda shard: head.configuration.facts.index  # type: ignore[method-assign]
+    head.driver.scheduler._home = lambda shard: head.configuration.scheduler_settings.index  # type: ignore[method-assign]
 
 
 @mutant("lending: each head takes all that a cold shelf bears")
--- a/gorsethread/faults/webworld.py
+++ b/gorsethread/faults/webworld.py
@@ -7,9 +7,14 @@
 from gorsethread.faults.script import Act
 from gorsethread.faults.states import WEB_STATES
 from gorsethread.faults.world import Remembering, Silent, World
-from gorsethread.http_gateway.config import read_configuration
-from gorsethread.http_gateway.discovery import backend_number
-from gorsethread.http_gateway.program import CLIENTS_PART, KILL_AFTER, LONGEST_COUNTED, Gateway
+from gorsethread.http_gateway.configuration import read_configuration
+from gorsethread.http_gateway.endpoint_list import backend_number
+from gorsethread.http_gateway.gateway import (
+    CLIENTS_PART,
+    KILL_AFTER_SECONDS,
+    LONGEST_WAIT_COUNTED_SECONDS,
+    Gateway,
+)
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.sitefile.reading import split_address
 from gorsethread.standins.web.backend import WebShelf
@@ -138,7 +143,10 @@
         elif act.kind == "term":
             process.on_terminate(lambda: process.spawn(self._ending(act, head)))
             process.terminate()
-            longest = min(max(p.cut_off for p in self.site.profile), LONGEST_COUNTED) + KILL_AFTER
+            longest = (
+                min(max(p.cut_off for p in self.site.profile), LONGEST_WAIT_COUNTED_SECONDS)
+                + KILL_AFTER_SECONDS
+            )
             self.loop.call_later(longest, self._killed, act, process)
         elif act.kind == "rude":
             rude = self._process("rude")
@@ -203,14 +211,14 @@
         """Each connection counted is one that is kept, carries a forward or comes up, and none carries a
         forward that no transaction owns."""
         pool, driver = head.pool, head.driver
-        kept = sum(len(link.kept) for link in driver.links.values())
+        kept = sum(len(link.idle_connections) for link in driver.links.values())
         if not 0 <= kept + len(pool.busy) <= pool.held <= pool.most:
             self._defect(
                 f"connections do not add up: head {number}: held {pool.held} of {pool.most}, kept "
                 f"{kept}, busy {len(pool.busy)}"
             )
         for connection in pool.busy.values():
-            f = connection.out
+            f = connection.attempt
             t = driver.open.get(f.request) if f is not None else None
             if f is not None and not f.over and (t is None or t.out.get(f.number) is not f):
                 self._defect(f"forward without an owner: head {number}, shelf {connection.link.host}")
--- /dev/null
+++ b/gorsethread/http_gateway/backend_connection.py
@@ -0,0 +1,87 @@
+"""One connection to a backend: a request written, the bytes that follow read as its answer."""
+
+from typing import NamedTuple, Protocol
+
+from gorsethread.gateway.carrying import Attempt
+from gorsethread.http1.asking import Answer, Asking
+from gorsethread.http1.bounds import Headers
+from gorsethread.transport.base import Stream, StreamEnded, Timer
+
+DEADLINE_HEADER = b"req-deadline-ms"  # the operators' name: milliseconds that the client still waits
+MILLISECOND = 0.001  # seconds
+
+
+class OutgoingRequest(NamedTuple):
+    """An attempt's payload: what the client sent, passed on unchanged.
+
+    deadline is in seconds of the transport's clock.
+    """
+
+    method: bytes
+    target: bytes
+    headers: Headers
+    body: bytes
+    deadline: float
+
+
+class ConnectionOwner(Protocol):
+    """What the pool needs of the link that a connection belongs to."""
+
+    position: int
+
+    def lose(self, connection: "BackendConnection") -> Attempt | None:
+        """Closes the connection and returns the attempt that was in flight on it."""
+        ...
+
+
+class BackendConnection:
+    """One connection and the attempt in flight on it.
+
+    Owns its codec and the timer that waits for the end of an answer without a length; both go with the
+    connection. over: it is closed or not used any more. idle_since is in seconds of the transport's clock.
+    """
+
+    __slots__ = ("attempt", "codec", "end_timer", "idle_since", "link", "over", "stream", "uses")
+
+    def __init__(self, link: ConnectionOwner, stream: Stream) -> None:
+        self.link = link
+        self.stream = stream
+        self.over = False
+        self.codec = Asking()
+        self.attempt: Attempt | None = None
+        self.idle_since = 0.0
+        self.uses = 0
+        self.end_timer: Timer | None = None
+
+    def write(self, host: bytes, outgoing: OutgoingRequest, now: float) -> None:
+        """Writes a request with the time that its client still waits, at least one millisecond."""
+        left = max(1, round((outgoing.deadline - now) / MILLISECOND))
+        headers = [(b"host", host), *outgoing.headers, (DEADLINE_HEADER, b"%d" % left)]
+        self.stream.write(self.codec.request(outgoing.method, outgoing.target, headers, outgoing.body))
+
+    async def read(self) -> Answer | None:
+        """Reads once and returns the answer where that completed it.
+
+        Raises StreamClosed where the connection ended without completing an answer, Spoilt where the bytes
+        are no answer.
+        """
+        try:
+            data = await self.stream.read()
+        except StreamEnded:
+            answer = None if self.over else self.codec.ended()
+            if answer is None:
+                raise
+            return answer
+        if self.over:
+            return None
+        return self.codec.feed(data)
+
+    def close(self) -> bool:
+        """Closes the connection for good; whether it was still open."""
+        if self.end_timer is not None:
+            self.end_timer.cancel()
+        if self.over:
+            return False
+        self.over = True
+        self.stream.close()
+        return True
--- a/gorsethread/http_gateway/discovery.py
+++ b/gorsethread/http_gateway/discovery.py
@@ -1,223 +1,211 @@
-"""Follows discovery by its watch; a failed call is told to the decisions, which say when to ask again."""
+"""Follows discovery's endpoint list by a watch; the scheduler says when to try again after a failure."""
 
 from collections.abc import Callable
-from hashlib import blake2b
 from typing import Any
 
-import msgspec
-
-from gorsethread.errors import GorsethreadError
-from gorsethread.gateway.driver import Driver
-from gorsethread.gateway.linktable import LinkTable
 from gorsethread.http1.asking import Answer, Asking
 from gorsethread.http1.bounds import Spoilt
-from gorsethread.http_gateway.config import Address, Naming, Unusable, address_of
-from gorsethread.http_gateway.listing import Instance, ListAnswer
-from gorsethread.http_gateway.pool import ConnectionPool
+from gorsethread.http_gateway.addresses import Address
+from gorsethread.http_gateway.endpoint_list import DiscoveryError, ListAnswer, decode_list
+from gorsethread.http_gateway.endpoint_updates import EndpointUpdates
 from gorsethread.transport.base import Stream, StreamClosed, StreamEnded, Transport, Unreachable
 
-CONNECT_WITHIN = 2.0  # seconds: a system that got no answer asks for a connection again after one
-SPACED = 0.1  # seconds between calls that bring nothing new; a watch goes on for twice as long
-# Of the longest that a call may wait: each is drawn, or the calls of all gateways, which a change of the list
-# answers at once, stay in step, and where all fall silent all gateways notice in one moment.
-SHORTEST_WAIT = 0.5
-# Seconds from a call's beginning, its connection's coming up among them, to its answer. A crowded service
-# answers a second or two behind a call's wait; a silent one has to show early enough for the next call.
-CALL_WITHIN = 4.2
-NO_WAIT = 0.001  # seconds that a call waits which is to be answered at once
-
-
-class Failed(GorsethreadError):
-    """A call brought nothing that can be believed."""
-
-    action = "See what discovery answers at its address; the head keeps the list it has and asks again."
-
-
-def backend_number(instance: str) -> int:
-    """The same at every gateway and after every restart, as the decisions rank backends by it."""
-    return int.from_bytes(blake2b(instance.encode(), digest_size=7).digest())
-
-
-async def read_answer(stream: Stream, asking: Asking) -> Answer:
-    """The answer to what was asked on that stream, also one that ends with its connection."""
+LIST_PATH = b"/v1/servers"  # the operators' name
+CONNECT_TIMEOUT_SECONDS = 2.0  # a system that got no answer asks for a connection again after one
+SPACING_SECONDS = 0.1  # between calls that bring nothing new; a watch goes on for twice as long
+# Of the longest that a call may wait. Each wait is drawn: a change of the list answers the calls of all
+# gateways at once, which would stay in step from then on.
+SHORTEST_WAIT_PART = 0.5
+# From a call's beginning, its connection's coming up included, to its answer. A crowded service answers a
+# second or two behind a call's wait; a silent one has to show early enough for the next call.
+CALL_TIMEOUT_SECONDS = 4.2
+NO_WAIT_SECONDS = 0.001  # that a call waits which is to be answered at once
+REASON_LENGTH_MOST = 200  # characters of a reason that is logged
+LOGGED_BACKENDS_MOST = 20
+
+
+async def read_answer(stream: Stream, codec: Asking) -> Answer:
+    """The answer to the request written on that stream, also one that ends with its connection."""
     answer: Answer | None = None
     while answer is None:
         try:
-            answer = asking.feed(await stream.read())
+            answer = codec.feed(await stream.read())
         except StreamEnded:
-            answer = asking.ended()
+            answer = codec.ended()
             if answer is None:
                 raise
     return answer
 
 
 class Discovery:
-    """wait: seconds that a call may wait for news at most. driver and pool are set before start()."""
+    """Keeps one watch open and applies its answers.
+
+    Owns the watch's connection, closed as the watch fails, moves or stops.
+
+    Args:
+        transport: the clock, the connections and the draws.
+        address: where discovery is.
+        updates: what applies the lists; set up before start().
+        wait: seconds that a call may wait for a change at most.
+        log: for structured events.
+    """
 
     def __init__(
-        self, transport: Transport, address: Address, naming: Naming, links: LinkTable, wait: float, log: Any
+        self, transport: Transport, address: Address, updates: EndpointUpdates, wait: float, log: Any
     ) -> None:
-        self.transport, self.address, self.naming, self.links = transport, address, naming, links
-        self.wait, self.log, self.chance = wait, log, transport.chance("discovery")
-        self.driver: Driver
-        self.pool: ConnectionPool
+        self.transport = transport
+        self.address = address
+        self.updates = updates
+        self.wait = wait
+        self.log = log
+        self.chance = transport.chance("discovery")
         self.version = 0
-        self.known: dict[int, Instance] = {}  # emptied as backends leave the list
-        # Between the Unix clock, which discovery tells starts by, and the gateway's: fixed, so that one start
-        # told twice is one start.
-        self._clocks = transport.wall() - transport.now()
-        self._stream: Stream | None = None
-        self._asking = False
+        self.stopped = False
         # Called once, at the first answer or failure. None: nobody waits for that, or no more.
         self.first_call_over: Callable[[], None] | None = None
+        self._stream: Stream | None = None
+        self._watching = False
         self._call_began = 0.0
-        self._whole = False  # the next call asks for the whole list
+        self._needs_complete = False  # the next call asks for the complete list
         self._moved = False
-        self._heard = False  # an answer on the watch that is open
-        self.stopped = False
+        self._answered = False  # an answer came on the watch that is open
 
     def start(self, known: ListAnswer) -> None:
-        """known: the list as this process last had it; changes build on it only where it was whole."""
+        """Begins with the list as this process last had it; changes build on it only if it was complete."""
         self.version = known.generation
-        self._whole = not known.reset
-        self._pass_on(known.instances, True, True)
+        self._needs_complete = not known.reset
+        self.updates.apply(known.instances, True, True)
 
     def follow(self) -> None:
-        """The decisions ask for the list and its changes; a failure comes back to them as a refusal."""
-        if not self._asking and not self.stopped:
-            self._asking = True
+        """The scheduler asks for the list and its changes; a failure is returned to it as a refusal."""
+        if not self._watching and not self.stopped:
+            self._watching = True
             self.transport.spawn(self._follow())
 
     def moved(self, address: Address) -> None:
         """Discovery is at another address now: the watch goes on there at once."""
         self.address = address
-        # Refusals by the old service say nothing of the new one, and would lengthen the pause if it fails.
-        self.driver.listed([], False, False)
-        if self._asking:
+        # Refusals by the old service say nothing of the new one, and would lengthen the backoff if it fails.
+        self.updates.driver.listed([], False, False)
+        if self._watching:
             self._moved = True
-            self._end_call()
+            self._close_stream()
         else:
             self.follow()
 
     def stop(self) -> None:
+        """Ends the watch for good."""
         self.stopped = True
-        self._end_call()
+        self._close_stream()
 
-    def _first_call_is_over(self) -> None:
-        waiting, self.first_call_over = self.first_call_over, None
+    def _end_first_call(self) -> None:
+        waiting = self.first_call_over
+        self.first_call_over = None
         if waiting is not None:
             waiting()
 
-    def _end_call(self) -> None:
+    def _close_stream(self) -> None:
         if self._stream is not None:
             self._stream.close()
 
     async def _follow(self) -> None:
+        """Watches until a failure, which the scheduler hears of; goes on at once where discovery moved."""
         while not self.stopped:
             self._moved = False
             try:
                 await self._watch()
-            except (Unreachable, StreamClosed, Spoilt, Failed) as error:
+            except (Unreachable, StreamClosed, Spoilt, DiscoveryError) as error:
                 if self._moved:
                     continue
-                self._asking = False
-                if not self.stopped:
-                    if not self._whole:  # else what is known is asked for once more, and whole
-                        self._first_call_is_over()
-                    self.log.info("the list is not followed", reason=str(error)[:200])
-                    self.driver.list_refused(self.transport.now() - self._call_began)
+                self._watch_failed(str(error))
                 return
             finally:
-                self._end_call()
+                self._close_stream()
                 self._stream = None
 
+    def _watch_failed(self, reason: str) -> None:
+        self._watching = False
+        if self.stopped:
+            return
+        if not self._needs_complete:  # else the list is asked for once more, and complete
+            self._end_first_call()
+        self.log.info("endpoint list watch failed", reason=reason[:REASON_LENGTH_MOST])
+        self.updates.driver.list_refused(self.transport.now() - self._call_began)
+
     async def _watch(self) -> None:
         """One call after the other on one connection, until one fails."""
         address = self.address
         self._call_began = self.transport.now()
-        stream = self._stream = await self.transport.connect(*address, CONNECT_WITHIN)
-        self.log.info("the list is watched", since=self.version)
-        self._heard = False
-        asking = Asking()
+        stream = await self._connect(address)
+        self.log.info("endpoint list watch begins", since=self.version)
+        self._answered = False
+        codec = Asking()
         while not self.stopped and address == self.address:
-            target = b"/v1/servers"
-            wait = self.chance.uniform(SHORTEST_WAIT, 1.0) * self.wait
-            if self.first_call_over is not None:
-                wait = NO_WAIT  # what is known already is asked for, not what comes
-            if not self._whole:
-                target += b"?since=%d&timeout_ms=%d" % (self.version, round(wait * 1000))
-            host = f"{address[0]}:{address[1]}".encode()
-            stream.write(asking.request(b"GET", target, [(b"host", host)], b""))
-            # Guards against a machine that vanished without a word: the gateway would be deaf to drains.
-            timer = self.transport.at(self._call_began + CALL_WITHIN, stream.close)
-            try:
-                answer = await read_answer(stream, asking)
-            finally:
-                timer.cancel()
+            answer = await self._call(stream, codec, address)
             if address != self.address:
-                return  # the old service still spoke in the turn in which the watch was moved
-            if not self._take(answer) and self.transport.now() < self._call_began + SPACED:
-                # Guards against a service that answers at once with nothing new; the watch still goes on.
-                await self.transport.sleep(SPACED)
+                return  # the old service still answered as the watch was moved
+            if not self._take(answer) and self.transport.now() < self._call_began + SPACING_SECONDS:
+                # A service that answers at once with nothing new must not be asked without a pause.
+                await self.transport.sleep(SPACING_SECONDS)
             self._call_began = self.transport.now()
             if answer.last:
                 stream.close()
-                stream = self._stream = await self.transport.connect(*address, CONNECT_WITHIN)
-                asking = Asking()
+                stream = await self._connect(address)
+                codec = Asking()
+
+    async def _connect(self, address: Address) -> Stream:
+        stream = await self.transport.connect(*address, CONNECT_TIMEOUT_SECONDS)
+        self._stream = stream
+        return stream
+
+    async def _call(self, stream: Stream, codec: Asking, address: Address) -> Answer:
+        host = f"{address[0]}:{address[1]}".encode()
+        stream.write(codec.request(b"GET", self._target(), [(b"host", host)], b""))
+        # A machine that vanished sends no end: the gateway would hear of no drain.
+        timer = self.transport.at(self._call_began + CALL_TIMEOUT_SECONDS, stream.close)
+        try:
+            return await read_answer(stream, codec)
+        finally:
+            timer.cancel()
+
+    def _target(self) -> bytes:
+        wait = self.chance.uniform(SHORTEST_WAIT_PART, 1.0) * self.wait
+        if self.first_call_over is not None:
+            wait = NO_WAIT_SECONDS  # asks for what is known already, not for what comes
+        if self._needs_complete:
+            return LIST_PATH
+        return LIST_PATH + b"?since=%d&timeout_ms=%d" % (self.version, round(wait * 1000))
 
     def _take(self, answer: Answer) -> bool:
-        """Whether it was news."""
+        """Believes an answer and applies it; whether it brought a new version.
+
+        Raises DiscoveryError where it can't be believed.
+        """
         if answer.status != 200:
-            raise Failed(f"status {answer.status}")
-        try:
-            told: ListAnswer = msgspec.json.decode(answer.body, type=ListAnswer)
-            for s in told.instances:
-                address_of(s.host_port, s.instance_id)
-        except (msgspec.DecodeError, Unusable) as error:
-            raise Failed(str(error)) from None
-        if told.generation < self.version and not self._whole:
-            # Older than what is known: nothing of it is believed, but if the service counts anew since it
-            # came back, the whole list asked for next says so.
-            self._whole = True
-            raise Failed(f"generation {told.generation} after {self.version}")
-        if not told.reset and self._whole:
-            raise Failed("changes in place of the whole list")
-        news = told.generation != self.version
-        self._whole = False
-        self.version = told.generation
-        # The decisions are told that a watch stands also where it brings nothing new: else they would go on
-        # counting refusals of long ago, and wait after the next silence as after many.
-        if told.instances or told.reset or not self._heard:
-            self._heard = True
+            raise DiscoveryError(f"status {answer.status}")
+        listed = decode_list(answer.body)
+        self._check_version(listed)
+        changed = listed.generation != self.version
+        self._needs_complete = False
+        self.version = listed.generation
+        # The scheduler is notified also of the first answer without changes, which ends its backoff.
+        if listed.instances or listed.reset or not self._answered:
+            self._answered = True
             self.log.info(
-                "list",
-                generation=told.generation,
-                whole=told.reset,
-                backends={s.instance_id: s.lifecycle for s in told.instances[:20]},
+                "endpoint list",
+                generation=listed.generation,
+                complete=listed.reset,
+                backends={one.instance_id: one.lifecycle for one in listed.instances[:LOGGED_BACKENDS_MOST]},
             )
-            self._pass_on(told.instances, told.reset, False)
-        self._first_call_is_over()
-        return news
-
-    def _pass_on(self, instances: list[Instance], whole: bool, remembered: bool) -> None:
-        if whole:
-            self.known = {}
-        entries, unready = [], {}
-        for s in instances:
-            number = backend_number(s.instance_id)
-            if s.lifecycle == "gone":
-                self.known.pop(number, None)
-            else:
-                self.known[number] = s
-            self.links.listed(number, s.cell, address_of(s.host_port, s.instance_id), s.lifecycle)
-            since = s.started_at_ms * 0.001 - self._clocks if s.started_at_ms > 0 else 0.0
-            zone = self.naming.zones.get(s.zone, backend_number(s.zone))
-            unready[number] = s.lifecycle != "ready"
-            entries.append((number, zone, s.cell, s.lifecycle == "ready", since))
-        if whole:
-            self.links.only(set(self.known))
-            unready = {number: unready.get(number, True) for number in self.pool.links}
-        else:
-            self.links.forget_idle()
-        self.pool.withdraw(unready)
-        self.driver.listed(entries, whole, remembered)
+            self.updates.apply(listed.instances, listed.reset, False)
+        self._end_first_call()
+        return changed
+
+    def _check_version(self, listed: ListAnswer) -> None:
+        if listed.generation < self.version and not self._needs_complete:
+            # Older than what is known. If the service counts anew since it came back, the complete list that
+            # is asked for next shows it.
+            self._needs_complete = True
+            raise DiscoveryError(f"generation {listed.generation} after {self.version}")
+        if not listed.reset and self._needs_complete:
+            raise DiscoveryError("changes in place of the complete list")
--- /dev/null
+++ b/gorsethread/http_gateway/request_parsing.py
@@ -0,0 +1,115 @@
+"""A client's request as the operators' protocol has it; anything missing or invalid is an error."""
+
+import re
+from typing import NamedTuple
+
+from gorsethread.http1.bounds import Unreadable
+from gorsethread.http1.serving import Request
+from gorsethread.http_gateway.configuration import RequestNames
+
+# Headers and the parts of io-info, by the operators' names.
+ID_HEADER = b"req-id"
+TIER_HEADER = b"tier"
+TIMEOUT_HEADER = b"req-deadline-ms"
+INFO_HEADER = b"io-info"
+RETRY_HEADER = b"req-retry"
+INFO_VOLUME = b"volume"
+INFO_UNITS = b"units"
+INFO_SHARD = b"shard"
+INFO_GATEWAYS = b"hosts"
+FORWARDED_HEADERS = (ID_HEADER, TIER_HEADER, INFO_HEADER, RETRY_HEADER, b"content-type")
+
+ID = re.compile(rb"[0-9a-fA-F]{16}")
+TARGET = re.compile(rb"/([^/?#]+)/(?:[^?#]*/)?([0-9a-fA-F]{16})(?:\?[^#]*)?")
+TIMEOUT = re.compile(rb"[0-9]{1,7}")
+INFO = re.compile(rb"[0-9A-Za-z_]+=[^=,]*(?:,[0-9A-Za-z_]+=[^=,]*)*")
+INTEGER = re.compile(rb"-?[0-9]{1,9}")
+GATEWAYS_MOST = 100_000
+QUOTED_MOST = 20  # bytes of a wrong value that an error quotes
+
+
+class RequestFields(NamedTuple):
+    """What a request says; timeout is in seconds from when the client sent it."""
+
+    id: bytes
+    request_class: int
+    service_tier: int
+    key: str
+    timeout: float
+    volume: str
+    units: float
+    shard: int
+    gateways: int
+    repeat: bool
+
+
+def parse_request(request: Request, names: RequestNames) -> RequestFields:
+    """What a valid request says.
+
+    Raises Unreadable, with the status to answer, for anything missing, doubled, unknown or out of bounds.
+    """
+    request_class, key = _parse_target(request, names)
+    request_id = _header(request, ID_HEADER)
+    if not ID.fullmatch(request_id):
+        raise Unreadable(400, "no id")
+    service_tier = names.service_tiers.get(_header(request, TIER_HEADER))
+    if service_tier is None:
+        raise Unreadable(400, "no such service tier")
+    timeout = _header(request, TIMEOUT_HEADER)
+    if not TIMEOUT.fullmatch(timeout) or int(timeout) == 0:
+        raise Unreadable(400, "no deadline")
+    info = _parse_info(_header(request, INFO_HEADER))
+    volume = info.get(INFO_VOLUME, b"")
+    if not ID.fullmatch(volume):
+        raise Unreadable(400, "no volume")
+    return RequestFields(
+        request_id,
+        request_class,
+        service_tier,
+        key,
+        int(timeout) * 0.001,
+        volume.decode(),
+        float(_integer(info, INFO_UNITS, 1, names.units_most)),
+        _integer(info, INFO_SHARD, -1, names.shards - 1),
+        _integer(info, INFO_GATEWAYS, 1, GATEWAYS_MOST),
+        request.one(RETRY_HEADER) == b"1",
+    )
+
+
+def _parse_target(request: Request, names: RequestNames) -> tuple[int, str]:
+    """The request class and the idempotency key, by method and path."""
+    if request.method not in (b"GET", b"PUT"):
+        raise Unreadable(405, "neither GET nor PUT")
+    target = TARGET.fullmatch(request.target)
+    if target is None:
+        raise Unreadable(404, "no such path")
+    request_class = names.request_classes.get(target[1])
+    if request_class is None:
+        raise Unreadable(404, "no such request class")
+    if request.method == b"GET" and request.body:
+        raise Unreadable(400, "a GET with a body")
+    return request_class, target[2].decode()
+
+
+def _header(request: Request, name: bytes) -> bytes:
+    value = request.one(name)
+    if value is None:
+        raise Unreadable(400, f"no {name.decode()}")
+    return value
+
+
+def _parse_info(text: bytes) -> dict[bytes, bytes]:
+    if not INFO.fullmatch(text):
+        raise Unreadable(400, "io-info can't be read")
+    parts = [part.split(b"=") for part in text.split(b",")]
+    info = dict[bytes, bytes](parts)
+    if len(info) < len(parts):
+        raise Unreadable(400, "io-info has one field twice")
+    return info
+
+
+def _integer(info: dict[bytes, bytes], name: bytes, least: float, most: float) -> int:
+    value = info.get(name, b"")
+    if not INTEGER.fullmatch(value) or not least <= int(value) <= most:
+        raise Unreadable(400, f"{name.decode()} is {value[:QUOTED_MOST]!r}")
+    return int(value)
--- a/tests/crossing/rig.py
+++ b/tests/crossing/rig.py
@@ -364,7 +364,7 @@
         self.discovery = Discovery(self, instances)
         self.configuration = self.config(self.discovery, instances, **settings)
         self.gateway = GatewayProcess(self, self.configuration, plant)
-        self.gateway.logged("the list is watched")
+        self.gateway.logged("endpoint list watch begins")
         return self.gateway
 
     def client(self, receive_buffer: int = 0) -> Peer:
--- a/tests/crossing/test_backends.py
+++ b/tests/crossing/test_backends.py
@@ -36,7 +36,7 @@
             with self.subTest(state=state):
                 self.begin()
                 self.discovery.tell(self.instance(0, self.backend, state))
-                self.gateway.logged('"list"', f'"s-0": "{state}"')
+                self.gateway.logged('"endpoint list"', f'"s-0": "{state}"')
                 late = self.backend.let_in()
                 self.assertIn(self.asker.message().status, (503, 504))
                 late.socket.settimeout(0.3)
@@ -47,7 +47,7 @@
         self.begin()
         moved = Server(self)
         self.discovery.tell(self.instance(0, moved))
-        self.gateway.logged('"list"', '"generation": 2')
+        self.gateway.logged('"endpoint list"', '"generation": 2')
         late = self.backend.let_in()
         new = moved.accept()
         self.assertIn("a1", new.message().headers["req-id"])
@@ -102,14 +102,14 @@
     SLACK = 0.05  # seconds by which the platform lengthens each time limit on sockets
     HELD_UP = """
 import time
-from gorsethread.http_gateway import backends, discovery
+from gorsethread.http_gateway import backend_link, discovery
 def held_up(honest):
     def late(*arguments):
         time.sleep(0.15)
         return honest(*arguments)
     return late
 discovery.Discovery._take = held_up(discovery.Discovery._take)
-backends.BackendLink._submit = held_up(backends.BackendLink._submit)
+backend_link.BackendLink._submit = held_up(backend_link.BackendLink._submit)
 """
 
     def test_nothing_new_is_written_to_a_draining_backend_past_the_grace(self) -> None:
@@ -121,7 +121,7 @@
         told_at = time.monotonic()
         self.discovery.tell(self.instance(0, backend, "draining"))
         # Heard 0.15 s later; a request decided then and held up as long is written past the grace.
-        self.gateway.logged('"list"', '"s-0": "draining"')
+        self.gateway.logged('"endpoint list"', '"s-0": "draining"')
         self.ask(wish("d2"))
         try:
             backend.next_request(within=0.5)
--- a/tests/crossing/test_clients.py
+++ b/tests/crossing/test_clients.py
@@ -8,8 +8,8 @@
 import time
 from pathlib import Path
 
-from gorsethread.http_gateway.config import read_configuration
-from gorsethread.http_gateway.program import Gateway
+from gorsethread.http_gateway.configuration import read_configuration
+from gorsethread.http_gateway.gateway import Gateway
 from gorsethread.logs import log_for, start_logs
 from gorsethread.transport.real import RealTransport
 from tests.crossing.rig import (
--- a/tests/crossing/test_discovery.py
+++ b/tests/crossing/test_discovery.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 from typing import Any
 
-from gorsethread.http_gateway.config import read_configuration
-from gorsethread.http_gateway.program import Gateway
+from gorsethread.http_gateway.configuration import read_configuration
+from gorsethread.http_gateway.gateway import Gateway
 from gorsethread.logs import log_for, start_logs
 from gorsethread.scheduling.model import SchedulerSettings, SlowStartRule
 from gorsethread.scheduling.scheduler import Scheduler
@@ -69,7 +69,7 @@
         # What the old watch says now is not heard: its connection has ended.
         self.assertTrue(watch.ends())
         again.send(self.said(2, False, self.instance(0, self.backends[0], "draining")))
-        self.gateway.logged('"list"', '"generation": 2')
+        self.gateway.logged('"endpoint list"', '"generation": 2')
 
     def test_an_older_list_after_a_newer_is_not_believed_but_asked_for_whole(self) -> None:
         watch = self.begin()
@@ -80,7 +80,7 @@
         self.assertNotIn("since", again.message().target)
         self.is_served(0)
         again.send(self.said(6, True, *self.known))
-        self.gateway.logged('"list"', '"generation": 6')
+        self.gateway.logged('"endpoint list"', '"generation": 6')
         self.is_served(1)
 
     def test_a_process_that_was_told_no_list_asks_for_the_whole_one(self) -> None:
@@ -99,7 +99,7 @@
                 gone = {**self.known[0], "lifecycle": "gone"}
                 back = {**self.known[0], "instanceId": "s-new"}
                 watch.send(self.said(2, False, *((gone, back) if gone_first else (back, gone))))
-                self.gateway.logged('"list"', '"generation": 2')
+                self.gateway.logged('"endpoint list"', '"generation": 2')
                 self.is_served(0)
 
     def test_a_reload_moves_the_watch_while_the_old_one_is_silent(self) -> None:
@@ -109,7 +109,7 @@
         told = time.monotonic()
         self.gateway.signal(signal.SIGHUP)
         moved.tell(self.instance(0, self.backends[0], "draining"))
-        self.gateway.logged('"list"', '"generation": 8')
+        self.gateway.logged('"endpoint list"', '"generation": 8')
         self.assertLess(time.monotonic() - told, 1.0)
         self.assertTrue(self.watch.ends())
 
@@ -123,9 +123,9 @@
         self.gateway.signal(signal.SIGCONT)
         self.gateway.logged("configuration read again")
         moved.tell(self.instance(1, self.backends[1], "draining"))
-        self.gateway.logged('"list"', '"s-1": "draining"')
+        self.gateway.logged('"endpoint list"', '"s-1": "draining"')
         reload = self.gateway.lines("configuration read again")[0]
-        self.assertFalse([n for n in self.gateway.lines('"list"', '"generation": 50') if n > reload])
+        self.assertFalse([n for n in self.gateway.lines('"endpoint list"', '"generation": 50') if n > reload])
 
     def test_idle_clients_in_every_descriptor_keep_no_call_from_discovery(self) -> None:
         watch = self.begin()
@@ -138,7 +138,7 @@
         again = self.service.accept()
         again.message()
         again.send(self.said(2, False, self.instance(0, self.backends[0], "draining")))
-        self.gateway.logged('"list"', '"generation": 2')
+        self.gateway.logged('"endpoint list"', '"generation": 2')
         self.is_served(1)
 
 
@@ -230,7 +230,7 @@
             wait = int(target.rpartition("=")[2]) / 1000
             self.assertTrue(self.stays_open(self.watch, wait + self.CROWDED), "given up too early")
             self.watch.send(self.said(generation, False, self.instance(0, self.backends[0], "draining")))
-            self.gateway.logged('"list"', f'"generation": {generation}')
+            self.gateway.logged('"endpoint list"', f'"generation": {generation}')
 
     def test_a_whole_list_that_comes_late_is_waited_for_and_believed(self) -> None:
         self.begin()
@@ -242,7 +242,7 @@
         self.assertEqual("/v1/servers", again.message().target)
         self.assertTrue(self.stays_open(again, self.CROWDED), "given up too early")
         again.send(self.said(3, True, self.known[1]))
-        self.gateway.logged('"list"', '"generation": 3')
+        self.gateway.logged('"endpoint list"', '"generation": 3')
 
     def test_however_many_calls_hang_the_next_is_answered_before_what_it_brings_counts_as_told(self) -> None:
         self.begin(self.LONGEST_PAUSES)
@@ -283,7 +283,7 @@
             transport.at(transport.now(), lambda: head.discovery.moved((HOST, new.port)))
             await transport.sleep(0.1)
             self.assertEqual(1, head.discovery.version)
-            self.assertEqual(2, len(head.discovery.known))
+            self.assertEqual(2, len(head.discovery.updates.known))
             self.assertIn("since=1&", new.accept().message().target)
             await transport.end()
 
--- a/tests/crossing/test_large_fleet.py
+++ b/tests/crossing/test_large_fleet.py
@@ -82,7 +82,7 @@
         configuration["listen"] = f"{HOST}:{free_ports(1)[0]}"
         configuration["limits"] = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
         self.gateway = GatewayProcess(self, configuration)
-        self.gateway.logged("the list is watched")
+        self.gateway.logged("endpoint list watch begins")
         before = self.cpu_seconds()
         served = self.play(backends)
         process = Path(f"/proc/{self.gateway.process.pid}")
--- a/tests/crossing/test_settings.py
+++ b/tests/crossing/test_settings.py
@@ -96,10 +96,10 @@
 
     def test_a_reload_that_changes_nothing_leaves_the_watch_alone(self) -> None:
         self.start(Server(self))
-        calls = len(self.gateway.lines("the list is watched"))
+        calls = len(self.gateway.lines("endpoint list watch begins"))
         self.reload()
         began = time.monotonic()
         self.discovery.tell(self.instance(0, self.backends[0], "draining"))
-        self.gateway.logged('"list"', '"s-0": "draining"')
+        self.gateway.logged('"endpoint list"', '"s-0": "draining"')
         self.assertLess(time.monotonic() - began, 1.0)
-        self.assertEqual(calls, len(self.gateway.lines("the list is watched")))
+        self.assertEqual(calls, len(self.gateway.lines("endpoint list watch begins")))
--- a/tests/live.py
+++ b/tests/live.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from gorsethread.http1.serving import Request, Serving
-from gorsethread.http_gateway.config import read_configuration
-from gorsethread.http_gateway.program import Gateway
+from gorsethread.http_gateway.configuration import read_configuration
+from gorsethread.http_gateway.gateway import Gateway
 from gorsethread.logs import log_for, start_logs
 from gorsethread.transport.base import Stream, StreamClosed
 from gorsethread.transport.virtual import Disk, Network, VirtualLoop, VirtualTransport, Weather
--- a/tests/test_harness.py
+++ b/tests/test_harness.py
@@ -98,7 +98,7 @@
 STAMPEDE = 0.5  # of the heads whose first calls come in one moment
 DEAF = """
 from gorsethread.http_gateway import discovery
-discovery.CALL_WITHIN = 60.0
+discovery.CALL_TIMEOUT_SECONDS = 60.0
 """
 
 
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -302,7 +302,7 @@
 class Lean(unittest.TestCase):
     def test_run_loads_nothing_of_it(self) -> None:
         code = (
-            "import sys, gorsethread.http_gateway.program\n"
+            "import sys, gorsethread.http_gateway.gateway\n"
             "print([m for m in sys.modules if m.startswith(('gorsethread.durable_log', 'google_crc32c',"
             " 'gorsethread.recovery', 'concurrent.futures.thread', 'gorsethread.nvme_gateway.replicated_log',"
             " 'gorsethread.offline_writes', 'gorsethread.nvme_gateway.branching',"
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -18,7 +18,8 @@
 from gorsethread.faults.coldpart import Falls
 from gorsethread.gateway.messages import SENT_MOST, Messages
 from gorsethread.harness.processes import Processes
-from gorsethread.http_gateway.config import Configuration, Unusable, read_configuration
+from gorsethread.http_gateway.addresses import UnusableConfigurationError
+from gorsethread.http_gateway.configuration import Configuration, read_configuration
 from gorsethread.lab.allseeing import EvenParts
 from gorsethread.lab.crowd.day import Scene, draw
 from gorsethread.lab.crowd.score import Score
@@ -533,19 +534,22 @@
 
     def test_messages_need_the_settings_leave_and_addresses(self) -> None:
         addresses = {"peer_listen": "127.0.0.1:7946", "peers": ["127.0.0.1:7946"]}
-        self.assertTrue(self.read(**addresses).facts.may_tell)
+        self.assertTrue(self.read(**addresses).scheduler_settings.may_tell)
         self.assertEqual((("127.0.0.1", 7946),), self.read(**addresses).peers)
-        self.assertFalse(self.read(False, **addresses).facts.may_tell)
-        self.assertFalse(self.read().facts.may_tell)
+        self.assertFalse(self.read(False, **addresses).scheduler_settings.may_tell)
+        self.assertFalse(self.read().scheduler_settings.may_tell)
 
     def test_a_list_of_peers_that_does_not_fit_is_named(self) -> None:
         for index, peers, says in (
-            (0, ["a:1", "b:2"], "2 different addresses for 1 heads"),
+            (0, ["a:1", "b:2"], "2 different addresses for 1 gateways"),
             (0, ["x"], "peers.0"),
             (0, "a:1", "peers"),
             (1, ["a:1"], "settings.index"),
             ("0", ["a:1"], "index"),
         ):
-            with self.subTest(peers=peers, index=index), self.assertRaises(Unusable) as caught:
+            with (
+                self.subTest(peers=peers, index=index),
+                self.assertRaises(UnusableConfigurationError) as caught,
+            ):
                 self.read(index=index, peers=peers, peer_listen="a:1")
             self.assertIn(says, str(caught.exception))
--- a/tests/test_platform_backends.py
+++ b/tests/test_platform_backends.py
@@ -167,8 +167,8 @@
         async def work() -> None:
             head = self.start()
             await self.call(wish("150"))
-            link = next(link for link in head.pool.links.values() if link.kept)
-            link.kept[0].stream._ended = "closed by peer"  # type: ignore[attr-defined]  # no task was told yet
+            link = next(link for link in head.pool.links.values() if link.idle_connections)
+            link.idle_connections[0].stream._ended = "closed by peer"  # type: ignore[attr-defined]  # no task was told yet
             self.assertEqual(200, (await self.call(wish("151", "post", body=b"x"))).status)
             self.assertEqual((0, 2), (head.driver.counts["forwards broken"], self.shelves[0].connections))
 
--- a/tests/test_platform_clients.py
+++ b/tests/test_platform_clients.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from gorsethread.http1.serving import Request
-from gorsethread.http_gateway.program import Gateway
+from gorsethread.http_gateway.gateway import Gateway
 from tests.live import Caller, whole, wish
 from tests.live import LiveRig as Rig
 
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -119,7 +119,7 @@
             self.network.heal("list", "head")
             self.list.tell(instance(0, "gone"))
             await self.wait(11.0)
-            self.assertEqual({1}, {s.cell for s in head.discovery.known.values()})
+            self.assertEqual({1}, {s.cell for s in head.discovery.updates.known.values()})
 
         self.play(work)
 
@@ -131,9 +131,9 @@
                 json.dumps({"generation": 3, "reset": False, "instances": [instance(0, "gone")]}).encode(),
             )
             await self.wait(0.04)
-            self.assertEqual({0}, {s.cell for s in head.discovery.known.values()})
+            self.assertEqual({0}, {s.cell for s in head.discovery.updates.known.values()})
             await self.wait(2.0)
-            self.assertEqual({0, 1}, {s.cell for s in head.discovery.known.values()})
+            self.assertEqual({0, 1}, {s.cell for s in head.discovery.updates.known.values()})
             self.assertIn("/v1/servers", self.list.asked)
 
         self.play(work)
--- a/tests/test_platform_program.py
+++ b/tests/test_platform_program.py
@@ -11,7 +11,8 @@
 from pathlib import Path
 from typing import Any
 
-from gorsethread.http_gateway.config import Unusable, read_configuration
+from gorsethread.http_gateway.addresses import UnusableConfigurationError
+from gorsethread.http_gateway.configuration import read_configuration
 from gorsethread.transport.real import free_ports
 from tests.live import SETTINGS, order
 
@@ -35,7 +36,7 @@
             ({"settings": {**SETTINGS, "contract": {**SETTINGS["contract"], "fall": float("nan")}}}, "span"),
             ({"settings": {**SETTINGS, "grades": [{"name": "plain", "neverOver": [9]}]}}, "limit"),
         ):
-            with self.subTest(changed=changed), self.assertRaises(Unusable) as caught:
+            with self.subTest(changed=changed), self.assertRaises(UnusableConfigurationError) as caught:
                 read_configuration(json.dumps(order(**changed)).encode(), "the/place")
             self.assertIn("the/place", str(caught.exception))
             self.assertIn(said, str(caught.exception))
