--- a/gorsethread/cli/records.py
+++ b/gorsethread/cli/records.py
@@ -10,7 +10,12 @@
 from rich.table import Table
 
 from gorsethread.cli.options import tell, write_json
-from gorsethread.durable_log.recovery import ACCEPTED, Recovered, place_of, recover
+from gorsethread.durable_log.recovery import (
+    LOSS_ACCEPTED_FILE,
+    RecoveredLog,
+    parse_segment_file_name,
+    recover,
+)
 from gorsethread.errors import GorsethreadError
 
 app = typer.Typer(name="records", no_args_is_help=True, help="What a folder of records holds.")
@@ -37,11 +42,11 @@
     return sorted(found)
 
 
-def _read(store: Path) -> Recovered:
+def _read(store: Path) -> RecoveredLog:
     """As a head would; whose they are is read from them. A head at work may remove a segment meanwhile."""
     files: dict[str, bytes] = {}
     for path in sorted(store.iterdir()):
-        if place_of(path.name) is not None:
+        if parse_segment_file_name(path.name) is not None:
             try:
                 files[path.name] = path.read_bytes()
             except FileNotFoundError:
@@ -52,17 +57,17 @@
 
 def _shown(folder: Path, store: Path) -> dict[str, Any]:
     r = _read(store)
-    begins = [s.begin for _, s in r.segments if s is not None]
+    begins = [s.header for _, s in r.files if s is not None]
     return {
         "what": str(store.relative_to(folder)),
         "fleet": begins[0].fleet if begins else None,
-        "life": r.highest[0],
+        "life": r.newest[0],
         "last": list(r.table.last),
-        "extents": len(r.table.placed()),
-        "segments": len(r.segments),
+        "extents": len(r.table.placements()),
+        "segments": len(r.files),
         "bytes": sum(p.stat().st_size for p in store.iterdir()),
-        "torn_bytes": r.torn,
-        "whole": r.whole,
+        "torn_bytes": r.torn_bytes,
+        "whole": r.complete,
         "empty": r.empty,
         "faults": r.faults,
     }
@@ -167,7 +172,7 @@
     own = folder / f"own-{head}"
     try:
         own.mkdir(parents=True, exist_ok=True)
-        (own / ACCEPTED).touch()
+        (own / LOSS_ACCEPTED_FILE).touch()
     except OSError as error:
         typer.echo(f"{own}: {error.strerror}", err=True)
         raise typer.Exit(2) from None
--- a/gorsethread/durable_log/__init__.py
+++ b/gorsethread/durable_log/__init__.py
@@ -1,1 +1,1 @@
-"""Durable records of one head: frames in segments, recovery, group commit; whom others hold copies for."""
+"""The durable log of one gateway: frames in segments, group commit, compaction, recovery and replicas."""
--- a/gorsethread/durable_log/disk_health.py
+++ b/gorsethread/durable_log/disk_health.py
@@ -1,64 +1,78 @@
-"""Whether a disk may be given another promise: a pure core, asked before each, told of each commit.
+"""Whether a disk may be given another commit: a pure core, asked before each, notified of each.
 
-What does not need the disk never waits for it. What does waits for a commit that is under way, as long as the
-disk seems to answer; else it is pushed back at once, and one try now and then shows whether it is back.
+What does not need the disk never waits for it. What does waits for a commit in progress while the disk seems
+to answer; else it is rejected at once, and an occasional retry shows whether the disk is back.
 """
 
 from enum import Enum
 
-PATIENCE = 0.5  # seconds that a commit may take before nothing more is queued behind it
-AGAIN_LEAST, AGAIN_MOST = 0.25, 4.0  # seconds from a failure to the next try, doubling
-PENDING_MOST = 4096  # records that wait for the disk
+SLOW_AFTER = 0.5  # seconds that a commit may take before nothing more is queued behind it
+MIN_RETRY_DELAY = 0.25  # seconds from a failure to the next attempt; doubles with each failure
+MAX_RETRY_DELAY = 4.0  # seconds
+MAX_PENDING = 4096  # records that may wait for the disk
 
 
-class State(Enum):
-    WELL = "well"
-    SLOW = "slow"  # what is on its way takes long
+class DiskState(Enum):
+    """How the disk is doing."""
+
+    HEALTHY = "well"
+    SLOW = "slow"  # the commit in progress takes long
     FAILING = "failing"  # the last commit failed
-    FULL = "full"  # the last commit failed for want of room
+    FULL = "full"  # the last commit failed for lack of space
 
 
-class Disk:
-    """commits and failures only grow; all else is of now."""
+class DiskHealth:
+    """The state of one disk by its commits; commits and failures only grow, all else is current."""
 
     def __init__(self) -> None:
-        self.commits = self.failures = 0
+        self.commits = 0
+        self.failures = 0
         self.longest = 0.0  # seconds, of all commits
-        self._began: float | None = None  # of the commit under way
-        self._failed = State.WELL
-        self._again_at = 0.0
-        self._again = AGAIN_LEAST
+        self._commit_started: float | None = None
+        self._failed = DiskState.HEALTHY
+        self._retry_at = 0.0
+        self._retry_delay = MIN_RETRY_DELAY
 
-    def begins(self, now: float) -> None:
-        self._began = now
+    def commit_started(self, now: float) -> None:
+        """Note that a commit is in progress from now (seconds) on."""
+        self._commit_started = now
 
-    def ends(self, now: float, failed: bool = False, full: bool = False) -> None:
-        if self._began is not None:
-            self.longest = max(self.longest, now - self._began)
-        self._began = None
+    def commit_ended(self, now: float, failed: bool = False, full: bool = False) -> None:
+        """Note how the commit ended; full: it failed for lack of space."""
+        if self._commit_started is not None:
+            self.longest = max(self.longest, now - self._commit_started)
+        self._commit_started = None
         if not failed:
             self.commits += 1
-            self._failed, self._again = State.WELL, AGAIN_LEAST
+            self._failed = DiskState.HEALTHY
+            self._retry_delay = MIN_RETRY_DELAY
             return
         self.failures += 1
-        self._failed = State.FULL if full else State.FAILING
-        self._again_at = now + self._again
-        self._again = min(AGAIN_MOST, 2.0 * self._again)
+        self._failed = DiskState.FULL if full else DiskState.FAILING
+        self._retry_at = now + self._retry_delay
+        self._retry_delay = min(MAX_RETRY_DELAY, 2.0 * self._retry_delay)
 
-    def state(self, now: float) -> State:
-        if self._failed is not State.WELL:
+    def state(self, now: float) -> DiskState:
+        """Return the state at this time (seconds)."""
+        if self._failed is not DiskState.HEALTHY:
             return self._failed
-        slow = self._began is not None and now - self._began > PATIENCE
-        return State.SLOW if slow else State.WELL
+        slow = self._commit_started is not None and now - self._commit_started > SLOW_AFTER
+        return DiskState.SLOW if slow else DiskState.HEALTHY
+
+    def should_retry(self, now: float) -> bool:
+        """After a failure: return whether it is time to see if the disk is back."""
+        failed = self._failed is not DiskState.HEALTHY
+        return failed and self._commit_started is None and now >= self._retry_at
 
-    def tries(self, now: float) -> bool:
-        """After a failure: whether it is time to see if the disk is back."""
-        return self._failed is not State.WELL and self._began is None and now >= self._again_at
+    def retry_after(self, now: float, pending: int) -> float:
+        """Return 0.0 where a commit may be requested now, else the seconds after which to ask again.
 
-    def refuses(self, now: float, pending: int) -> float:
-        """0.0: a promise may be given to it now; else after how many seconds asking again is of use."""
-        if self._failed is not State.WELL:
-            return max(AGAIN_LEAST, self._again_at - now)
-        if self.state(now) is State.SLOW or pending >= PENDING_MOST:
-            return PATIENCE
+        Args:
+            now: Seconds.
+            pending: Records that wait for the disk.
+        """
+        if self._failed is not DiskState.HEALTHY:
+            return max(MIN_RETRY_DELAY, self._retry_at - now)
+        if self.state(now) is DiskState.SLOW or pending >= MAX_PENDING:
+            return SLOW_AFTER
         return 0.0
--- a/gorsethread/durable_log/records.py
+++ b/gorsethread/durable_log/records.py
@@ -1,8 +1,9 @@
-"""What a head keeps, and how pieces of it combine.
+"""The facts that a gateway's log keeps, and how tables of them combine.
 
-Every record has a number, (life, place in that life), that is never given again. What it says is said of one
-*thing* (an extent, a queued write, ...); of two records of one thing the later number holds, so records may
-be read in any order, doubled, from several segments or from several holders, and the outcome is the same.
+Every record has a sequence number, (incarnation, position in that incarnation), that is never given again.
+Its fact is about one *subject* (an extent, a queued write, ...). Of two records of one subject the one with
+the higher number holds, so records may be read in any order, repeatedly, from several segments or replicas,
+with the same outcome.
 """
 
 from bisect import bisect_right
@@ -12,17 +13,17 @@
 import msgspec
 from msgspec import field
 
-SequenceNumber = tuple[int, int]  # life, place: as a head counts them
+SequenceNumber = tuple[int, int]  # incarnation and position
 Subject = tuple[int, ...]
 NO_SEQUENCE: SequenceNumber = (0, 0)
-RECENT_MOST = 4096  # records by which after() is cheap for who is hardly behind
-RECENT_BYTES = 1 << 21  # of these, at most twice
-PLAIN = 64  # bytes that a record takes beside its data, at most
-QUEUED, STEP, DISCARDED, EFFECT = -1, -2, -3, -4  # what a thing is, where it is no extent
+RECENT_RECORDS = 4096  # records that later_than() finds without sorting the table
+RECENT_BYTES = 1 << 21  # of these; either figure may be exceeded twofold
+RECORD_OVERHEAD = 64  # bytes that a record takes beside its data, at most
+QUEUED, STEP, DISCARDED, EFFECT = -1, -2, -3, -4  # first part of a subject that is no extent
 
 
 class ExtentPlaced(msgspec.Struct, frozen=True, tag="placed", array_like=True):
-    """A first write of this extent may have gone to this shard: it belongs there from now on."""
+    """A first write of this extent may have gone to this shard, to which it belongs from now on."""
 
     volume: int
     extent: int
@@ -30,24 +31,35 @@
 
     @property
     def subject(self) -> tuple[int, int]:
+        """The extent."""
         return self.volume, self.extent
 
 
 class ExtentReleased(msgspec.Struct, frozen=True, tag="freed", array_like=True):
-    """Its first write is known not to have run: it belongs nowhere again."""
+    """The extent's first write is known not to have run: it belongs to no shard again."""
 
     volume: int
     extent: int
 
     @property
     def subject(self) -> tuple[int, int]:
+        """The extent."""
         return self.volume, self.extent
 
 
 class WriteQueued(msgspec.Struct, frozen=True, tag="queued", array_like=True):
-    """A branch's write that was accepted: life and place are its number there. host: whose; at: seconds of
-    the wall clock; own and others: numbers (branch, life, place) that come first; base: what its blocks held
-    as the branch last saw them, 0 where it did not."""
+    """A write that a disconnected branch accepted.
+
+    Attributes:
+        incarnation: With position, its number in the branch's queue.
+        position: See incarnation.
+        request_class: Index of the request class in the site file.
+        host: NQN of the host that sent it.
+        accepted_at: Seconds of the wall clock.
+        own_dependencies: Numbers (branch, incarnation, position) of this branch's writes that come first.
+        other_dependencies: The same for other gateways' writes.
+        base_digest: What its blocks held as the branch last saw them; 0 where it did not.
+    """
 
     incarnation: int = field(name="life")
     position: int = field(name="place")
@@ -68,12 +80,21 @@
 
     @property
     def subject(self) -> Subject:
+        """The queued write."""
         return QUEUED, self.incarnation, self.position
 
 
 class WriteProgress(msgspec.Struct, frozen=True, tag="step", array_like=True):
-    """How far a queued write has come. suspects: heads of the main site that may have run it; anyway: a
-    person said that it is to be applied whatever is known."""
+    """How far a queued write has come.
+
+    Attributes:
+        incarnation: With position, the number of the write.
+        position: See incarnation.
+        stage: Value of the queue's stage.
+        suspects: Gateways of the main site that may have applied it.
+        reason: Why it is in this stage, for people.
+        forced: A person decided that it is to be applied whatever is known.
+    """
 
     incarnation: int = field(name="life")
     position: int = field(name="place")
@@ -84,11 +105,12 @@
 
     @property
     def subject(self) -> Subject:
+        """The queued write's progress."""
         return STEP, self.incarnation, self.position
 
 
 class WriteDiscarded(msgspec.Struct, frozen=True, tag="discarded", array_like=True):
-    """A person gave up a parked write."""
+    """A person discarded a dead-lettered write; discarded_at in seconds of the wall clock."""
 
     incarnation: int = field(name="life")
     position: int = field(name="place")
@@ -99,6 +121,7 @@
 
     @property
     def subject(self) -> Subject:
+        """The discarded write."""
         return DISCARDED, self.incarnation, self.position
 
 
@@ -112,115 +135,124 @@
 
     @property
     def subject(self) -> Subject:
+        """The branch's write."""
         return EFFECT, self.branch, self.incarnation, self.position
 
 
 class Tombstone(msgspec.Struct, frozen=True, tag="gone", array_like=True):
-    """Nothing is said of that thing any more."""
+    """Nothing is known of this subject any more."""
 
     removed: list[int] = field(name="what")
 
     @property
     def subject(self) -> Subject:
+        """The subject that was removed."""
         return tuple(self.removed)
 
 
 Fact = ExtentPlaced | ExtentReleased | WriteQueued | WriteProgress | WriteDiscarded | WriteApplied | Tombstone
-GONE: tuple[type, ...] = (ExtentReleased, Tombstone)  # stay until nothing earlier can come any more
+REMOVALS: tuple[type, ...] = (ExtentReleased, Tombstone)  # kept until nothing earlier can come any more
 
 
-def size_of(fact: Fact) -> int:
-    """Bytes that it takes, about."""
-    return PLAIN + (len(fact.data) if isinstance(fact, WriteQueued) else 0)
+def record_bytes(fact: Fact) -> int:
+    """Estimate the bytes that a record of this fact takes."""
+    return RECORD_OVERHEAD + (len(fact.data) if isinstance(fact, WriteQueued) else 0)
 
 
 class Record(NamedTuple):
+    """A fact under its sequence number."""
+
     number: SequenceNumber
     fact: Fact
 
 
-def pieces(records: Iterable[Record], most: int, most_bytes: int) -> Iterator[list[Record]]:
-    """In turn, of so many records and about so many bytes at most, one record at least."""
-    piece: list[Record] = []
+def batches(records: Iterable[Record], max_records: int, max_bytes: int) -> Iterator[list[Record]]:
+    """Split records, in their order, into batches of limited size but one record at least."""
+    batch: list[Record] = []
     size = 0
     for record in records:
-        more = size_of(record.fact)
-        if piece and (len(piece) >= most or size + more > most_bytes):
-            yield piece
-            piece, size = [], 0
-        piece.append(record)
+        more = record_bytes(record.fact)
+        if batch and (len(batch) >= max_records or size + more > max_bytes):
+            yield batch
+            batch = []
+            size = 0
+        batch.append(record)
         size += more
-    if piece:
-        yield piece
+    if batch:
+        yield batch
 
 
 class RecordTable:
-    """The latest record of each thing. What is freed stays as a word, since an earlier one that comes late
-    must not win; `compact()` takes these out, once nothing earlier can come any more. Bounded by the extents
-    that the site's volumes have, and by what branches may queue."""
+    """The latest record of each subject.
+
+    Bounded by the extents that the site's volumes have and by what branches may queue. Removals stay, since
+    an earlier record that comes late must not win; `drop_removals()` takes them out once nothing earlier can
+    come. The recent records are cut by half at twice RECENT_RECORDS or RECENT_BYTES.
+    """
 
     def __init__(self, records: Iterable[Record] = ()) -> None:
         self.records: dict[Subject, Record] = {}
-        self.last: SequenceNumber = NO_SEQUENCE  # the highest number met, of any thing
-        # In order, all that came after _recent_from; cut at twice RECENT_MOST and RECENT_BYTES.
-        self._recent: list[Record] = []
+        self.last: SequenceNumber = NO_SEQUENCE  # the highest number seen, of any subject
+        self._recent: list[Record] = []  # in order, all that came after _recent_from
         self._recent_bytes = 0
         self._recent_from: SequenceNumber = NO_SEQUENCE
         for record in records:
-            self.take(record)
+            self.apply(record)
 
-    def take(self, record: Record) -> bool:
-        """Whether it holds now."""
+    def apply(self, record: Record) -> bool:
+        """Add a record; return whether it is the one that holds for its subject."""
         if record.number > self.last:
-            self.last = record.number
-            self._recent.append(record)
-            self._recent_bytes += size_of(record.fact)
-            if len(self._recent) > 2 * RECENT_MOST or self._recent_bytes > 2 * RECENT_BYTES:
-                self._cut()
+            self._add_recent(record)
         else:
-            # Not in order: these are not all any more.
-            self._recent, self._recent_from, self._recent_bytes = [], self.last, 0
-        thing = record.fact.subject
-        known = self.records.get(thing)
+            self._clear_recent()  # out of order: the list would not be complete
+        subject = record.fact.subject
+        known = self.records.get(subject)
         if known is not None and known.number >= record.number:
             return False
-        self.records[thing] = record
+        self.records[subject] = record
         return True
 
-    def _cut(self) -> None:
-        """Half of what is recent is recent no more."""
-        half = max(1, len(self._recent) // 2)
-        self._recent_from = self._recent[half - 1].number
-        del self._recent[:half]
-        self._recent_bytes = sum(size_of(r.fact) for r in self._recent)
+    def _add_recent(self, record: Record) -> None:
+        self.last = record.number
+        self._recent.append(record)
+        self._recent_bytes += record_bytes(record.fact)
+        if len(self._recent) > 2 * RECENT_RECORDS or self._recent_bytes > 2 * RECENT_BYTES:
+            half = max(1, len(self._recent) // 2)
+            self._recent_from = self._recent[half - 1].number
+            del self._recent[:half]
+            self._recent_bytes = sum(record_bytes(one.fact) for one in self._recent)
+
+    def _clear_recent(self) -> None:
+        self._recent = []
+        self._recent_from = self.last
+        self._recent_bytes = 0
 
     def merge(self, other: "RecordTable") -> None:
+        """Apply all of another table."""
         for record in other.records.values():
-            self.take(record)
-        if other.last > self.last:
-            self.last = other.last
-
-    def placed(self) -> dict[tuple[int, int], int]:
-        """The shard of each extent that has one."""
-        return {
-            r.fact.subject: r.fact.shard for r in self.records.values() if isinstance(r.fact, ExtentPlaced)
-        }
-
-    def after(self, number: SequenceNumber) -> list[Record]:
-        """All later ones that hold, in their order, and perhaps some that were replaced since."""
+            self.apply(record)
+        self.last = max(self.last, other.last)
+
+    def placements(self) -> dict[tuple[int, int], int]:
+        """Return the shard of each extent that has one."""
+        facts = (record.fact for record in self.records.values())
+        return {fact.subject: fact.shard for fact in facts if isinstance(fact, ExtentPlaced)}
+
+    def later_than(self, number: SequenceNumber) -> list[Record]:
+        """Return all later records that hold, in order, and perhaps some that were replaced since."""
         if number >= self._recent_from:
-            return self._recent[bisect_right(self._recent, number, key=lambda r: r.number) :]
-        return [r for r in self.whole() if r.number > number]
+            return self._recent[bisect_right(self._recent, number, key=lambda record: record.number) :]
+        return [record for record in self.in_order() if record.number > number]
 
-    def whole(self) -> list[Record]:
-        """All that holds, in its order."""
+    def in_order(self) -> list[Record]:
+        """Return all records that hold, by their numbers."""
         return sorted(self.records.values())
 
-    def compact(self) -> SequenceNumber:
-        """The highest number of a word that went."""
-        went = NO_SEQUENCE
-        for thing, r in list(self.records.items()):
-            if isinstance(r.fact, GONE):
-                went = max(went, r.number)
-                del self.records[thing]
-        return went
+    def drop_removals(self) -> SequenceNumber:
+        """Forget what was removed; return the highest number of a dropped record."""
+        dropped = NO_SEQUENCE
+        for subject, record in list(self.records.items()):
+            if isinstance(record.fact, REMOVALS):
+                dropped = max(dropped, record.number)
+                del self.records[subject]
+        return dropped
--- a/gorsethread/durable_log/replica_placement.py
+++ b/gorsethread/durable_log/replica_placement.py
@@ -1,8 +1,9 @@
-"""Which other heads hold copies of a head's records. Pure: all heads that see the same choose the same.
+"""Which other gateways hold replicas of a gateway's log. Pure: all that see the same choose the same.
 
-By rendezvous (highest random weight, Thaler and Ravishankar): each candidate has a weight drawn from both
-names, so a head that goes or comes moves only what it held. Other machines than the own go first, then rooms
-that are not in yet: what is lost together is not held together, as far as there is a choice.
+By rendezvous hashing (highest random weight, Thaler and Ravishankar): each candidate has a weight drawn from
+both gateways' numbers, so one that goes or comes moves only what it held. Other machines than the gateway's
+own go first, then zones without a replica yet: what fails together is not used together, where there is a
+choice.
 """
 
 from collections.abc import Iterable
@@ -11,29 +12,42 @@
 import xxhash
 
 
-class Place(NamedTuple):
-    """zone: a room; machine: heads on one are lost together."""
+class FailureDomain(NamedTuple):
+    """What a gateway is lost together with: its zone, and the machine it runs on."""
 
     zone: int
     machine: str
 
 
-def weight(origin: int, holder: int) -> int:
-    return xxhash.xxh3_64_intdigest(f"{origin}/{holder}".encode())
+def weight(origin: int, replica: int) -> int:
+    """Return the rendezvous weight of a gateway as a holder of another's replica."""
+    return xxhash.xxh3_64_intdigest(f"{origin}/{replica}".encode())
 
 
-def holders(origin: int, places: dict[int, Place], living: Iterable[int], copies: int) -> list[int]:
-    """places: of all heads, the origin among them. Fewer than copies where too few others live."""
-    mine = places[origin]
-    left = {n for n in living if n != origin and n in places}
+def choose_replicas(
+    origin: int, domains: dict[int, FailureDomain], living: Iterable[int], copies: int
+) -> list[int]:
+    """Return the gateways that hold replicas of the origin's log, in order of preference.
+
+    Args:
+        origin: The gateway whose log it is.
+        domains: Of all gateways, the origin included.
+        living: Candidates; the origin among them is passed over.
+        copies: How many to choose; fewer are returned where too few others live.
+    """
+    candidates = {gateway for gateway in living if gateway != origin and gateway in domains}
+    machines = {domains[origin].machine}
+    zones = {domains[origin].zone}
     chosen: list[int] = []
-    while left and len(chosen) < copies:
-        machines = {mine.machine} | {places[n].machine for n in chosen}
-        zones = {mine.zone} | {places[n].zone for n in chosen}
-        best = max(
-            left,
-            key=lambda n: (places[n].machine not in machines, places[n].zone not in zones, weight(origin, n)),
-        )
-        left.discard(best)
+
+    def preference(gateway: int) -> tuple[bool, bool, int]:
+        domain = domains[gateway]
+        return domain.machine not in machines, domain.zone not in zones, weight(origin, gateway)
+
+    while candidates and len(chosen) < copies:
+        best = max(candidates, key=preference)
+        candidates.discard(best)
         chosen.append(best)
+        machines.add(domains[best].machine)
+        zones.add(domains[best].zone)
     return chosen
--- a/gorsethread/durable_log/replication.py
+++ b/gorsethread/durable_log/replication.py
@@ -1,131 +1,185 @@
-"""Copies of one head's records at others: what goes to whom next, from when a promise is held, who is shut
-out. Pure cores of both sides: no I/O, no clock, no chance.
+"""Replicas of one gateway's log at others: what goes to whom next, and up to where enough of them have it.
 
-The sender counts nothing a holder did not say that it has on its own disk. A holder that was away hears what
-holds and is later than what it has; words on what was freed are dropped in time, so one that is further
-behind than these hears everything anew. A holder knows the latest life of each head and takes nothing from
-an earlier one, so of two processes of one name the later shuts the other out.
+Pure cores of both sides: no I/O, no clock, no chance. The sender counts only what a replica confirmed to have
+on its own disk. A replica that was away gets what holds and is later than what it has; removals are dropped
+in time, so one that is further behind than these gets everything again. A replica knows the latest
+incarnation of each gateway and accepts nothing from an earlier one, so of two processes of one gateway the
+later fences off the other.
 """
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from gorsethread.durable_log.records import NO_SEQUENCE, Record, RecordTable, SequenceNumber, pieces
+from gorsethread.durable_log.records import NO_SEQUENCE, Record, RecordTable, SequenceNumber, batches
 
-CHUNK = 256  # records of one message
-CHUNK_BYTES = 1 << 18  # and about as many bytes, but one record at least
-HELD_WITHIN = 1.0  # seconds until a promise must be held, else it is not given
-AGAIN_LEAST, AGAIN_MOST = 0.2, 3.0  # seconds from a lost way to a holder to the next try, doubling
-CATCH_UP = 0.02  # seconds between pieces of what is not new, so that live work goes first
+BATCH_RECORDS = 256  # records of one message
+BATCH_BYTES = 1 << 18  # and about as many bytes, but one record at least
+REPLICATION_TIMEOUT = 1.0  # seconds within which enough replicas must have a record, else it fails
+MIN_RECONNECT_DELAY = 0.2  # seconds from a lost connection to a replica to the next attempt; doubles
+MAX_RECONNECT_DELAY = 3.0  # seconds
+CATCH_UP_PAUSE = 0.02  # seconds between batches of older records, so that live work goes first
+ALL_SEQUENCES: SequenceNumber = (1 << 62, 0)  # higher than any that is given
 
 
 @dataclass
-class Holder:
-    """One other head, as the sender knows it. mark: up to here it has all that holds; None: not told yet."""
-
-    mark: SequenceNumber | None = None
+class ReplicaState:
+    """One replica, as the sender knows it.
+
+    Attributes:
+        confirmed: Up to this number it has all that holds; None while it is not connected.
+        sent: Up to this number all has been sent to it.
+        in_flight: A batch is on its way.
+        resend_all: The next batch replaces everything that it has.
+        behind: The last batch was not all there was.
+    """
+
+    confirmed: SequenceNumber | None = None
     sent: SequenceNumber = NO_SEQUENCE
-    out: bool = False  # a piece is on its way
-    whole: bool = False  # the next piece begins everything anew
-    behind: bool = False  # the last piece was not all there was
+    in_flight: bool = False
+    resend_all: bool = False
+    behind: bool = False
 
 
 @dataclass(frozen=True)
-class Piece:
-    """begins: what the holder has is over. last: with this it has all that holds up to there; more: there is
-    more."""
+class ReplicationBatch:
+    """Records for a replica.
+
+    Attributes:
+        replaces_all: What the replica has is void.
+        records: In order.
+        last: With this batch the replica has all that holds up to this number.
+        more: More follows.
+    """
 
-    begins: bool
+    replaces_all: bool
     records: list[Record]
     last: SequenceNumber
     more: bool = False
 
 
 class ReplicationSender:
-    """held_by: how many holders must have a promise."""
-
-    def __init__(self, held_by: int) -> None:
-        self.held_by = held_by
-        self.holders: dict[int, Holder] = {}
-        self.shut_out = False  # a later life of this head is known to others
-
-    def chosen(self, names: Iterable[int]) -> tuple[list[int], list[int]]:
-        """Who comes, who goes. Nobody goes before those that stay hold as much."""
-        names = list(names)
-        fresh = [n for n in names if n not in self.holders]
-        for n in fresh:
-            self.holders[n] = Holder()
-        rest = [self.holders[n].mark or NO_SEQUENCE for n in names]
-        old = [n for n in self.holders if n not in names]
-        gone = [n for n in old if all(mark >= (self.holders[n].mark or NO_SEQUENCE) for mark in rest)]
-        for n in gone:
-            del self.holders[n]
-        return fresh, gone
-
-    def met(self, name: int, has: SequenceNumber, forgot: SequenceNumber) -> None:
-        """A way to it stands, and it said up to where it has this head's records. forgot: words up to here
-        are gone."""
-        h = self.holders.get(name)
-        if h is not None:
-            h.mark = has if has >= forgot else NO_SEQUENCE
-            h.sent, h.out, h.whole = h.mark, False, has < forgot
-
-    def lost(self, name: int) -> None:
-        """The way to it ended; what it has it keeps."""
-        if (h := self.holders.get(name)) is not None:
-            h.mark, h.out = None, False
-
-    def piece(self, name: int, table: RecordTable, last: SequenceNumber) -> Piece | None:
-        """What goes to it next; None: nothing now. last: up to here the table has all that holds."""
-        h = self.holders.get(name)
-        if h is None or h.mark is None or h.out or h.sent >= last and not h.whole:
+    """The owner's side; required: how many replicas must have a record.
+
+    Its table of replicas has those that choose() was given last, and former ones until the present ones have
+    as much.
+    """
+
+    def __init__(self, required: int) -> None:
+        self.required = required
+        self.replicas: dict[int, ReplicaState] = {}
+        self.fenced = False  # others know a later incarnation of this gateway
+
+    def choose(self, gateways: Iterable[int]) -> tuple[list[int], list[int]]:
+        """Set the replicas; return the added and the removed.
+
+        None is removed before all that were chosen have as much as it has.
+        """
+        chosen = list(gateways)
+        added = [gateway for gateway in chosen if gateway not in self.replicas]
+        for gateway in added:
+            self.replicas[gateway] = ReplicaState()
+        confirmed = [self._confirmed(gateway) for gateway in chosen]
+        former = [gateway for gateway in self.replicas if gateway not in chosen]
+        removed = [
+            gateway for gateway in former if all(number >= self._confirmed(gateway) for number in confirmed)
+        ]
+        for gateway in removed:
+            del self.replicas[gateway]
+        return added, removed
+
+    def _confirmed(self, gateway: int) -> SequenceNumber:
+        return self.replicas[gateway].confirmed or NO_SEQUENCE
+
+    def connected(self, gateway: int, last: SequenceNumber, removals_dropped: SequenceNumber) -> None:
+        """Note that a replica is connected.
+
+        Args:
+            gateway: The replica.
+            last: Up to this number it has this gateway's records.
+            removals_dropped: Removals up to this number can't be sent any more.
+        """
+        replica = self.replicas.get(gateway)
+        if replica is None:
+            return
+        replica.confirmed = last if last >= removals_dropped else NO_SEQUENCE
+        replica.sent = replica.confirmed
+        replica.in_flight = False
+        replica.resend_all = last < removals_dropped
+
+    def disconnected(self, gateway: int) -> None:
+        """Note that the connection to a replica ended; it keeps what it has."""
+        replica = self.replicas.get(gateway)
+        if replica is not None:
+            replica.confirmed = None
+            replica.in_flight = False
+
+    def next_batch(self, gateway: int, table: RecordTable, last: SequenceNumber) -> ReplicationBatch | None:
+        """Return what goes to a replica next; None: nothing now.
+
+        Args:
+            gateway: The replica.
+            table: All records that hold.
+            last: Up to this number the table is complete.
+        """
+        replica = self.replicas.get(gateway)
+        if replica is None or replica.confirmed is None or replica.in_flight:
+            return None
+        if replica.sent >= last and not replica.resend_all:
             return None
-        if h.whole:
-            h.sent = NO_SEQUENCE
-        later = [r for r in table.after(h.sent) if r.number <= last]
-        now = next(pieces(later, CHUNK, CHUNK_BYTES), [])
-        rest = len(later) > len(now)
-        piece = Piece(h.whole, now, now[-1].number if rest else last, rest)
-        h.sent, h.out, h.whole, h.behind = piece.last, True, False, rest
-        return piece
-
-    def has(self, name: int, last: SequenceNumber) -> bool:
-        """It has all up to there on its disk; whether more that is not new is to go to it."""
-        h = self.holders.get(name)
-        if h is not None and h.mark is not None:
-            h.mark, h.out = max(h.mark, last), False
-            return h.behind
-        return False
-
-    def anew(self) -> None:
-        """The table got records that are older than what holders have: they hear all of it again."""
-        for h in self.holders.values():
-            h.whole = h.mark is not None
+        if replica.resend_all:
+            replica.sent = NO_SEQUENCE
+        later = [record for record in table.later_than(replica.sent) if record.number <= last]
+        records = next(batches(later, BATCH_RECORDS, BATCH_BYTES), [])
+        more = len(later) > len(records)
+        batch = ReplicationBatch(replica.resend_all, records, records[-1].number if more else last, more)
+        replica.sent = batch.last
+        replica.in_flight = True
+        replica.resend_all = False
+        replica.behind = more
+        return batch
+
+    def confirmed(self, gateway: int, last: SequenceNumber) -> bool:
+        """Note that a replica has all up to this number on its disk; return whether it is still behind."""
+        replica = self.replicas.get(gateway)
+        if replica is None or replica.confirmed is None:
+            return False
+        replica.confirmed = max(replica.confirmed, last)
+        replica.in_flight = False
+        return replica.behind
+
+    def resend_all(self) -> None:
+        """Send everything again: the table got records that are older than what replicas have."""
+        for replica in self.replicas.values():
+            replica.resend_all = replica.confirmed is not None
 
     @property
-    def held(self) -> SequenceNumber:
-        """Up to here enough holders have everything; without any needed, all."""
-        if self.held_by == 0:
-            return (1 << 62, 0)
-        marks = sorted((h.mark for h in self.holders.values() if h.mark is not None), reverse=True)
-        return marks[self.held_by - 1] if len(marks) >= self.held_by else NO_SEQUENCE
+    def replicated(self) -> SequenceNumber:
+        """Up to this number enough replicas have everything; without any required, all."""
+        if self.required == 0:
+            return ALL_SEQUENCES
+        known = [replica.confirmed for replica in self.replicas.values() if replica.confirmed is not None]
+        if len(known) < self.required:
+            return NO_SEQUENCE
+        return sorted(known, reverse=True)[self.required - 1]
 
     @property
-    def enough(self) -> bool:
-        """As many holders as are needed can be reached now."""
-        return sum(h.mark is not None for h in self.holders.values()) >= self.held_by
+    def has_quorum(self) -> bool:
+        """As many replicas as are required are connected."""
+        connected = sum(replica.confirmed is not None for replica in self.replicas.values())
+        return connected >= self.required
 
 
-class Keeping:
-    """The holder's side: of each head the latest life, and what was last heard of it."""
+class IncarnationFence:
+    """The replica's side: the latest incarnation of each gateway, as many as there are gateways."""
 
     def __init__(self) -> None:
-        self.lives: dict[int, int] = {}  # as many as heads
+        self.latest: dict[int, int] = {}
 
-    def greets(self, origin: int, life: int) -> int:
-        """The latest life of it that is known here, this one included; a later one shuts the greeter out."""
-        self.lives[origin] = max(life, self.lives.get(origin, 0))
-        return self.lives[origin]
+    def greet(self, origin: int, incarnation: int) -> int:
+        """Return the latest known incarnation of a gateway, this one included; a later one fences it off."""
+        self.latest[origin] = max(incarnation, self.latest.get(origin, 0))
+        return self.latest[origin]
 
-    def takes(self, origin: int, life: int) -> bool:
-        return life >= self.lives.get(origin, 0)
+    def accepts(self, origin: int, incarnation: int) -> bool:
+        """Return whether records of this incarnation are accepted."""
+        return incarnation >= self.latest.get(origin, 0)
--- a/gorsethread/durable_log/replication_messages.py
+++ b/gorsethread/durable_log/replication_messages.py
@@ -1,5 +1,7 @@
-"""What heads say to each other of records, as bytes of a stream: a length, then one message. Bounded; what
-can't be read ends the stream. Both sides of a copy: who owns the records calls, who holds copies answers.
+"""Messages between gateways about logs, as bytes of a stream: a length, then one message.
+
+The owner of a log calls, the gateway that holds its replica answers. Messages are bounded; a stream with
+bytes that can't be read is ended. Tags and order of fields are the protocol.
 """
 
 import struct
@@ -8,72 +10,79 @@
 import msgspec
 
 from gorsethread.durable_log.records import Record, SequenceNumber
-from gorsethread.durable_log.segments import Entry
+from gorsethread.durable_log.segments import LogEntry
 from gorsethread.errors import GorsethreadError
 
 LENGTH = struct.Struct("<I")
-MESSAGE_MOST = 3 << 20  # bytes; a branch's write has 1 MiB of data at most
+MAX_MESSAGE = 3 << 20  # bytes; a branch's write has 1 MiB of data at most
 
 
 class ProtocolError(GorsethreadError):
-    """Bytes between heads that are no message of this program."""
+    """Bytes between gateways that are no message of this program."""
 
-    action = "See that what listens at the peers' addresses are heads of this site, all of one version."
+    action = "See that what listens at the peers' addresses are gateways of this site, all of one version."
 
 
 class Hello(msgspec.Struct, frozen=True, tag="hello", array_like=True):
-    """From the owner, first. fleet: of its site; life 0: it only asks."""
+    """From the owner, first; fleet: of its site; incarnation 0: it only asks."""
 
     fleet: int
-    head: int
-    life: int
+    gateway: int
+    incarnation: int
 
 
 class Have(msgspec.Struct, frozen=True, tag="have", array_like=True):
-    """Up to where the holder has all that holds of the owner's records, and the latest life it knows."""
+    """The latest incarnation of the owner that the replica knows, and up to where it has all that holds."""
 
-    life: int
+    incarnation: int
     last: SequenceNumber
 
 
 class Fetch(msgspec.Struct, frozen=True, tag="fetch", array_like=True):
-    """From the owner: give back what is later than that, or all."""
+    """From the owner: give back what is later than this number."""
 
     after: SequenceNumber
 
 
 class Give(msgspec.Struct, frozen=True, tag="give", array_like=True):
-    """Back to the owner; more: others follow."""
+    """Records back to the owner; more: others follow."""
 
-    entries: list[Entry]
+    entries: list[LogEntry]
     more: bool
 
 
 class Put(msgspec.Struct, frozen=True, tag="put", array_like=True):
-    """To be held. begins: in place of all that is held; last: with these it is all up to there; more: more is
-    there already."""
-
-    life: int
-    begins: bool
-    entries: list[Entry]
+    """Records for the replica.
+
+    Attributes:
+        incarnation: Of the owner.
+        replaces_all: In place of all that the replica has.
+        entries: The records.
+        last: With these the replica has all that holds up to this number.
+        more: More follows.
+    """
+
+    incarnation: int
+    replaces_all: bool
+    entries: list[LogEntry]
     last: SequenceNumber
     more: bool = False
 
 
 class Holds(msgspec.Struct, frozen=True, tag="holds", array_like=True):
-    """It is on the holder's disk up to there."""
+    """Everything up to this number is on the replica's disk."""
 
     last: SequenceNumber
 
 
 class Over(msgspec.Struct, frozen=True, tag="over", array_like=True):
-    """Nothing is taken from this life: a later one is known."""
+    """Nothing is accepted from the owner's incarnation: this later one is known."""
 
-    life: int
+    incarnation: int
 
 
 class Failed(msgspec.Struct, frozen=True, tag="failed", array_like=True):
-    """The holder's disk did not take it."""
+    """The replica's disk did not take the records."""
 
 
 Message = Hello | Have | Fetch | Give | Put | Holds | Over | Failed
@@ -82,39 +91,49 @@
 
 
 def encode(message: msgspec.Struct) -> bytes:
+    """Return a message as bytes of a stream."""
     payload = _ENCODER.encode(message)
     return LENGTH.pack(len(payload)) + payload
 
 
-def entries(records: list[Record]) -> list[Entry]:
-    return [Entry(*r.number, r.fact) for r in records]
+def to_entries(records: list[Record]) -> list[LogEntry]:
+    """Return records as they are in messages."""
+    return [LogEntry(*record.number, record.fact) for record in records]
 
 
-def records(given: list[Entry]) -> list[Record]:
-    return [Record((e.life, e.place), e.fact) for e in given]
+def to_records(entries: list[LogEntry]) -> list[Record]:
+    """Return the records of a message."""
+    return [Record((entry.incarnation, entry.position), entry.fact) for entry in entries]
 
 
 class MessageReader:
-    """Bytes as they come to messages. decoder: of all that may come."""
+    """Turns bytes as they come into messages; buffers one incomplete message at most.
+
+    The decoder is of all messages that may come.
+    """
 
     def __init__(self, decoder: msgspec.msgpack.Decoder[Any] = DECODER) -> None:
-        self._held = b""
+        self._buffer = b""
         self._decoder = decoder
 
     def take(self, data: bytes) -> list[Any]:
-        """The messages that are whole now; ProtocolError."""
-        self._held += data
-        found: list[Any] = []
-        while len(self._held) >= LENGTH.size:
-            length = LENGTH.unpack_from(self._held)[0]
-            if length > MESSAGE_MOST:
+        """Return the messages that are complete now.
+
+        Raises:
+            ProtocolError: The bytes are no message, or too long a one.
+        """
+        self._buffer += data
+        messages: list[Any] = []
+        while len(self._buffer) >= LENGTH.size:
+            length = LENGTH.unpack_from(self._buffer)[0]
+            if length > MAX_MESSAGE:
                 raise ProtocolError(f"a message of {length} bytes")
             end = LENGTH.size + length
-            if len(self._held) < end:
+            if len(self._buffer) < end:
                 break
             try:
-                found.append(self._decoder.decode(self._held[LENGTH.size : end]))
+                messages.append(self._decoder.decode(self._buffer[LENGTH.size : end]))
             except (msgspec.DecodeError, ValueError) as error:
                 raise ProtocolError(str(error)) from None
-            self._held = self._held[end:]
-        return found
+            self._buffer = self._buffer[end:]
+        return messages
--- a/gorsethread/durable_log/segments.py
+++ b/gorsethread/durable_log/segments.py
@@ -1,8 +1,8 @@
-"""Records as bytes: a segment is a head's identity, all that held as it was begun, and what came since.
+"""Records as bytes: a segment has a header, a snapshot of all that held as it was started, and later records.
 
-A frame is mark, length, check sum, payload. The sum also covers who the segment belongs to, so a frame of
-another head's or another segment's, left where a disk put it, is not taken for one of this. Frames are found
-again behind rotten bytes by their mark. What a reader of this version can't know it refuses whole.
+A frame is mark, length, checksum, payload. The checksum also covers to whom the segment belongs, so a frame
+of another gateway's or another segment's, left where a disk put it, is not accepted. Frames behind corrupt
+bytes are found again by their mark. A later format version is refused as a whole.
 """
 
 import struct
@@ -16,143 +16,190 @@
 
 VERSION = 1
 MARK = b"\xa7\x5e"
-HEAD = struct.Struct("<2sII")  # mark, bytes of payload, check sum
-PAYLOAD_MOST = 2 << 20  # bytes; most records have some tens, a branch's write has 1 MiB of data at most
+FRAME_HEADER = struct.Struct("<2sII")  # mark, bytes of payload, checksum
+MAX_PAYLOAD = 2 << 20  # bytes; most records have some tens, a branch's write has 1 MiB of data at most
 
 
-class Unusable(GorsethreadError):
-    """A segment that this program must not touch; the text says why."""
+class UnusableSegmentError(GorsethreadError):
+    """A segment that this program must not touch; the text gives the reason."""
 
-    action = "Give the head its own folder, or run the version of the program that wrote this one."
+    action = "Give the gateway its own folder, or run the version of the program that wrote this one."
 
 
-class Begin(msgspec.Struct, frozen=True, array_like=True):
-    """version comes first for ever. place: the last that this life had given. whole: how many frames of what
-    held follow; then comes what is new. copied: kept for another head, which sends only what still holds, so
-    numbers have holes. holes: what held then is known to lack something that the head once kept."""
+class SegmentHeader(msgspec.Struct, frozen=True, array_like=True):
+    """The first frame of a segment; the order of the fields is the stored format.
+
+    Attributes:
+        version: Format version; stays the first field in all versions.
+        fleet: Number of the fleet (site).
+        gateway: Whose records these are.
+        incarnation: Of the gateway, when the segment was started.
+        segment: Number of the segment in this incarnation.
+        position: The last that the incarnation had given when the segment was started.
+        snapshot_records: Number of frames that follow with what held then.
+        is_replica: Kept for another gateway, which sends only what still holds, so numbers are not
+            contiguous.
+        incomplete: The snapshot is known to lack something that the gateway once had.
+    """
 
     version: int
     fleet: int
-    head: int
-    life: int
+    gateway: int
+    incarnation: int
     segment: int
-    place: int
-    whole: int
-    copied: bool = False
-    holes: bool = False
+    position: int
+    snapshot_records: int
+    is_replica: bool = False
+    incomplete: bool = False
+
+    @property
+    def last(self) -> SequenceNumber:
+        """The highest number that the snapshot may have."""
+        return self.incarnation, self.position
 
 
-class Entry(msgspec.Struct, frozen=True, array_like=True):
-    life: int
-    place: int
+class LogEntry(msgspec.Struct, frozen=True, array_like=True):
+    """The payload of a frame: a record's number and fact."""
+
+    incarnation: int
+    position: int
     fact: Fact
 
 
-_ENTRY: msgspec.msgpack.Decoder[Entry] = msgspec.msgpack.Decoder(Entry)
+_ENTRY_DECODER: msgspec.msgpack.Decoder[LogEntry] = msgspec.msgpack.Decoder(LogEntry)
 _ENCODER = msgspec.msgpack.Encoder()
 
 
-def seed_of(fleet: int, head: int, life: int, segment: int) -> int:
-    return int(google_crc32c.value(struct.pack("<QQQQ", fleet, head, life, segment)))
+def checksum_seed(fleet: int, gateway: int, incarnation: int, segment: int) -> int:
+    """Return the seed that binds frames to their segment."""
+    return int(google_crc32c.value(struct.pack("<QQQQ", fleet, gateway, incarnation, segment)))
+
+
+def _header_seed(header: SegmentHeader) -> int:
+    return checksum_seed(header.fleet, header.gateway, header.incarnation, header.segment)
 
 
 def _frame(payload: bytes, seed: int) -> bytes:
-    return HEAD.pack(MARK, len(payload), google_crc32c.extend(seed, payload)) + payload
+    return FRAME_HEADER.pack(MARK, len(payload), google_crc32c.extend(seed, payload)) + payload
 
 
-def begun(begin: Begin, records: list[Record]) -> bytes:
-    """A new segment's bytes, with what holds."""
-    seed = seed_of(begin.fleet, begin.head, begin.life, begin.segment)
-    return _frame(_ENCODER.encode(begin), 0) + b"".join(framed(r, seed) for r in records)
+def encode_segment(header: SegmentHeader, records: list[Record]) -> bytes:
+    """Return the bytes of a new segment with these records."""
+    seed = _header_seed(header)
+    return _frame(_ENCODER.encode(header), 0) + b"".join(encode_record(record, seed) for record in records)
 
 
-def framed(record: Record, seed: int) -> bytes:
-    return _frame(_ENCODER.encode(Entry(*record.number, record.fact)), seed)
+def encode_record(record: Record, seed: int) -> bytes:
+    """Return the frame of a record; seed: see checksum_seed()."""
+    return _frame(_ENCODER.encode(LogEntry(*record.number, record.fact)), seed)
 
 
 @dataclass
 class Segment:
-    """What can be read of one. torn: bytes at its end that are no whole frame, as a kill leaves them. rotten:
-    stretches (from, to) with whole frames behind them. missing: of what held at its begin, how many frames
-    are not there. gaps: numbers given since its begin that are not there, first and last of each."""
-
-    begin: Begin
+    """What can be read of a segment.
+
+    Attributes:
+        header: The first frame.
+        records: All that could be read, in the order of the file.
+        torn_bytes: Bytes at the end that are no complete frame, as a killed process leaves them.
+        corrupt_ranges: Offsets (from, to) of unreadable bytes with good frames behind them.
+        missing_records: How many records of the snapshot are not there.
+        sequence_gaps: Later numbers that are not there, first and last of each gap.
+    """
+
+    header: SegmentHeader
     records: list[Record] = field(default_factory=list)
-    torn: int = 0
-    rotten: list[tuple[int, int]] = field(default_factory=list)
-    missing: int = 0
-    gaps: list[tuple[SequenceNumber, SequenceNumber]] = field(default_factory=list)
+    torn_bytes: int = 0
+    corrupt_ranges: list[tuple[int, int]] = field(default_factory=list)
+    missing_records: int = 0
+    sequence_gaps: list[tuple[SequenceNumber, SequenceNumber]] = field(default_factory=list)
 
     @property
-    def whole(self) -> bool:
-        return not (self.rotten or self.missing or self.gaps)
+    def complete(self) -> bool:
+        """Nothing is known to be lost; a torn end is no loss."""
+        return not (self.corrupt_ranges or self.missing_records or self.sequence_gaps)
 
 
-def _payload(data: bytes, at: int, seed: int) -> bytes | None:
-    """Of the frame that begins there; None where there is no good one."""
-    if len(data) - at < HEAD.size:
-        return None
-    mark, length, said = HEAD.unpack_from(data, at)
-    if mark != MARK or length > PAYLOAD_MOST or at + HEAD.size + length > len(data):
+def read_segment(data: bytes) -> Segment | None:
+    """Read the bytes of a segment.
+
+    Returns:
+        None where the header can't be read, so that nothing of it can be trusted.
+
+    Raises:
+        UnusableSegmentError: A later version wrote it.
+    """
+    first = _payload_at(data, 0, 0)
+    header = _decode_header(first) if first is not None else None
+    if first is None or header is None:
         return None
-    payload = data[at + HEAD.size : at + HEAD.size + length]
-    return payload if google_crc32c.extend(seed, payload) == said else None
+    segment = Segment(header)
+    _read_frames(segment, data, FRAME_HEADER.size + len(first))
+    _find_losses(segment)
+    return segment
 
 
-def read(data: bytes) -> Segment | None:
-    """None where its identity can't be read, so that nothing of it can be trusted. Raises Unusable where a
-    later version wrote it."""
-    first = _payload(data, 0, 0)
-    if first is None:
+def _payload_at(data: bytes, offset: int, seed: int) -> bytes | None:
+    """Return the payload of the frame at this offset; None where there is no good one."""
+    if len(data) - offset < FRAME_HEADER.size:
         return None
+    mark, length, checksum = FRAME_HEADER.unpack_from(data, offset)
+    start = offset + FRAME_HEADER.size
+    if mark != MARK or length > MAX_PAYLOAD or start + length > len(data):
+        return None
+    payload = data[start : start + length]
+    return payload if google_crc32c.extend(seed, payload) == checksum else None
+
+
+def _decode_header(payload: bytes) -> SegmentHeader | None:
     try:
-        version = msgspec.msgpack.decode(first)[0]
+        version = msgspec.msgpack.decode(payload)[0]
         if version != VERSION:
-            raise Unusable(f"format version {version}; this program knows {VERSION}")
-        begin: Begin = msgspec.msgpack.decode(first, type=Begin)
+            raise UnusableSegmentError(f"format version {version}; this program knows {VERSION}")
+        return msgspec.msgpack.decode(payload, type=SegmentHeader)
     except (msgspec.DecodeError, IndexError, KeyError, TypeError):
         return None
-    found = Segment(begin)
-    seed = seed_of(begin.fleet, begin.head, begin.life, begin.segment)
-    at = HEAD.size + len(first)
-    bad = -1  # where what can't be read began
-    while at < len(data):
-        payload = _payload(data, at, seed)
-        entry = _entry(payload) if payload is not None else None
-        if payload is None or entry is None:
-            bad = at if bad < 0 else bad
-            at = data.find(MARK, at + 1)
-            if at < 0:
-                break
-            continue
-        if bad >= 0:
-            found.rotten.append((bad, at))
-            bad = -1
-        found.records.append(entry)
-        at += HEAD.size + len(payload)
-    if bad >= 0:
-        found.torn = len(data) - bad
-    _count(found)
-    return found
-
-
-def _entry(payload: bytes) -> Record | None:
+
+
+def _decode_record(payload: bytes) -> Record | None:
     try:
-        e = _ENTRY.decode(payload)
+        entry = _ENTRY_DECODER.decode(payload)
     except (msgspec.DecodeError, ValueError):
         return None
-    return Record((e.life, e.place), e.fact)
-
-
-def _count(found: Segment) -> None:
-    """What came since the begin is told from what held then by its number: those follow without a hole."""
-    last = found.begin.life, found.begin.place
-    held, expected = 0, found.begin.place + 1
-    for (life, place), _ in found.records:
-        if (life, place) <= last:
-            held += 1
+    return Record((entry.incarnation, entry.position), entry.fact)
+
+
+def _read_frames(segment: Segment, data: bytes, offset: int) -> None:
+    """Collect all good frames from the offset on, and what lies between them."""
+    seed = _header_seed(segment.header)
+    unreadable_from: int | None = None
+    while 0 <= offset < len(data):
+        payload = _payload_at(data, offset, seed)
+        record = _decode_record(payload) if payload is not None else None
+        if payload is None or record is None:
+            if unreadable_from is None:
+                unreadable_from = offset
+            offset = data.find(MARK, offset + 1)
+            continue
+        if unreadable_from is not None:
+            segment.corrupt_ranges.append((unreadable_from, offset))
+            unreadable_from = None
+        segment.records.append(record)
+        offset += FRAME_HEADER.size + len(payload)
+    if unreadable_from is not None:
+        segment.torn_bytes = len(data) - unreadable_from
+
+
+def _find_losses(segment: Segment) -> None:
+    """Count what is missing: records later than the snapshot have contiguous numbers, except in a replica."""
+    header = segment.header
+    snapshot_found = 0
+    expected = header.position + 1
+    for (incarnation, position), _ in segment.records:
+        if (incarnation, position) <= header.last:
+            snapshot_found += 1
             continue
-        if place > expected and not found.begin.copied:
-            found.gaps.append(((life, expected), (life, place - 1)))
-        expected = max(expected, place + 1)
-    found.missing = max(0, found.begin.whole - held)
+        if position > expected and not header.is_replica:
+            segment.sequence_gaps.append(((incarnation, expected), (incarnation, position - 1)))
+        expected = max(expected, position + 1)
+    segment.missing_records = max(0, header.snapshot_records - snapshot_found)
--- a/gorsethread/faults/branches.py
+++ b/gorsethread/faults/branches.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from gorsethread.durable_log.records import STEP, WriteProgress, WriteQueued
-from gorsethread.durable_log.recovery import place_of, recover
+from gorsethread.durable_log.recovery import parse_segment_file_name, recover
 from gorsethread.nvme.command import Opcode
 from gorsethread.nvme.subsystem import BLOCK
 from gorsethread.sitefile import site_pb2 as pb
@@ -85,7 +85,9 @@
     parked: set[int] = set()
     waiting: set[int] = set()
     for files in folders:
-        table = recover({n: d for n, d in files.items() if place_of(n) is not None}, None, None).table
+        table = recover(
+            {n: d for n, d in files.items() if parse_segment_file_name(n) is not None}, None, None
+        ).table
         for r in table.records.values():
             if isinstance(r.fact, WriteQueued):
                 step = table.records.get((STEP, r.fact.incarnation, r.fact.position))
--- a/gorsethread/faults/kept.py
+++ b/gorsethread/faults/kept.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from gorsethread.durable_log.segments import read
+from gorsethread.durable_log.segments import read_segment
 from gorsethread.nvme.command import Status
 from gorsethread.standins.client import LoadClient
 
@@ -32,10 +32,10 @@
 
     def take(self, segment: bytes) -> list[tuple[int, int, int]]:
         """Head, life and place of each number of this segment that said something else before."""
-        found = read(segment)
+        found = read_segment(segment)
         if found is None:
             return []
-        keyed = [((found.begin.head, *r.number), r.fact) for r in found.records]
+        keyed = [((found.header.gateway, *r.number), r.fact) for r in found.records]
         return [key for key, fact in keyed if self._said.setdefault(key, fact) != fact]
 
 
--- a/gorsethread/faults/recordsmutants.py
+++ b/gorsethread/faults/recordsmutants.py
@@ -50,8 +50,8 @@
     store = _promises(head).store
     honest = store.add
 
-    def add(record: Record, done: Callable[[bool], None] | None = None) -> None:
-        honest(record, None if done is None else lambda kept: done(True))
+    def add(record: Record, on_committed: Callable[[bool], None] | None = None) -> None:
+        honest(record, None if on_committed is None else lambda kept: on_committed(True))
 
     store.add = add  # type: ignore[method-assign]
 
@@ -78,7 +78,7 @@
 
     def opened() -> Any:
         found = honest()
-        found.whole = True
+        found.complete = True
         return found
 
     store.open = opened  # type: ignore[method-assign]
@@ -139,15 +139,15 @@
 @mutant("copies: what is on its way counts as held")
 def _sent_counts(head: Head) -> None:
     sender = _promises(head).sender
-    honest = sender.piece
+    honest = sender.next_batch
 
-    def piece(name: int, table: RecordTable, last: Any) -> Any:
-        found = honest(name, table, last)
+    def next_batch(gateway: int, table: RecordTable, last: Any) -> Any:
+        found = honest(gateway, table, last)
         if found is not None:
-            sender.has(name, last)
+            sender.confirmed(gateway, last)
         return replace(found, records=[]) if found is not None else None
 
-    sender.piece = piece  # type: ignore[method-assign]
+    sender.next_batch = next_batch  # type: ignore[method-assign]
 
 
 @mutant("copies: a holder keeps the first of each piece")
@@ -156,7 +156,9 @@
     honest = holding._keep
 
     async def keep(held: Any, m: replication_messages.Put) -> bool:
-        return bool(await honest(held, replication_messages.Put(m.life, m.begins, m.entries[:1], m.last)))
+        return bool(
+            await honest(held, replication_messages.Put(m.incarnation, m.replaces_all, m.entries[:1], m.last))
+        )
 
     holding._keep = keep
 
--- a/gorsethread/faults/recordsworld.py
+++ b/gorsethread/faults/recordsworld.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from gorsethread.durable_log.recovery import SUFFIX
+from gorsethread.durable_log.recovery import SEGMENT_SUFFIX
 from gorsethread.faults.kept import Forgetful, Numbers, rot
 from gorsethread.faults.script import Act, Script
 from gorsethread.faults.world import World
@@ -110,7 +110,9 @@
             )
         elif act.kind == "rot":
             own = own_of(self.records_of(head), head) + "/"
-            names = sorted(path for path in self.disk.files if path.startswith(own) and path.endswith(SUFFIX))
+            names = sorted(
+                path for path in self.disk.files if path.startswith(own) and path.endswith(SEGMENT_SUFFIX)
+            )
             if names:
                 self.disk.files[names[-1]][:] = rot(bytes(self.disk.files[names[-1]]))
         elif act.kind == "swap":
@@ -123,7 +125,7 @@
     def _count(self) -> None:
         """No number of a head's may ever say two things, on whatever disk it stands."""
         for path, data in self.disk.files.items():
-            if path.startswith("kept/") and path.endswith(SUFFIX):
+            if path.startswith("kept/") and path.endswith(SEGMENT_SUFFIX):
                 for head, life, place in self._numbers.take(bytes(data)):
                     self._defect(f"a number was given twice: head {head}, life {life}, place {place}")
 
--- a/gorsethread/faults/world.py
+++ b/gorsethread/faults/world.py
@@ -75,7 +75,7 @@
         {"promise": "placed", "flushed": "_flushed", "held": "_settle", "given": "_given"},
     ),
     **_points("holding", "nvme_gateway.replica_server", "ReplicaServer", {"greeted": "_greeted"}),
-    **_points("promises.store", "durable_log.store", "Store", {"segment": "_forget"}),
+    **_points("promises.store", "durable_log.log_store", "LogStore", {"segment": "_remove_old_segments"}),
 }
 COUNTED = ("honoured", "pushed back", "given up", "left")
 
--- a/gorsethread/harness/kept.py
+++ b/gorsethread/harness/kept.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from gorsethread.durable_log.recovery import SUFFIX
+from gorsethread.durable_log.recovery import SEGMENT_SUFFIX
 from gorsethread.faults.kept import Forgetful, Numbers, rot
 from gorsethread.faults.recordsworld import parted
 from gorsethread.faults.script import Act, Script
@@ -102,7 +102,7 @@
             other.rename(mine)
             aside.rename(other)
         elif act.kind == "rot":
-            names = sorted(Path(own_of(str(mine), head)).glob(f"*{SUFFIX}"))
+            names = sorted(Path(own_of(str(mine), head)).glob(f"*{SEGMENT_SUFFIX}"))
             for path in names[-1:]:
                 path.write_bytes(rot(path.read_bytes()))
         else:
@@ -112,7 +112,7 @@
                 past[-1].rename(mine)
 
     def _count(self) -> None:
-        for path in self.processes.folder.glob(f"records-*/**/*{SUFFIX}"):
+        for path in self.processes.folder.glob(f"records-*/**/*{SEGMENT_SUFFIX}"):
             with contextlib.suppress(FileNotFoundError):
                 self.result.numbers_reused += len(self.numbers.take(path.read_bytes()))
 
--- a/gorsethread/harness/site.py
+++ b/gorsethread/harness/site.py
@@ -50,7 +50,9 @@
     """Who called a head for records, or the list, by its first bytes."""
     with contextlib.suppress(replication_messages.ProtocolError):
         for m in replication_messages.MessageReader(offline_messages.DECODER).take(first):
-            if isinstance(m, replication_messages.Hello | offline_messages.Greet):
+            if isinstance(m, replication_messages.Hello):
+                return f"head {m.gateway}"
+            if isinstance(m, offline_messages.Greet):
                 return f"head {m.head}"
     with contextlib.suppress(msgspec.DecodeError):
         ask: Ask = msgspec.json.decode(first.splitlines()[0], type=Ask)
--- a/gorsethread/lab/records.py
+++ b/gorsethread/lab/records.py
@@ -11,9 +11,10 @@
 
 import msgspec
 
+from gorsethread.durable_log.group_commit import MAX_BATCH
+from gorsethread.durable_log.log_store import LogStore
 from gorsethread.durable_log.records import ExtentPlaced, Record
-from gorsethread.durable_log.segments import Entry
-from gorsethread.durable_log.store import BATCH_MOST, Store
+from gorsethread.durable_log.segments import LogEntry
 from gorsethread.errors import GorsethreadError
 from gorsethread.lab.bench import DEPTH, LOADS, Stand
 from gorsethread.lab.turns import in_turn
@@ -57,7 +58,7 @@
 
     async def _work(self) -> None:
         while self._pending:
-            batch, self._pending = self._pending[:BATCH_MOST], self._pending[BATCH_MOST:]
+            batch, self._pending = self._pending[:MAX_BATCH], self._pending[MAX_BATCH:]
             await asyncio.get_running_loop().run_in_executor(None, self._write, [r for r, _ in batch])
             for _, done in batch:
                 done(True)
@@ -66,7 +67,9 @@
     def _write(self, records: list[Record]) -> None:
         with self._env.begin(write=True) as transaction:
             for r in records:
-                transaction.put(b"%d/%d" % r.fact.subject, msgspec.msgpack.encode(Entry(*r.number, r.fact)))
+                transaction.put(
+                    b"%d/%d" % r.fact.subject, msgspec.msgpack.encode(LogEntry(*r.number, r.fact))
+                )
 
     def close(self) -> None:
         self._env.close()
@@ -105,9 +108,9 @@
     """For each depth: kept a second and the time that one of a hundred exceeds, log over embedded store,
     median and quartiles over neighbouring stretches."""
     (folder / "lmdb").mkdir(parents=True)
-    own, other = Store(transport, str(folder / "own"), 1, 0, log), Embedded(str(folder / "lmdb"))
+    own, other = LogStore(transport, str(folder / "own"), 1, 0, log), Embedded(str(folder / "lmdb"))
     own.open()
-    await own.begin(1)
+    await own.start_incarnation(1)
     rows, place = [], 0
     for depth in depths:
         rates, times = [], []
--- a/gorsethread/nvme_gateway/replica_server.py
+++ b/gorsethread/nvme_gateway/replica_server.py
@@ -7,9 +7,10 @@
 from typing import Any
 
 from gorsethread.durable_log import replication_messages
-from gorsethread.durable_log.records import NO_SEQUENCE, Record, RecordTable, SequenceNumber, pieces
-from gorsethread.durable_log.replication import CATCH_UP, CHUNK, CHUNK_BYTES, Keeping
-from gorsethread.durable_log.store import Store, strays
+from gorsethread.durable_log.log_store import LogStore
+from gorsethread.durable_log.records import NO_SEQUENCE, Record, RecordTable, SequenceNumber, batches
+from gorsethread.durable_log.replication import BATCH_BYTES, BATCH_RECORDS, CATCH_UP_PAUSE, IncarnationFence
+from gorsethread.durable_log.segment_files import load_misplaced_records
 from gorsethread.errors import GorsethreadError
 from gorsethread.head.peers import fleet_of
 from gorsethread.offline_writes import messages as offline_messages
@@ -34,7 +35,7 @@
 class Held:
     """One other head's records here."""
 
-    def __init__(self, store: Store, whole: bool) -> None:
+    def __init__(self, store: LogStore, whole: bool) -> None:
         self.store = store
         # Of a copy with holes nobody knows what it lacks: it is asked for everything.
         self.whole = whole
@@ -52,7 +53,7 @@
         self.heads = {h.number for h in site.head}
         mine = next((h.peers for h in site.head if h.number == head and site.records.copies), "")
         self.address = split_address(listen or mine) if mine else None
-        self.keeping = Keeping()
+        self.keeping = IncarnationFence()
         self.held: dict[int, Held] = {}  # as many as other heads
         self._streams: set[Stream] = set()
         self.branch_said: Callable[[Stream, Any], None] | None = None  # at a head of the main site
@@ -80,13 +81,17 @@
         """InUse, Unusable, OSError where what is held of that head can't be read."""
         held = self.held.get(origin)
         if held is None:
-            store = Store(self.transport, copies_of(self.folder, origin), self.fleet, origin, self.log, True)
+            store = LogStore(
+                self.transport, copies_of(self.folder, origin), self.fleet, origin, self.log, True
+            )
             found = store.open()
             # After an exchange of disks its own records stand here.
-            store.table.merge(strays(self.transport, own_of(self.folder, origin), self.fleet, origin))
-            held = self.held[origin] = Held(store, found.whole)
-            self.keeping.greets(origin, found.highest[0])
-            self.kept(origin, store.table.whole(), True, store.table.last)
+            store.table.merge(
+                load_misplaced_records(self.transport, own_of(self.folder, origin), self.fleet, origin)
+            )
+            held = self.held[origin] = Held(store, found.complete)
+            self.keeping.greet(origin, found.newest[0])
+            self.kept(origin, store.table.in_order(), True, store.table.last)
         return held
 
     async def _serve(self, stream: Stream) -> None:
@@ -98,13 +103,13 @@
             while True:
                 for m in reader.take(await stream.read()):
                     if isinstance(m, replication_messages.Hello):
-                        if m.fleet != self.fleet or m.head not in self.heads or m.head == self.head:
+                        if m.fleet != self.fleet or m.gateway not in self.heads or m.gateway == self.head:
                             raise replication_messages.ProtocolError(
-                                f"head {m.head} of fleet {m.fleet} is none of this fleet"
+                                f"head {m.gateway} of fleet {m.fleet} is none of this fleet"
                             )
-                        origin = m.head
+                        origin = m.gateway
                         guard.cancel()
-                        self._greeted(stream, origin, m.life)
+                        self._greeted(stream, origin, m.incarnation)
                     elif isinstance(m, offline_messages.Greet):
                         if m.fleet != self.fleet or m.head not in self.heads:
                             raise replication_messages.ProtocolError(
@@ -138,7 +143,7 @@
 
     def _greeted(self, stream: Stream, origin: int, life: int) -> None:
         held = self.of(origin)
-        latest = self.keeping.greets(origin, life)
+        latest = self.keeping.greet(origin, life)
         last = held.store.table.last if held.whole else NO_SEQUENCE
         if life >= latest:
             held.by = stream
@@ -151,17 +156,19 @@
         )
 
     async def _give(self, stream: Stream, origin: int, asked: replication_messages.Fetch) -> None:
-        later = list(pieces(self.of(origin).store.table.after(asked.after), CHUNK, CHUNK_BYTES)) or [[]]
+        later = list(
+            batches(self.of(origin).store.table.later_than(asked.after), BATCH_RECORDS, BATCH_BYTES)
+        ) or [[]]
         for n, piece in enumerate(later, 1):
             more = n < len(later)
             stream.write(
                 replication_messages.encode(
-                    replication_messages.Give(replication_messages.entries(piece), more)
+                    replication_messages.Give(replication_messages.to_entries(piece), more)
                 )
             )
             if more:
                 await stream.drained()
-                await self.transport.sleep(CATCH_UP)  # live work goes first
+                await self.transport.sleep(CATCH_UP_PAUSE)  # live work goes first
 
     async def _put(self, stream: Stream, origin: int, m: replication_messages.Put) -> None:
         held = self.of(origin)
@@ -170,16 +177,16 @@
             # which is forgotten by now, would stand again.
             if held.by is not stream:
                 raise StreamClosed("greeted anew since")
-            if not self.keeping.takes(origin, m.life):
+            if not self.keeping.accepts(origin, m.incarnation):
                 stream.write(
-                    replication_messages.encode(replication_messages.Over(self.keeping.lives[origin]))
+                    replication_messages.encode(replication_messages.Over(self.keeping.latest[origin]))
                 )
                 return
             kept = await self._keep(held, m)
             if kept:
                 held.store.table.last = max(held.store.table.last, m.last)
-                held.filled = not m.more and (m.begins or held.whole)
-                self.kept(origin, replication_messages.records(m.entries), m.begins, m.last)
+                held.filled = not m.more and (m.replaces_all or held.whole)
+                self.kept(origin, replication_messages.to_records(m.entries), m.replaces_all, m.last)
             stream.write(
                 replication_messages.encode(
                     replication_messages.Holds(m.last) if kept else replication_messages.Failed()
@@ -187,13 +194,13 @@
             )
 
     async def _keep(self, held: Held, m: replication_messages.Put) -> bool:
-        store, given = held.store, replication_messages.records(m.entries)
-        if m.begins:
-            store.replace(RecordTable(given))
+        store, given = held.store, replication_messages.to_records(m.entries)
+        if m.replaces_all:
+            store.replace_contents(RecordTable(given))
             held.whole = True
-        if m.begins or not store.started or m.life > store.life:
-            await store.begin(m.life)
-            if m.begins:
+        if m.replaces_all or not store.started or m.incarnation > store.incarnation:
+            await store.start_incarnation(m.incarnation)
+            if m.replaces_all:
                 return True
         if not given:
             return True
--- a/gorsethread/nvme_gateway/replicated_log.py
+++ b/gorsethread/nvme_gateway/replicated_log.py
@@ -13,6 +13,7 @@
 from typing import Any
 
 from gorsethread.durable_log import replication_messages
+from gorsethread.durable_log.log_store import LogStore
 from gorsethread.durable_log.records import (
     ExtentPlaced,
     ExtentReleased,
@@ -21,16 +22,16 @@
     RecordTable,
     SequenceNumber,
 )
-from gorsethread.durable_log.replica_placement import Place as At
-from gorsethread.durable_log.replica_placement import holders
+from gorsethread.durable_log.replica_placement import FailureDomain as At
+from gorsethread.durable_log.replica_placement import choose_replicas
 from gorsethread.durable_log.replication import (
-    AGAIN_LEAST,
-    AGAIN_MOST,
-    CATCH_UP,
-    HELD_WITHIN,
+    CATCH_UP_PAUSE,
+    MAX_RECONNECT_DELAY,
+    MIN_RECONNECT_DELAY,
+    REPLICATION_TIMEOUT,
     ReplicationSender,
 )
-from gorsethread.durable_log.store import Store, strays
+from gorsethread.durable_log.segment_files import load_misplaced_records
 from gorsethread.gateway.carrying import Place
 from gorsethread.head.peers import fleet_of
 from gorsethread.head.placement import SitePlacement
@@ -72,7 +73,7 @@
         self.transport, self.head, self.log, self.placement = transport, head, log, placement
         self.fleet, self.copies, self.living = fleet_of(site), int(site.records.copies), living
         self.folder = folder
-        self.store = Store(transport, own_of(folder, head), self.fleet, head, log)
+        self.store = LogStore(transport, own_of(folder, head), self.fleet, head, log)
         self.places = {h.number: At(h.zone, h.machine or f"of head {h.number}") for h in site.head}
         beside = heads_beside(site, head)
         self.others: dict[int, Address] = (
@@ -98,25 +99,27 @@
         """Reads what there is. InUse, Unusable, OSError."""
         found = self.store.open()
         # After an exchange of disks the copies that another held of this head's stand here.
-        found.table.merge(strays(self.transport, copies_of(self.folder, self.head), self.fleet, self.head))
+        found.table.merge(
+            load_misplaced_records(self.transport, copies_of(self.folder, self.head), self.fleet, self.head)
+        )
         now = self.transport.now()
         self.recovery = Return(
             now,
             found.table.last,
-            found.whole,
+            found.complete,
             found.empty,
-            self.store.accepted(),
+            self.store.loss_accepted(),
             frozenset(self.others),
-            self.sender.held_by,
+            self.sender.required,
         )
-        self.placement.known(found.table.placed())
+        self.placement.known(found.table.placements())
         self.log.info(
             "own records",
-            extents=len(found.table.placed()),
+            extents=len(found.table.placements()),
             last=found.table.last,
-            whole=found.whole,
+            whole=found.complete,
             empty=found.empty,
-            torn=found.torn,
+            torn=found.torn_bytes,
         )
 
     def start(self) -> None:
@@ -134,8 +137,8 @@
         while r.stage is Stage.POLLING:
             await self._tick()
         self.incarnation = r.next_life(self.transport.wall() * 1000.0)
-        self.store.holes = r.stage is not Stage.COMPLETE
-        await self.store.begin(self.incarnation)
+        self.store.incomplete = r.stage is not Stage.COMPLETE
+        await self.store.start_incarnation(self.incarnation)
         self.log.info("serves by its records", stage=r.stage.value, life=self.incarnation)
         self._look()
         told = False
@@ -150,11 +153,11 @@
                     wanted=r.wanted(),
                     to_do="bring those heads back, or accept: gorsethread records accept",
                 )
-            if r.lost and self.store.accepted():
+            if r.lost and self.store.loss_accepted():
                 r.accept(self.transport.now())
-        if self.store.holes:
-            self.store.holes = False
-            self.store.grow(RecordTable())
+        if self.store.incomplete:
+            self.store.incomplete = False
+            self.store.merge_recovered(RecordTable())
         self.log.info("nothing that it held is missing", after=round(r.since - r.began, 3))
 
     async def _tick(self) -> None:
@@ -167,18 +170,18 @@
     async def _ask_all(self) -> None:
         """What others hold of this head's, and that itself where it is later than the own. Who most likely
         holds it is asked first."""
-        asks = Asks(holders(self.head, self.places, self.others, len(self.others)), len(self.places))
+        asks = Asks(choose_replicas(self.head, self.places, self.others, len(self.others)), len(self.places))
         while (other := asks.next()) is not None and not self.stopped:
             if other in self.recovery.wanted():
                 self.transport.spawn(self._ask(other, asks))
             await self.transport.sleep(asks.gap)
             while not asks.waiting and self.recovery.wanted() and not self.stopped:
-                await self.transport.sleep(AGAIN_LEAST)  # what is asked may still fail
+                await self.transport.sleep(MIN_RECONNECT_DELAY)  # what is asked may still fail
 
     async def _ask(self, other: int, asks: Asks) -> None:
         r, began = self.recovery, self.transport.now()
         if r.stage is not Stage.POLLING and other not in self.living():
-            await self.transport.sleep(AGAIN_MOST)  # the view holds it dead: it hardly answers
+            await self.transport.sleep(MAX_RECONNECT_DELAY)  # the view holds it dead: it hardly answers
         try:
             await self._ask_once(other)
         except (Unreachable, StreamClosed, replication_messages.ProtocolError) as error:
@@ -194,7 +197,7 @@
             while True:
                 for m in reader.take(await stream.read()):
                     if isinstance(m, replication_messages.Have):
-                        if not self.recovery.answered(other, m.last, m.life, self.transport.now()):
+                        if not self.recovery.answered(other, m.last, m.incarnation, self.transport.now()):
                             return
                         stream.write(
                             replication_messages.encode(replication_messages.Fetch(self.recovery.own))
@@ -202,8 +205,8 @@
                     elif isinstance(m, replication_messages.Give):
                         guard.cancel()
                         guard = self.transport.at(self.transport.now() + SILENCE_MOST, stream.close)
-                        for record in replication_messages.records(m.entries):
-                            got.take(record)
+                        for record in replication_messages.to_records(m.entries):
+                            got.apply(record)
                         if not m.more:
                             self._given(other, got)
                             return
@@ -213,9 +216,9 @@
 
     def _given(self, other: int, got: RecordTable) -> None:
         self.log.info("records given back", by=other, records=len(got.records), last=got.last)
-        self.store.grow(got)
-        self.sender.anew()
-        self.placement.known(self.store.table.placed())
+        self.store.merge_recovered(got)
+        self.sender.resend_all()
+        self.placement.known(self.store.table.placements())
         self.on_records_recovered()
         self.recovery.got(other, self.transport.now())
 
@@ -223,10 +226,10 @@
 
     def retry_after(self) -> float:
         now = self.transport.now()
-        if not self.store.started or self.sender.shut_out or not self.sender.enough:
+        if not self.store.started or self.sender.fenced or not self.sender.has_quorum:
             least = RETRY_AFTER
         else:
-            least = max(self.recovery.refuses(now), self.store.disk.refuses(now, self.store.pending))
+            least = max(self.recovery.refuses(now), self.store.disk.retry_after(now, self.store.pending))
         return spread_retry_after(least, self.chance.random()) if least else 0.0
 
     def placed(self, place: Place, shard: int, done: Done) -> None:
@@ -257,11 +260,11 @@
 
     def _flushed(self, number: SequenceNumber, kept: bool, done: Done | None, here: bool) -> None:
         if done is not None:
-            if not kept or here or self.sender.held_by == 0:
+            if not kept or here or self.sender.required == 0:
                 done(kept)
             else:
                 self._unheld.append((number, done))
-                self.transport.at(self.transport.now() + HELD_WITHIN, lambda: self._overdue(number))
+                self.transport.at(self.transport.now() + REPLICATION_TIMEOUT, lambda: self._overdue(number))
         self._pump_all()
 
     def _overdue(self, number: SequenceNumber) -> None:
@@ -278,27 +281,29 @@
     def _look(self) -> None:
         if self.stopped:
             return
-        names = holders(self.head, self.places, [n for n in self.living() if n in self.others], self.copies)
-        fresh, gone = self.sender.chosen(names)
+        names = choose_replicas(
+            self.head, self.places, [n for n in self.living() if n in self.others], self.copies
+        )
+        fresh, gone = self.sender.choose(names)
         for n in gone:
             if stream := self._streams.get(n):
                 stream.close()
         for n in fresh:
             self.transport.spawn(self._hold(n))
         if fresh or gone:
-            self.log.info("holders of copies", heads=sorted(self.sender.holders))
+            self.log.info("holders of copies", heads=sorted(self.sender.replicas))
         self.transport.at(self.transport.now() + LOOK_EVERY, self._look)
 
     async def _hold(self, other: int) -> None:
-        wait = AGAIN_LEAST
-        while other in self.sender.holders and not self.stopped and not self.sender.shut_out:
+        wait = MIN_RECONNECT_DELAY
+        while other in self.sender.replicas and not self.stopped and not self.sender.fenced:
             try:
                 await self._hold_once(other)
-                wait = AGAIN_LEAST
+                wait = MIN_RECONNECT_DELAY
             except (Unreachable, replication_messages.ProtocolError) as error:
                 self.log.debug("no way to a holder", other=other, reason=str(error))
-                wait = min(AGAIN_MOST, 2.0 * wait)
-            self.sender.lost(other)
+                wait = min(MAX_RECONNECT_DELAY, 2.0 * wait)
+            self.sender.disconnected(other)
             await self.transport.sleep(wait)
 
     async def _hold_once(self, other: int) -> None:
@@ -310,8 +315,10 @@
         def watch() -> None:
             """Guards against a machine that vanished: what waits for it would wait for good."""
             if self._streams.get(other) is stream:
-                h = self.sender.holders.get(other)
-                if (h is None or h.out or h.mark is None) and self.transport.now() - heard[0] > SILENCE_MOST:
+                h = self.sender.replicas.get(other)
+                if (h is None or h.in_flight or h.confirmed is None) and self.transport.now() - heard[
+                    0
+                ] > SILENCE_MOST:
                     stream.close()
                 self.transport.at(self.transport.now() + 1.0, watch)
 
@@ -333,25 +340,25 @@
             stream.close()
 
     def _told_by(self, other: int, m: replication_messages.Message) -> None:
-        if isinstance(m, replication_messages.Have) and m.life <= self.incarnation:
-            self.sender.met(other, m.last, self.store.forgot)
+        if isinstance(m, replication_messages.Have) and m.incarnation <= self.incarnation:
+            self.sender.connected(other, m.last, self.store.removals_dropped)
             self._pump(other)
         elif isinstance(m, replication_messages.Have | replication_messages.Over):
-            self.sender.shut_out = True
+            self.sender.fenced = True
             self.log.error(
                 "a later life of this head is known; nothing is promised any more",
                 by=other,
-                life=m.life,
+                life=m.incarnation,
                 own=self.incarnation,
                 to_do="end one of the two processes of this head",
             )
         elif isinstance(m, replication_messages.Holds):
-            full = self.sender.has(other, m.last)
-            held = self.sender.held
+            full = self.sender.confirmed(other, m.last)
+            held = self.sender.replicated
             while self._unheld and self._unheld[0][0] <= held:
                 self._unheld.popleft()[1](True)
             if full:
-                self.transport.at(self.transport.now() + CATCH_UP, lambda: self._pump(other))
+                self.transport.at(self.transport.now() + CATCH_UP_PAUSE, lambda: self._pump(other))
             else:
                 self._pump(other)
         elif isinstance(m, replication_messages.Failed):
@@ -365,14 +372,14 @@
         stream = self._streams.get(other)
         if stream is None:
             return
-        piece = self.sender.piece(other, self.store.table, self.store.flushed)
+        piece = self.sender.next_batch(other, self.store.table, self.store.flushed)
         if piece is not None:
             stream.write(
                 replication_messages.encode(
                     replication_messages.Put(
                         self.incarnation,
-                        piece.begins,
-                        replication_messages.entries(piece.records),
+                        piece.replaces_all,
+                        replication_messages.to_entries(piece.records),
                         piece.last,
                         piece.more,
                     )
--- a/tests/fuzz_records.py
+++ b/tests/fuzz_records.py
@@ -23,8 +23,15 @@
         WriteProgress,
         WriteQueued,
     )
-    from gorsethread.durable_log.recovery import name_of, recover
-    from gorsethread.durable_log.segments import Begin, Unusable, begun, framed, read, seed_of
+    from gorsethread.durable_log.recovery import recover, segment_file_name
+    from gorsethread.durable_log.segments import (
+        SegmentHeader,
+        UnusableSegmentError,
+        checksum_seed,
+        encode_record,
+        encode_segment,
+        read_segment,
+    )
     from gorsethread.offline_writes import messages as offline_messages
 
 OWN = [Record((9, n), ExtentPlaced(1, n, n % 3) if n % 4 else ExtentReleased(1, n)) for n in range(1, 9)]
@@ -38,12 +45,14 @@
     Record((9, 9), WriteApplied(3, 9, 6, True)),
     Record((9, 10), WriteDiscarded(9, 6, 1, 2, 1.5, "why")),
 ]
-NAMES = [name_of(9, 1), name_of(9, 2)]
+NAMES = [segment_file_name(9, 1), segment_file_name(9, 2)]
 
 
 def segment(number: int) -> bytes:
-    seed = seed_of(1, 2, 9, number)
-    return begun(Begin(1, 1, 2, 9, number, 4, 4), OWN[:4]) + b"".join(framed(r, seed) for r in OWN[4:])
+    seed = checksum_seed(1, 2, 9, number)
+    return encode_segment(SegmentHeader(1, 1, 2, 9, number, 4, 4), OWN[:4]) + b"".join(
+        encode_record(r, seed) for r in OWN[4:]
+    )
 
 
 def messages() -> bytes:
@@ -53,8 +62,8 @@
             replication_messages.Hello(1, 2, 9),
             replication_messages.Have(9, (9, 4)),
             replication_messages.Fetch((9, 1)),
-            replication_messages.Give(replication_messages.entries(OWN), True),
-            replication_messages.Put(9, True, replication_messages.entries(OWN + OTHERS), (9, 10)),
+            replication_messages.Give(replication_messages.to_entries(OWN), True),
+            replication_messages.Put(9, True, replication_messages.to_entries(OWN + OTHERS), (9, 10)),
             replication_messages.Holds((9, 8)),
             replication_messages.Over(10),
             replication_messages.Failed(),
@@ -77,17 +86,17 @@
     which, data = data[0], data[1:]
     if which % 3 == 0:
         try:
-            found = read(data)
-        except Unusable:
+            found = read_segment(data)
+        except UnusableSegmentError:
             return
         if found is not None:
             # A frame with a good sum is one that was written, short of a collision.
-            assert all(r in OWN for r in found.records) or found.begin != Begin(1, 1, 2, 9, 1, 4, 4)
+            assert all(r in OWN for r in found.records) or found.header != SegmentHeader(1, 1, 2, 9, 1, 4, 4)
     elif which % 3 == 1:
         cut = data[0] % len(data) if data else 0
         try:
             recover({NAMES[0]: data[:cut], NAMES[1]: data[cut:]}, 1, 2)
-        except Unusable:
+        except UnusableSegmentError:
             return
     else:
         reader = replication_messages.MessageReader(offline_messages.DECODER)
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -14,8 +14,8 @@
 
 from gorsethread.cli.main import app
 from gorsethread.durable_log import replication_messages
+from gorsethread.durable_log.log_store import LogStore
 from gorsethread.durable_log.records import ExtentPlaced, Record
-from gorsethread.durable_log.store import Store
 from gorsethread.faults.recordsmutants import KEPT_MUTANTS
 from gorsethread.faults.recordsworld import RecordsWorld
 from gorsethread.faults.runs import play, play_many
@@ -138,7 +138,7 @@
         w = self.good("3 wipe head-0 for 0.5\n3 kill head-2 for 3\n")
         returning = w.heads[0].promises.recovery
         self.assertGreater(returning.since - returning.began, 2.0, "it waited for the one that may hold more")
-        self.assertGreater(len(w.heads[0].promises.store.table.placed()), 10)
+        self.assertGreater(len(w.heads[0].promises.store.table.placements()), 10)
 
     def test_exchanged_disks_are_told_apart(self) -> None:
         self.good("3 swap head-0 <-> head-1 for 0.5\n")
@@ -190,7 +190,7 @@
 
         w.loop.call_at(w.zero + 4.0, second)
         outcome = w.play()
-        self.assertTrue(w.heads[0].promises.sender.shut_out)
+        self.assertTrue(w.heads[0].promises.sender.fenced)
         self.assertEqual(["does not promise again"], outcome.reasons)
 
 
@@ -202,7 +202,7 @@
             replication_messages.Holds((4, 5)),
             replication_messages.Failed(),
             replication_messages.Put(
-                3, False, replication_messages.entries([Record((1, 1), ExtentPlaced(1, 2, 3))]), (1, 1)
+                3, False, replication_messages.to_entries([Record((1, 1), ExtentPlaced(1, 2, 3))]), (1, 1)
             ),
         ]
         data = b"".join(replication_messages.encode(m) for m in messages)
@@ -226,9 +226,9 @@
         async def fill() -> None:
             transport = RealTransport(1)
             for name, head, copied in (("own-0", 0, False), ("copies/head-2", 2, True)):
-                store = Store(transport, f"{self.folder}/{name}", fleet_of(SITE), head, log_for(), copied)
+                store = LogStore(transport, f"{self.folder}/{name}", fleet_of(SITE), head, log_for(), copied)
                 store.open()
-                await store.begin(1000)
+                await store.start_incarnation(1000)
                 told: list[bool] = []
                 for n in range(1, 9):
                     store.add(Record((1000, n), ExtentPlaced(4, n, 1)), told.append)
@@ -275,7 +275,7 @@
             self.assertEqual((2, True), (status, "to do: Name the folder" in text), text)
         (self.folder / "own-0").rename(self.folder / "own-1")
         status, text = self.run_it("show", str(self.folder))
-        self.assertEqual((2, True), (status, "written by head 0, not 1" in text))
+        self.assertEqual((2, True), (status, "written by gateway 0, not 1" in text))
 
     def test_a_head_whose_folder_is_in_use_or_anothers_says_what_to_do(self) -> None:
         (self.folder / "own-0").rename(self.folder / "own-1")
@@ -284,7 +284,7 @@
             [sys.executable, "-m", "gorsethread", *words], capture_output=True, text=True, timeout=60
         )
         self.assertEqual(2, done.returncode, done.stderr)
-        self.assertIn("written by head 0", done.stderr)
+        self.assertIn("written by gateway 0", done.stderr)
         self.assertIn("Give each head the folder that it had before", done.stderr)
 
     def test_what_a_site_says_of_records_is_checked(self) -> None:
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -13,11 +13,31 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gorsethread.durable_log.disk_health import AGAIN_LEAST, AGAIN_MOST, PATIENCE, PENDING_MOST, Disk, State
+from gorsethread.durable_log.disk_health import (
+    MAX_PENDING,
+    MAX_RETRY_DELAY,
+    MIN_RETRY_DELAY,
+    SLOW_AFTER,
+    DiskHealth,
+    DiskState,
+)
+from gorsethread.durable_log.log_store import FolderInUseError, LogStore
 from gorsethread.durable_log.records import ExtentPlaced, ExtentReleased, Record, RecordTable
-from gorsethread.durable_log.recovery import NotItsOwn, name_of, place_of, recover
-from gorsethread.durable_log.segments import Begin, Segment, Unusable, begun, framed, read, seed_of
-from gorsethread.durable_log.store import InUse, Store
+from gorsethread.durable_log.recovery import (
+    ForeignSegmentError,
+    parse_segment_file_name,
+    recover,
+    segment_file_name,
+)
+from gorsethread.durable_log.segments import (
+    Segment,
+    SegmentHeader,
+    UnusableSegmentError,
+    checksum_seed,
+    encode_record,
+    encode_segment,
+    read_segment,
+)
 from gorsethread.faults.world import Silent
 from gorsethread.transport.real import RealTransport
 from gorsethread.transport.virtual import Disk as Files
@@ -43,14 +63,14 @@
 
 def segment(number: int = 1, held: int = 0, new: int = 0, place: int = 0) -> bytes:
     """held: records of an earlier life; new: since its begin, from place on."""
-    seed = seed_of(FLEET, HEAD, LIFE, number)
+    seed = checksum_seed(FLEET, HEAD, LIFE, number)
     old = [placed(n + 1, 100 + n, life=LIFE - 1) for n in range(held)]
-    new_ones = b"".join(framed(placed(place + n + 1), seed) for n in range(new))
-    return begun(Begin(1, FLEET, HEAD, LIFE, number, place, held), old) + new_ones
+    new_ones = b"".join(encode_record(placed(place + n + 1), seed) for n in range(new))
+    return encode_segment(SegmentHeader(1, FLEET, HEAD, LIFE, number, place, held), old) + new_ones
 
 
 def of(data: bytes) -> Segment:
-    found = read(data)
+    found = read_segment(data)
     assert found is not None
     return found
 
@@ -73,16 +93,16 @@
 
     def test_what_is_freed_is_not_brought_back_by_what_comes_late(self) -> None:
         table = RecordTable([Record((1, 2), ExtentReleased(1, 7)), Record((1, 1), ExtentPlaced(1, 7, 3))])
-        self.assertEqual({}, table.placed())
-        self.assertEqual((1, 2), table.compact())
+        self.assertEqual({}, table.placements())
+        self.assertEqual((1, 2), table.drop_removals())
         self.assertEqual(({}, (1, 2)), (table.records, table.last))
 
 
 class Frames(unittest.TestCase):
     def test_what_is_written_is_read(self) -> None:
         found = of(segment(held=3, new=4))
-        self.assertTrue(found.whole)
-        self.assertEqual((7, 0), (len(found.records), found.torn))
+        self.assertTrue(found.complete)
+        self.assertEqual((7, 0), (len(found.records), found.torn_bytes))
 
     def test_cut_at_every_byte_it_is_torn_and_nothing_before_is_lost(self) -> None:
         data, ends = segment(new=5), []
@@ -90,11 +110,11 @@
             ends.append(len(segment(new=n)))
         for cut in range(ends[0], len(data)):
             found = of(data[:cut])
-            self.assertTrue(found.whole, cut)
+            self.assertTrue(found.complete, cut)
             whole = max(n for n, end in enumerate(ends) if end <= cut)
-            self.assertEqual((whole, cut - ends[whole]), (len(found.records), found.torn), cut)
+            self.assertEqual((whole, cut - ends[whole]), (len(found.records), found.torn_bytes), cut)
         for cut in range(ends[0]):
-            self.assertIsNone(read(data[:cut]))
+            self.assertIsNone(read_segment(data[:cut]))
 
     def test_any_bytes_spoilt_are_said_and_what_is_behind_is_read(self) -> None:
         data, start = segment(held=4, new=6), len(segment())
@@ -104,44 +124,47 @@
             spoilt = bytearray(data)
             spoilt[at] ^= 1 + chance.randrange(255)
             found = of(bytes(spoilt))
-            self.assertFalse(found.whole, at)
+            self.assertFalse(found.complete, at)
             self.assertGreaterEqual(len(found.records), 9)
-            self.assertTrue(found.rotten)
+            self.assertTrue(found.corrupt_ranges)
             self.assertTrue(set(found.records) <= set(of(data).records))
 
     def test_a_frame_of_another_segment_is_not_taken(self) -> None:
-        other = framed(placed(2, shard=9), seed_of(FLEET, HEAD, LIFE, 2))
-        found = of(segment(new=1) + other + framed(placed(2), seed_of(FLEET, HEAD, LIFE, 1)))
+        other = encode_record(placed(2, shard=9), checksum_seed(FLEET, HEAD, LIFE, 2))
+        found = of(segment(new=1) + other + encode_record(placed(2), checksum_seed(FLEET, HEAD, LIFE, 1)))
         self.assertEqual([1, 1], [r.fact.shard for r in found.records if isinstance(r.fact, ExtentPlaced)])
 
     def test_a_hole_in_the_numbers_is_told(self) -> None:
-        seed = seed_of(FLEET, HEAD, LIFE, 1)
-        found = of(segment(new=2) + framed(placed(5), seed))
-        self.assertEqual([((LIFE, 3), (LIFE, 4))], found.gaps)
+        seed = checksum_seed(FLEET, HEAD, LIFE, 1)
+        found = of(segment(new=2) + encode_record(placed(5), seed))
+        self.assertEqual([((LIFE, 3), (LIFE, 4))], found.sequence_gaps)
 
     def test_a_later_version_is_refused(self) -> None:
-        with self.assertRaises(Unusable):
-            read(begun(Begin(2, FLEET, HEAD, LIFE, 1, 0, 0), []))
+        with self.assertRaises(UnusableSegmentError):
+            read_segment(encode_segment(SegmentHeader(2, FLEET, HEAD, LIFE, 1, 0, 0), []))
 
     @given(st.binary(max_size=200), st.integers(0, 400))
     @settings(max_examples=300)
     def test_bytes_of_any_kind_break_nothing(self, noise: bytes, at: int) -> None:
         whole = segment(held=2, new=3)
         for data in (noise, whole[:at] + noise + whole[at:]):
-            found = read(data)
+            found = read_segment(data)
             if found is not None:
                 self.assertLessEqual({r.number for r in found.records}, {r.number for r in of(whole).records})
 
 
 class Recovery(unittest.TestCase):
     def folder(self, **changed: bytes) -> Any:
-        files = {name_of(LIFE, 1): segment(1, new=3), name_of(LIFE, 2): segment(2, held=2, new=1, place=3)}
-        files.update({name_of(LIFE, int(k[1:])): data for k, data in changed.items()})
+        files = {
+            segment_file_name(LIFE, 1): segment(1, new=3),
+            segment_file_name(LIFE, 2): segment(2, held=2, new=1, place=3),
+        }
+        files.update({segment_file_name(LIFE, int(k[1:])): data for k, data in changed.items()})
         return recover({**files, "lock": b"", "x.seg": b""}, FLEET, HEAD)
 
     def test_the_newest_whole_segment_is_enough(self) -> None:
         found = self.folder(s1=segment(1, new=2))
-        self.assertTrue(found.whole)
+        self.assertTrue(found.complete)
         self.assertEqual((LIFE, 4), found.table.last)
         self.assertEqual(3, len(found.table.records))
 
@@ -149,62 +172,69 @@
         newest = bytearray(segment(2, held=2, new=1, place=3))
         newest[len(segment(2)) + 12] ^= 1
         found = self.folder(s2=bytes(newest))
-        self.assertFalse(found.whole)
+        self.assertFalse(found.complete)
         self.assertEqual(5, len(found.table.records))  # three of the first, one held, one new
         self.assertEqual(2, len(found.faults))
 
     def test_what_was_flushed_to_the_one_before_meanwhile_counts(self) -> None:
-        files = {name_of(LIFE, 1): segment(1, new=6), name_of(LIFE, 2): segment(2, held=2, place=4)}
+        files = {
+            segment_file_name(LIFE, 1): segment(1, new=6),
+            segment_file_name(LIFE, 2): segment(2, held=2, place=4),
+        }
         found = recover(files, FLEET, HEAD)
-        self.assertEqual((True, (LIFE, 6), 4), (found.whole, found.table.last, len(found.table.records)))
-        files[name_of(LIFE, 1)] = files[name_of(LIFE, 1)].replace(b"\xa7\x5e", b"\xa7\x5f", 2)
-        self.assertFalse(recover(files, FLEET, HEAD).whole)
+        self.assertEqual((True, (LIFE, 6), 4), (found.complete, found.table.last, len(found.table.records)))
+        files[segment_file_name(LIFE, 1)] = files[segment_file_name(LIFE, 1)].replace(
+            b"\xa7\x5e", b"\xa7\x5f", 2
+        )
+        self.assertFalse(recover(files, FLEET, HEAD).complete)
 
     def test_a_begin_that_cant_be_read_leaves_its_number_used(self) -> None:
         found = self.folder(s3=b"\xa7\x5e" + bytes(40))
-        self.assertEqual((False, (LIFE, 3)), (found.whole, found.highest))
+        self.assertEqual((False, (LIFE, 3)), (found.complete, found.newest))
         self.assertEqual((LIFE, 4), found.table.last)
 
     def test_an_empty_folder_is_told_from_a_whole_one(self) -> None:
         found = recover({}, FLEET, HEAD)
-        self.assertEqual((True, True), (found.empty, found.whole))
+        self.assertEqual((True, True), (found.empty, found.complete))
 
     def test_anothers_folder_is_refused(self) -> None:
-        files = {name_of(LIFE, 1): segment(1)}
+        files = {segment_file_name(LIFE, 1): segment(1)}
         for fleet, head in ((FLEET, HEAD + 1), (FLEET + 1, HEAD)):
-            with self.assertRaises(NotItsOwn):
+            with self.assertRaises(ForeignSegmentError):
                 recover(files, fleet, head)
-        with self.assertRaises(NotItsOwn):
-            recover({name_of(LIFE, 3): segment(1)}, FLEET, HEAD)
-        self.assertIsNone(place_of("zz-1.seg"))
+        with self.assertRaises(ForeignSegmentError):
+            recover({segment_file_name(LIFE, 3): segment(1)}, FLEET, HEAD)
+        self.assertIsNone(parse_segment_file_name("zz-1.seg"))
 
 
 class Disks(unittest.TestCase):
     def test_a_slow_one_takes_no_more_and_is_well_again(self) -> None:
-        disk = Disk()
-        disk.begins(0.0)
-        self.assertEqual(0.0, disk.refuses(PATIENCE, 0))
-        self.assertEqual(PATIENCE, disk.refuses(PATIENCE + 0.1, 0))
-        disk.ends(2.0)
-        self.assertEqual((0.0, State.WELL, 2.0), (disk.refuses(2.0, 0), disk.state(2.0), disk.longest))
-        self.assertGreater(disk.refuses(2.0, PENDING_MOST), 0.0)
+        disk = DiskHealth()
+        disk.commit_started(0.0)
+        self.assertEqual(0.0, disk.retry_after(SLOW_AFTER, 0))
+        self.assertEqual(SLOW_AFTER, disk.retry_after(SLOW_AFTER + 0.1, 0))
+        disk.commit_ended(2.0)
+        self.assertEqual(
+            (0.0, DiskState.HEALTHY, 2.0), (disk.retry_after(2.0, 0), disk.state(2.0), disk.longest)
+        )
+        self.assertGreater(disk.retry_after(2.0, MAX_PENDING), 0.0)
 
     def test_a_failing_one_is_tried_now_and_then(self) -> None:
-        disk, now, tries = Disk(), 0.0, 0
-        disk.ends(now, True, True)
-        self.assertEqual(State.FULL, disk.state(now))
+        disk, now, tries = DiskHealth(), 0.0, 0
+        disk.commit_ended(now, True, True)
+        self.assertEqual(DiskState.FULL, disk.state(now))
         while now < 60.0:
             now += 0.01
-            self.assertGreaterEqual(disk.refuses(now, 0), AGAIN_LEAST)
-            self.assertLessEqual(disk.refuses(now, 0), AGAIN_MOST)
-            if disk.tries(now):
+            self.assertGreaterEqual(disk.retry_after(now, 0), MIN_RETRY_DELAY)
+            self.assertLessEqual(disk.retry_after(now, 0), MAX_RETRY_DELAY)
+            if disk.should_retry(now):
                 tries += 1
-                disk.begins(now)
-                disk.ends(now, True)
+                disk.commit_started(now)
+                disk.commit_ended(now, True)
         self.assertEqual(18, tries)
-        disk.begins(now)
-        disk.ends(now)
-        self.assertEqual(0.0, disk.refuses(now, 0))
+        disk.commit_started(now)
+        disk.commit_ended(now)
+        self.assertEqual(0.0, disk.retry_after(now, 0))
 
 
 class Stores(unittest.TestCase):
@@ -213,7 +243,9 @@
     def setUp(self) -> None:
         self.loop = VirtualLoop()
         self.addCleanup(self.loop.close)
-        small = mock.patch("gorsethread.durable_log.store.GROWS", 1 << 15)  # so that segments change often
+        small = mock.patch(
+            "gorsethread.durable_log.compaction.COMPACT_AFTER_BYTES", 1 << 15
+        )  # so that segments change often
         small.start()
         self.addCleanup(small.stop)
         self.files = Files()
@@ -226,10 +258,10 @@
         self.addCleanup(made.kill)
         return made
 
-    def store(self, process: VirtualTransport, life: int = LIFE) -> tuple[Store, Any]:
-        store = Store(process, "records", FLEET, HEAD, Silent())
+    def store(self, process: VirtualTransport, life: int = LIFE) -> tuple[LogStore, Any]:
+        store = LogStore(process, "records", FLEET, HEAD, Silent())
         found = store.open()
-        process.spawn(store.begin(life))
+        process.spawn(store.start_incarnation(life))
         self.wait(0.5)
         return store, found
 
@@ -245,7 +277,7 @@
     def wait(self, seconds: float) -> None:
         self.loop.run_until_complete(asyncio.sleep(seconds))
 
-    def add(self, store: Store, place: int, life: int = LIFE) -> None:
+    def add(self, store: LogStore, place: int, life: int = LIFE) -> None:
         store.add(placed(place, life=life), lambda kept: (self.kept if kept else self.lost).append(place))
 
     def test_what_was_told_as_kept_is_there_after_a_kill_at_any_moment(self) -> None:
@@ -260,7 +292,7 @@
                 self.wait(chance.uniform(0.0, 0.002))
             found = self.again(process)
             there = {r.number[1] for r in found.table.records.values()}
-            self.assertTrue(found.whole, found.faults)
+            self.assertTrue(found.complete, found.faults)
             self.assertLessEqual(set(self.kept), there)
             self.assertEqual(there, set(range(1, len(there) + 1)))
             self.assertGreater(len(self.kept), 5)
@@ -282,9 +314,9 @@
         self.add(store, 2)
         self.wait(0.1)
         self.assertEqual(
-            ([1], [2], State.FULL), (self.kept, self.lost, store.disk.state(store.transport.now()))
+            ([1], [2], DiskState.FULL), (self.kept, self.lost, store.disk.state(store.transport.now()))
         )
-        self.assertGreater(store.disk.refuses(store.transport.now(), 0), 0.0)
+        self.assertGreater(store.disk.retry_after(store.transport.now(), 0), 0.0)
         for place in range(3, 40):
             self.wait(0.2)
             self.add(store, place)
@@ -294,7 +326,9 @@
         self.wait(0.1)
         self.assertEqual([1, 40], self.kept)
         found = self.again(process)
-        self.assertEqual((True, {1, 40}), (found.whole, {r.number[1] for r in found.table.records.values()}))
+        self.assertEqual(
+            (True, {1, 40}), (found.complete, {r.number[1] for r in found.table.records.values()})
+        )
 
     def test_it_is_bounded_and_nothing_is_lost_as_segments_change(self) -> None:
         process = self.process()
@@ -307,9 +341,9 @@
         sizes = [len(data) for name, data in self.files.files.items() if name.endswith(".seg")]
         self.assertLessEqual(len(sizes), 2)
         self.assertLess(sum(sizes), 1 << 18)
-        self.assertGreater(store._highest, 1, "else no segment was exchanged")
+        self.assertGreater(store._segment_number, 1, "else no segment was exchanged")
         found = self.again(process)
-        self.assertTrue(found.whole, found.faults)
+        self.assertTrue(found.complete, found.faults)
         self.assertEqual((LIFE, 9_000), max(r.number for r in found.table.records.values()))
         self.assertEqual(500, len(found.table.records))
 
@@ -330,7 +364,7 @@
                     (self.files.broken.add if chance.random() < 0.06 else self.files.broken.discard)("head 2")
                     self.wait(chance.choice((0.001, 0.004, 0.02)))
             found = self.again(process)
-            self.assertTrue(found.whole, found.faults)
+            self.assertTrue(found.complete, found.faults)
             there = {r.fact.subject[1]: r.number[1] for r in found.table.records.values()}
             for extent, n in told.items():
                 self.assertGreaterEqual(there.get(extent, 0), n, (seed, extent))
@@ -349,11 +383,11 @@
 
             numbers = itertools.count(1)
 
-            def add(many: int, store: Store = store, numbers: Any = numbers, kept: Any = kept) -> None:
+            def add(many: int, store: LogStore = store, numbers: Any = numbers, kept: Any = kept) -> None:
                 for n in itertools.islice(numbers, many):
                     store.add(Record((LIFE, n), ExtentPlaced(1, n % 300, 1)), kept(n))
 
-            while not store._making:
+            while not store._compaction.running:
                 add(200)
                 self.wait(0.004)
             for _ in range(1 + chance.randrange(300)):
@@ -361,7 +395,7 @@
                 self.wait(chance.uniform(0.0, 0.0005))
             self.files.slow.clear()
             found = self.again(process)
-            self.assertTrue(found.whole, found.faults)
+            self.assertTrue(found.complete, found.faults)
             there = {r.fact.subject[1]: r.number[1] for r in found.table.records.values()}
             for extent, last in told.items():
                 self.assertGreaterEqual(there.get(extent, 0), last, (seed, extent))
@@ -369,19 +403,19 @@
     def test_the_second_process_of_a_folder_is_refused(self) -> None:
         first = self.process()
         self.store(first)
-        with self.assertRaises(InUse):
-            Store(self.process(), "records", FLEET, HEAD, Silent()).open()
+        with self.assertRaises(FolderInUseError):
+            LogStore(self.process(), "records", FLEET, HEAD, Silent()).open()
         first.kill()
-        Store(self.process(), "records", FLEET, HEAD, Silent()).open()
+        LogStore(self.process(), "records", FLEET, HEAD, Silent()).open()
 
     def test_a_slow_disk_holds_up_only_who_waits_for_it(self) -> None:
         store, _ = self.store(self.process())
         self.files.slow["head 2"] = 1.0
         self.add(store, 1)
         self.wait(0.3)
-        self.assertEqual(([], 0.0), (self.kept, store.disk.refuses(store.transport.now(), 0)))
+        self.assertEqual(([], 0.0), (self.kept, store.disk.retry_after(store.transport.now(), 0)))
         self.wait(0.4)
-        self.assertEqual(State.SLOW, store.disk.state(store.transport.now()))
+        self.assertEqual(DiskState.SLOW, store.disk.state(store.transport.now()))
         self.wait(0.5)
         self.assertEqual([1], self.kept)
 
@@ -390,17 +424,17 @@
     def test_on_this_machines_disk(self) -> None:
         async def work(folder: str) -> None:
             transport = RealTransport(1)
-            store = Store(transport, folder, FLEET, HEAD, Silent())
+            store = LogStore(transport, folder, FLEET, HEAD, Silent())
             self.assertTrue(store.open().empty)
-            await store.begin(LIFE)
+            await store.start_incarnation(LIFE)
             told: list[bool] = []
             for place in range(1, 200):
                 store.add(placed(place), told.append)
             while len(told) < 199:
                 await transport.sleep(0.01)
             self.assertTrue(all(told))
-            other = Store(transport, folder, FLEET, HEAD, Silent())
-            with self.assertRaises(InUse):
+            other = LogStore(transport, folder, FLEET, HEAD, Silent())
+            with self.assertRaises(FolderInUseError):
                 other.open()
             store.close()
             other.open()
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -9,8 +9,8 @@
 from minicheck import Protocol, check_safety
 
 from gorsethread.durable_log.records import NO_SEQUENCE, ExtentPlaced, ExtentReleased, Record, RecordTable
-from gorsethread.durable_log.replica_placement import Place, holders
-from gorsethread.durable_log.replication import CHUNK, Keeping, ReplicationSender
+from gorsethread.durable_log.replica_placement import FailureDomain, choose_replicas
+from gorsethread.durable_log.replication import BATCH_RECORDS, IncarnationFence, ReplicationSender
 from gorsethread.recovery.stages import ASK_MOST, TRUST, Return, Stage, due
 
 OTHERS = frozenset({1, 2, 3})
@@ -224,127 +224,129 @@
 
 
 class Holders(unittest.TestCase):
-    PLACES = {n: Place(n % 3, f"m{n // 2}") for n in range(12)}
+    PLACES = {n: FailureDomain(n % 3, f"m{n // 2}") for n in range(12)}
 
     def test_they_are_on_other_machines_and_in_other_rooms(self) -> None:
         for origin in self.PLACES:
-            chosen = holders(origin, self.PLACES, self.PLACES, 2)
+            chosen = choose_replicas(origin, self.PLACES, self.PLACES, 2)
             places = [self.PLACES[n] for n in (origin, *chosen)]
             self.assertEqual((3, 3), (len({p.machine for p in places}), len({p.zone for p in places})))
 
     def test_one_that_goes_moves_only_what_it_held(self) -> None:
-        places = {n: Place(0, str(n)) for n in range(40)}
+        places = {n: FailureDomain(0, str(n)) for n in range(40)}
         gone = 17
         for origin in set(places) - {gone}:
-            before = holders(origin, places, places, 2)
-            after = holders(origin, places, set(places) - {gone}, 2)
+            before = choose_replicas(origin, places, places, 2)
+            after = choose_replicas(origin, places, set(places) - {gone}, 2)
             self.assertEqual(set(before) - {gone}, set(after) & set(before))
 
     def test_load_is_spread(self) -> None:
-        places = {n: Place(0, str(n)) for n in range(60)}
+        places = {n: FailureDomain(0, str(n)) for n in range(60)}
         counts = [0] * 60
         for origin in places:
-            for n in holders(origin, places, places, 2):
+            for n in choose_replicas(origin, places, places, 2):
                 counts[n] += 1
         self.assertEqual(120, sum(counts))
         self.assertLess(max(counts), 9)
 
     def test_few_heads_have_fewer(self) -> None:
-        self.assertEqual([], holders(0, {0: Place(0, "a")}, [0], 2))
-        self.assertEqual([1], holders(0, {0: Place(0, "a"), 1: Place(0, "a")}, [0, 1, 5], 2))
+        self.assertEqual([], choose_replicas(0, {0: FailureDomain(0, "a")}, [0], 2))
+        self.assertEqual(
+            [1], choose_replicas(0, {0: FailureDomain(0, "a"), 1: FailureDomain(0, "a")}, [0, 1, 5], 2)
+        )
 
 
 class Copies(unittest.TestCase):
     def setUp(self) -> None:
         self.table = RecordTable()
         self.sender = ReplicationSender(1)
-        self.sender.chosen([1, 2])
+        self.sender.choose([1, 2])
 
     def placed(self, place: int, life: int = 1) -> Any:
-        self.table.take(Record((life, place), ExtentPlaced(1, place, 0)))
+        self.table.apply(Record((life, place), ExtentPlaced(1, place, 0)))
         return life, place
 
     def test_a_promise_is_held_once_a_holder_says_so(self) -> None:
         last = self.placed(1)
-        self.assertIsNone(self.sender.piece(1, self.table, last), "no way to it stands yet")
-        self.sender.met(1, NO_SEQUENCE, NO_SEQUENCE)
-        piece = self.sender.piece(1, self.table, last)
+        self.assertIsNone(self.sender.next_batch(1, self.table, last), "no way to it stands yet")
+        self.sender.connected(1, NO_SEQUENCE, NO_SEQUENCE)
+        piece = self.sender.next_batch(1, self.table, last)
         assert piece is not None
         self.assertEqual((1, last), (len(piece.records), piece.last))
-        self.assertEqual((NO_SEQUENCE, True), (self.sender.held, self.sender.enough))
-        self.assertIsNone(self.sender.piece(1, self.table, self.placed(2)), "one piece at a time")
-        self.sender.has(1, last)
-        self.assertEqual(last, self.sender.held)
+        self.assertEqual((NO_SEQUENCE, True), (self.sender.replicated, self.sender.has_quorum))
+        self.assertIsNone(self.sender.next_batch(1, self.table, self.placed(2)), "one piece at a time")
+        self.sender.confirmed(1, last)
+        self.assertEqual(last, self.sender.replicated)
 
     def test_one_that_was_away_hears_what_is_later_and_one_too_far_behind_all(self) -> None:
-        for place in range(1, 3 * CHUNK):
+        for place in range(1, 3 * BATCH_RECORDS):
             last = self.placed(place)
-        self.sender.met(1, (1, 10), NO_SEQUENCE)
+        self.sender.connected(1, (1, 10), NO_SEQUENCE)
         got: list[Record] = []
         for _ in range(3):
-            piece = self.sender.piece(1, self.table, last)
+            piece = self.sender.next_batch(1, self.table, last)
             assert piece is not None
             got += piece.records
-            self.sender.has(1, piece.last)
-        self.assertEqual(3 * CHUNK - 11, len(got))
-        self.assertIsNone(self.sender.piece(1, self.table, last))
-        self.sender.met(2, (1, 10), (1, 11))
-        piece = self.sender.piece(2, self.table, last)
+            self.sender.confirmed(1, piece.last)
+        self.assertEqual(3 * BATCH_RECORDS - 11, len(got))
+        self.assertIsNone(self.sender.next_batch(1, self.table, last))
+        self.sender.connected(2, (1, 10), (1, 11))
+        piece = self.sender.next_batch(2, self.table, last)
         assert piece is not None
-        self.assertEqual((True, (1, 1)), (piece.begins, piece.records[0].number))
+        self.assertEqual((True, (1, 1)), (piece.replaces_all, piece.records[0].number))
 
     def test_holders_change_without_fewer_holding(self) -> None:
         last = self.placed(1)
         for n in (1, 2):
-            self.sender.met(n, last, NO_SEQUENCE)
-        self.assertEqual(([3], []), self.sender.chosen([2, 3]))
-        self.sender.met(3, NO_SEQUENCE, NO_SEQUENCE)
-        self.assertEqual(([], []), self.sender.chosen([2, 3]))
-        self.sender.has(3, last)
-        self.assertEqual(([], [1]), self.sender.chosen([2, 3]))
+            self.sender.connected(n, last, NO_SEQUENCE)
+        self.assertEqual(([3], []), self.sender.choose([2, 3]))
+        self.sender.connected(3, NO_SEQUENCE, NO_SEQUENCE)
+        self.assertEqual(([], []), self.sender.choose([2, 3]))
+        self.sender.confirmed(3, last)
+        self.assertEqual(([], [1]), self.sender.choose([2, 3]))
 
     def test_none_needed_holds_at_once(self) -> None:
-        self.assertGreater(ReplicationSender(0).held, (10**15, 0))
-        self.assertTrue(ReplicationSender(0).enough)
+        self.assertGreater(ReplicationSender(0).replicated, (10**15, 0))
+        self.assertTrue(ReplicationSender(0).has_quorum)
 
     def test_an_earlier_life_is_shut_out(self) -> None:
-        keeping = Keeping()
-        self.assertEqual(5, keeping.greets(3, 5))
-        self.assertEqual(5, keeping.greets(3, 4))
-        self.assertFalse(keeping.takes(3, 4))
-        self.assertTrue(keeping.takes(3, 5))
-        self.assertEqual(5, keeping.greets(3, 0), "who only asks")
+        keeping = IncarnationFence()
+        self.assertEqual(5, keeping.greet(3, 5))
+        self.assertEqual(5, keeping.greet(3, 4))
+        self.assertFalse(keeping.accepts(3, 4))
+        self.assertTrue(keeping.accepts(3, 5))
+        self.assertEqual(5, keeping.greet(3, 0), "who only asks")
 
     @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 6)), max_size=60), st.randoms())
     def test_a_holder_has_what_the_owner_says_it_has(self, steps: list[tuple[int, int]], chance: Any) -> None:
         """Records, losses of the way, compaction in any order: what a holder is known to have it can give."""
         table, sender, place, forgot = RecordTable(), ReplicationSender(1), 0, NO_SEQUENCE
-        sender.chosen([1])
+        sender.choose([1])
         holder, reached = RecordTable(), NO_SEQUENCE
         out: Any = None
         for what, extent in steps:
             if what == 0:
                 place += 1
                 fact = ExtentReleased(1, extent) if chance.random() < 0.3 else ExtentPlaced(1, extent, place)
-                table.take(Record((1, place), fact))
+                table.apply(Record((1, place), fact))
             elif what == 1:
-                if sender.holders[1].mark is None:
-                    sender.met(1, reached, forgot)
+                if sender.replicas[1].confirmed is None:
+                    sender.connected(1, reached, forgot)
                 elif out is not None:
-                    if out.begins:
+                    if out.replaces_all:
                         holder, reached = RecordTable(), NO_SEQUENCE
                     for r in out.records:
-                        holder.take(r)
+                        holder.apply(r)
                     reached = max(reached, out.last)
-                    sender.has(1, out.last)
+                    sender.confirmed(1, out.last)
                     out = None
                 else:
-                    out = sender.piece(1, table, table.last)
+                    out = sender.next_batch(1, table, table.last)
             elif extent < 3:
-                sender.lost(1)
+                sender.disconnected(1)
                 out = None
             else:
-                forgot = max(forgot, table.compact())
-            mark = sender.holders[1].mark
+                forgot = max(forgot, table.drop_removals())
+            mark = sender.replicas[1].confirmed
             if mark is not None and mark == table.last:
-                self.assertEqual(table.placed(), holder.placed())
+                self.assertEqual(table.placements(), holder.placements())
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -14,8 +14,9 @@
 
 from gorsethread.accounts import snapshot_pb2
 from gorsethread.accounts.snapshots import FRAME, decode, encode
+from gorsethread.durable_log.log_store import LogStore
 from gorsethread.durable_log.recovery import recover
-from gorsethread.durable_log.store import Store, files_of
+from gorsethread.durable_log.segment_files import load_segments
 from gorsethread.logs import log_for
 from gorsethread.sitefile.reading import read_site
 from gorsethread.transport.real import RealTransport
@@ -41,24 +42,24 @@
 @pytest.mark.parametrize(("folder", "gateway"), [("gateway-log", 2), ("branch-log", 8), ("replica-log", 3)])
 def test_a_gateways_log_holds_what_was_written(folder: str, gateway: int) -> None:
     expected = contents_of(FIXTURES / folder / "contents.json")
-    found = recover(files_of(RealTransport(), str(FIXTURES / folder)), FLEET, gateway)
+    found = recover(load_segments(RealTransport(), str(FIXTURES / folder)), FLEET, gateway)
     records = [
         [list(record.number), plain(msgspec.to_builtins(record.fact, builtin_types=(bytes,)))]
-        for record in found.table.whole()
+        for record in found.table.in_order()
     ]
     assert records == expected["records"]
     assert list(found.table.last) == expected["last"]
-    assert found.whole == expected["complete"]
+    assert found.complete == expected["complete"]
     assert found.faults == []
 
 
 def test_a_gateway_starts_on_the_folder(tmp_path: Path) -> None:
     for segment in (FIXTURES / "gateway-log").glob("*.seg"):
         (tmp_path / segment.name).write_bytes(segment.read_bytes())
-    store = Store(RealTransport(), str(tmp_path), FLEET, 2, log_for())
+    store = LogStore(RealTransport(), str(tmp_path), FLEET, 2, log_for())
     try:
-        assert store.open().whole
-        assert store.table.placed() == {(1, 0): 2, (2, 5): 3, (2, 6): 1}
+        assert store.open().complete
+        assert store.table.placements() == {(1, 0): 2, (2, 5): 3, (2, 6): 1}
     finally:
         store.close()
 
