--- a/gorsethread/faults/recordsmutants.py
+++ b/gorsethread/faults/recordsmutants.py
@@ -9,7 +9,7 @@
 from gorsethread.faults.planting import kept_in
 from gorsethread.head.program import Head
 from gorsethread.nvme_gateway.replicated_log import ReplicatedLog
-from gorsethread.recovery.stages import Return
+from gorsethread.recovery.stages import RecoveryStages
 
 KEPT_MUTANTS: dict[str, Callable[[Head], None]] = {}
 mutant = kept_in(KEPT_MUTANTS)
@@ -25,7 +25,7 @@
     return head.holding
 
 
-def _returning(head: Head, change: Callable[[Return], None]) -> None:
+def _returning(head: Head, change: Callable[[RecoveryStages], None]) -> None:
     """Changes the stages as they are made."""
     promises = _promises(head)
     honest = promises.open
@@ -86,15 +86,15 @@
 
 @mutant("return: a life's numbers are given again")
 def _same_life(head: Head) -> None:
-    _returning(head, lambda r: setattr(r, "next_life", lambda wall: max(1, r.own[0])))
+    _returning(head, lambda r: setattr(r, "next_incarnation", lambda wall: max(1, r.own_last[0])))
 
 
 @mutant("return: nobody is asked")
 def _not_asked(head: Head) -> None:
-    def change(r: Return) -> None:
+    def change(r: RecoveryStages) -> None:
         r.alone = r.trusts_own_records = True
         r.others = frozenset()
-        r.tick(0.0)
+        r.advance(0.0)
 
     _returning(head, change)
 
@@ -106,7 +106,7 @@
 
 @mutant("return: one answer is enough")
 def _one_answer(head: Head) -> None:
-    def change(r: Return) -> None:
+    def change(r: RecoveryStages) -> None:
         r.held_by = len(r.others)
 
     _returning(head, change)
@@ -114,10 +114,10 @@
 
 @mutant("return: later records of others are not fetched")
 def _older(head: Head) -> None:
-    def change(r: Return) -> None:
-        honest = r.answered
-        r.answered = lambda other, last, life, now: honest(  # type: ignore[method-assign]
-            other, min(last, r.own), life, now
+    def change(r: RecoveryStages) -> None:
+        honest = r.on_answer
+        r.on_answer = lambda other, last, incarnation, now: honest(  # type: ignore[method-assign]
+            other, min(last, r.own_last), incarnation, now
         )
 
     _returning(head, change)
--- a/gorsethread/head/program.py
+++ b/gorsethread/head/program.py
@@ -22,7 +22,7 @@
 from gorsethread.nvme_gateway.replicated_log import ReplicatedLog
 from gorsethread.queues.dial import Names
 from gorsethread.queues.serve import QueueServer
-from gorsethread.recovery.spacing import Opens
+from gorsethread.recovery.spacing import ConnectionSlots
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.sitefile.reading import split_address
 from gorsethread.transport.base import Transport
@@ -55,7 +55,7 @@
         host_name = f"nqn.2026-12.org.gorsethread:head:{number}"
         names, known = Names(site.subsystem, host_name, number.to_bytes(16, "little")), site.links
         rank, heads = sum(h.number < number for h in site.head), len(site.head)
-        opens = Opens(known.opens, rank, heads)
+        opens = ConnectionSlots(known.opens, rank, heads)
         links = LinkTable(
             lambda shelf, address: BackendLink(
                 transport,
@@ -66,7 +66,7 @@
                 known.queue_size,
                 known.digests,
                 log,
-                opens=lambda: opens.wait(transport.wall()),
+                opens=lambda: opens.reserve(transport.wall()),
                 signs=self.branch,
             )
         )
--- a/gorsethread/nvme_gateway/replicated_log.py
+++ b/gorsethread/nvme_gateway/replicated_log.py
@@ -36,8 +36,8 @@
 from gorsethread.head.peers import fleet_of
 from gorsethread.head.placement import SitePlacement
 from gorsethread.nvme_gateway.replica_server import copies_of, own_of
-from gorsethread.recovery.spacing import Asks, spread_retry_after
-from gorsethread.recovery.stages import RETRY_AFTER, Return, Stage, due
+from gorsethread.recovery.spacing import PollOrder, spread_retry_after
+from gorsethread.recovery.stages import RETRY_AFTER, OwnRecords, RecoveryStages, Stage
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.sitefile.reading import split_address
 from gorsethread.transport.base import Stream, StreamClosed, Transport, Unreachable
@@ -84,7 +84,7 @@
         # Called where others had more of this head's than it had.
         self.on_records_recovered: Callable[[], None] = lambda: None
         self.sender = ReplicationSender(min(site.records.held_by, len(self.others)))
-        self.recovery: Return
+        self.recovery: RecoveryStages
         self.chance = transport.chance("promises")
         self.incarnation = 0
         self.stopped = False
@@ -103,12 +103,9 @@
             load_misplaced_records(self.transport, copies_of(self.folder, self.head), self.fleet, self.head)
         )
         now = self.transport.now()
-        self.recovery = Return(
+        self.recovery = RecoveryStages(
             now,
-            found.table.last,
-            found.complete,
-            found.empty,
-            self.store.loss_accepted(),
+            OwnRecords(found.table.last, found.complete, found.empty, self.store.loss_accepted()),
             frozenset(self.others),
             self.sender.required,
         )
@@ -136,7 +133,7 @@
         r = self.recovery
         while r.stage is Stage.POLLING:
             await self._tick()
-        self.incarnation = r.next_life(self.transport.wall() * 1000.0)
+        self.incarnation = r.next_incarnation(self.transport.wall() * 1000.0)
         self.store.incomplete = r.stage is not Stage.COMPLETE
         await self.store.start_incarnation(self.incarnation)
         self.log.info("serves by its records", stage=r.stage.value, life=self.incarnation)
@@ -146,39 +143,41 @@
             await self._tick()
             if self.stopped:
                 return
-            if r.lost and not told:
+            if r.records_lost and not told:
                 told = True
                 self.log.error(
                     "records are lost and too few others answer",
-                    wanted=r.wanted(),
+                    wanted=r.awaited(),
                     to_do="bring those heads back, or accept: gorsethread records accept",
                 )
-            if r.lost and self.store.loss_accepted():
-                r.accept(self.transport.now())
+            if r.records_lost and self.store.loss_accepted():
+                r.accept_loss(self.transport.now())
         if self.store.incomplete:
             self.store.incomplete = False
             self.store.merge_recovered(RecordTable())
-        self.log.info("nothing that it held is missing", after=round(r.since - r.began, 3))
+        self.log.info("nothing that it held is missing", after=round(r.stage_since - r.started, 3))
 
     async def _tick(self) -> None:
         now = self.transport.now()
-        at = due(self.recovery, now)
+        at = self.recovery.next_timer(now)
         # Answers come in between, so it looks again soon at the latest.
         await self.transport.sleep(min(0.05, max(0.001, at - now)) if at is not None else 0.05)
-        self.recovery.tick(self.transport.now())
+        self.recovery.advance(self.transport.now())
 
     async def _ask_all(self) -> None:
         """What others hold of this head's, and that itself where it is later than the own. Who most likely
         holds it is asked first."""
-        asks = Asks(choose_replicas(self.head, self.places, self.others, len(self.others)), len(self.places))
-        while (other := asks.next()) is not None and not self.stopped:
-            if other in self.recovery.wanted():
+        asks = PollOrder(
+            choose_replicas(self.head, self.places, self.others, len(self.others)), len(self.places)
+        )
+        while (other := asks.take_next()) is not None and not self.stopped:
+            if other in self.recovery.awaited():
                 self.transport.spawn(self._ask(other, asks))
-            await self.transport.sleep(asks.gap)
-            while not asks.waiting and self.recovery.wanted() and not self.stopped:
+            await self.transport.sleep(asks.interval)
+            while not asks.waiting and self.recovery.awaited() and not self.stopped:
                 await self.transport.sleep(MIN_RECONNECT_DELAY)  # what is asked may still fail
 
-    async def _ask(self, other: int, asks: Asks) -> None:
+    async def _ask(self, other: int, asks: PollOrder) -> None:
         r, began = self.recovery, self.transport.now()
         if r.stage is not Stage.POLLING and other not in self.living():
             await self.transport.sleep(MAX_RECONNECT_DELAY)  # the view holds it dead: it hardly answers
@@ -186,7 +185,7 @@
             await self._ask_once(other)
         except (Unreachable, StreamClosed, replication_messages.ProtocolError) as error:
             self.log.debug("not asked", other=other, reason=str(error))
-        asks.ended(other, other not in r.wanted(), self.transport.now() - began)
+        asks.on_ended(other, other not in r.awaited(), self.transport.now() - began)
 
     async def _ask_once(self, other: int) -> None:
         stream = await self.transport.connect(*self.others[other], CONNECT_TIMEOUT)
@@ -197,10 +196,10 @@
             while True:
                 for m in reader.take(await stream.read()):
                     if isinstance(m, replication_messages.Have):
-                        if not self.recovery.answered(other, m.last, m.incarnation, self.transport.now()):
+                        if not self.recovery.on_answer(other, m.last, m.incarnation, self.transport.now()):
                             return
                         stream.write(
-                            replication_messages.encode(replication_messages.Fetch(self.recovery.own))
+                            replication_messages.encode(replication_messages.Fetch(self.recovery.own_last))
                         )
                     elif isinstance(m, replication_messages.Give):
                         guard.cancel()
@@ -220,7 +219,7 @@
         self.sender.resend_all()
         self.placement.known(self.store.table.placements())
         self.on_records_recovered()
-        self.recovery.got(other, self.transport.now())
+        self.recovery.on_fetched(other, self.transport.now())
 
     # ---- promises
 
@@ -229,7 +228,7 @@
         if not self.store.started or self.sender.fenced or not self.sender.has_quorum:
             least = RETRY_AFTER
         else:
-            least = max(self.recovery.refuses(now), self.store.disk.retry_after(now, self.store.pending))
+            least = max(self.recovery.retry_after(), self.store.disk.retry_after(now, self.store.pending))
         return spread_retry_after(least, self.chance.random()) if least else 0.0
 
     def placed(self, place: Place, shard: int, done: Done) -> None:
--- a/gorsethread/recovery/spacing.py
+++ b/gorsethread/recovery/spacing.py
@@ -1,60 +1,84 @@
-"""When a head may do what every head does at once after a mass restart: open connections to shelves, ask
-others for records. Pure: no clock, no chance, no I/O. Spaced by the fleet's number and by what is seen to
-answer, not by each head's own luck.
+"""When a gateway may do what all gateways do at once after a mass restart.
+
+That is: open connections to backends, poll others for records. Pure: no clock, no chance, no I/O. Spaced by
+the number of gateways and by what is seen to answer, not by each gateway's own luck.
 """
 
 from collections import deque
 from collections.abc import Iterable
 
-BEHIND_MOST = 64  # slots ahead that may be given away; beyond that the wall clock was set
-CALLS = 400.0  # a second, that all heads together begin with as they ask for records
-CALLS_MOST = 2000.0  # and that they come to at most while answers come at once
-QUICK = 0.1  # seconds in which an answer shows that who answers is not pressed
+MAX_SLOTS_AHEAD = 64  # slots that may be given away ahead; beyond that the wall clock was set
+INITIAL_POLLS_PER_SECOND = 400.0  # of all gateways together
+MAX_POLLS_PER_SECOND = 2000.0  # of all gateways together, while answers come at once
+QUICK_ANSWER = 0.1  # seconds within which an answer shows that who answers is not under pressure
+
+
+class ConnectionSlots:
+    """New connections to backends: all gateways together open a limited number of them a second.
 
+    Time is cut into slots, which the gateways own by turns, so where wall clocks agree one connection is
+    opened in each. Where they do not, a gateway still opens one in each round of the fleet.
 
-class Opens:
-    """New connections to shelves: all heads together open `a_second` of them (0: as many as they like).
+    Attributes:
+        round_seconds: From one slot of this gateway to the next; 0.0 where there is no limit.
+    """
 
-    Time is cut into slots of 1 / a_second, and the heads own them in turn, so where wall clocks agree there
-    is one in each. Where they do not, a head still opens one in each round of the fleet. rank: its place
-    among the heads."""
+    def __init__(self, per_second: float, rank: int, gateways: int) -> None:
+        """Set up the slots of one gateway.
 
-    def __init__(self, a_second: float, rank: int, heads: int) -> None:
-        self.round = heads / a_second if a_second else 0.0  # seconds from one slot of this head's to the next
-        self._phase = rank / a_second if a_second else 0.0
-        self._given = -1
+        Args:
+            per_second: Connections that all together may open; 0: any number.
+            rank: The gateway's place among all.
+            gateways: Their number.
+        """
+        self.round_seconds = gateways / per_second if per_second else 0.0
+        self._phase = rank / per_second if per_second else 0.0
+        self._last_slot = -1
 
-    def wait(self, wall: float) -> float:
-        """Seconds until its next slot that is not given away, and gives it away. wall: seconds."""
-        if not self.round:
+    def reserve(self, wall: float) -> float:
+        """Reserve the next free slot and return the seconds until it; wall: the wall clock's seconds."""
+        if not self.round_seconds:
             return 0.0
-        slot = int(-(-(wall - self._phase) // self.round))
-        if slot <= self._given <= slot + BEHIND_MOST:
-            slot = self._given + 1
-        self._given = slot
-        return max(0.0, slot * self.round + self._phase - wall)
+        slot = int(-(-(wall - self._phase) // self.round_seconds))
+        if slot <= self._last_slot <= slot + MAX_SLOTS_AHEAD:
+            slot = self._last_slot + 1
+        self._last_slot = slot
+        return max(0.0, slot * self.round_seconds + self._phase - wall)
 
 
-class Asks:
-    """Whom to ask for records next, and how long after the last one. order: who most likely holds them
-    first; who did not answer comes again behind the others."""
+class PollOrder:
+    """Whom to poll for records next, and how long after the last poll.
 
-    def __init__(self, order: Iterable[int], heads: int) -> None:
+    Attributes:
+        waiting: Those to be polled, in order; who did not answer comes again behind the others. Emptied as
+            they are polled.
+        interval: Seconds from one poll to the next.
+    """
+
+    def __init__(self, order: Iterable[int], gateways: int) -> None:
+        """Set up the order, who most likely holds the records first; gateways: the number of all."""
         self.waiting = deque(order)
-        self.gap = heads / CALLS
-        self._least, self._most = heads / CALLS_MOST, heads / CALLS
+        self.interval = gateways / INITIAL_POLLS_PER_SECOND
+        self._min_interval = gateways / MAX_POLLS_PER_SECOND
+        self._max_interval = gateways / INITIAL_POLLS_PER_SECOND
 
-    def next(self) -> int | None:
+    def take_next(self) -> int | None:
+        """Take out whom to poll next; None: nobody now."""
         return self.waiting.popleft() if self.waiting else None
 
-    def ended(self, other: int, answered: bool, took: float) -> None:
+    def on_ended(self, other: int, answered: bool, seconds: float) -> None:
+        """Note how a poll ended, and how long it took."""
         if not answered:
             self.waiting.append(other)
-        quick = answered and took <= QUICK
-        self.gap = max(self._least, 0.5 * self.gap) if quick else min(self._most, 2.0 * self.gap)
+        if answered and seconds <= QUICK_ANSWER:
+            self.interval = max(self._min_interval, 0.5 * self.interval)
+        else:
+            self.interval = min(self._max_interval, 2.0 * self.interval)
 
 
 def spread_retry_after(least: float, draw: float) -> float:
-    """When a client that was pushed back meanwhile may come again: spread, as all heads push back at once.
-    draw: from 0 to 1."""
+    """Return after how many seconds a rejected client may retry.
+
+    Spread, as all gateways reject at once; draw: from 0 to 1.
+    """
     return least * (1.0 + 2.0 * draw)
--- a/gorsethread/recovery/stages.py
+++ b/gorsethread/recovery/stages.py
@@ -1,131 +1,167 @@
-"""The stages of a head that comes back, and what each lets it do. Pure: no clock, no chance, no I/O.
+"""The stages of a gateway that restarts, and what each lets it do. Pure: no clock, no chance, no I/O.
 
-`POLLING`     own records are read; the other heads are asked what they hold of this head's.
-`RESTRICTED`  it serves what it knows; of what it does not know it neither says that it is nowhere, nor
-              places it.
+`POLLING`     its own records are read; the other gateways are asked what they hold of its log.
+`RESTRICTED`  it serves the extents that it knows; others it neither reports as never written nor places.
 `COMPLETE`    nothing that it held is missing.
 
-It is COMPLETE once so many others have answered that one of them must hold whatever was promised: every
-promise is held by `held_by` of the others, so that all but `held_by - 1` of them are enough. Where these
-can't be had it goes on without, and never waits for what cannot come: own records that are whole are believed
-after TRUST seconds; records that have holes, or none at all, let it serve with care for as long as it takes,
-or until a person accepts the loss. A folder that is empty is a first start or a lost disk: only the others
-can tell.
+It is COMPLETE once so many others have answered that one of them must hold whatever was acknowledged: every
+record is held by `held_by` of the others, so all but `held_by - 1` of them are enough. Where these can't be
+had it goes on without, and never waits for what cannot come: complete records of its own are believed after
+TRUST_AFTER seconds; incomplete ones, or none at all, keep it RESTRICTED for as long as it takes, or until a
+person accepts the loss. An empty folder is a first start or a lost disk: only the others can tell.
 """
 
 from enum import Enum
+from typing import NamedTuple
 
 from gorsethread.durable_log.records import NO_SEQUENCE, SequenceNumber
 
-ASK_MOST = 1.0  # seconds that a head asks before it serves what it knows
-TRUST = 2.0  # seconds after which whole records of its own are believed, though too few have answered
+POLLING_TIMEOUT = 1.0  # seconds that a gateway polls before it serves what it knows
+TRUST_AFTER = 2.0  # seconds until complete records of its own are believed, though too few have answered
 RETRY_AFTER = 0.3  # seconds after which a client may ask again for what is not known yet
 
 
 class Stage(Enum):
+    """How far the recovery is; see the module's description."""
+
     POLLING = "asking"
     RESTRICTED = "care"
     COMPLETE = "full"
 
 
-class Return:
-    """own: the last number in the own records; whole, empty: what reading them found; accepted: a person said
-    that what is lost is lost. others: the names of all other heads; held_by: see above."""
-
-    def __init__(
-        self,
-        now: float,
-        own: SequenceNumber,
-        whole: bool,
-        empty: bool,
-        accepted: bool,
-        others: frozenset[int],
-        held_by: int,
-    ) -> None:
-        # Of records with holes nobody can say up to where they are good: all that others hold is wanted.
-        self.own = own if whole else NO_SEQUENCE
-        self.began, self.others, self.held_by = now, others, held_by
-        self.trusts_own_records = accepted or whole and not empty
-        # Without copies nobody else can know: an empty folder is a first start, holes are for a person.
+class OwnRecords(NamedTuple):
+    """What reading a gateway's own folder found.
+
+    Attributes:
+        last: The last number in it.
+        complete: Nothing that it held is known to be lost.
+        empty: There was nothing in it.
+        loss_accepted: A person accepted that what is lost is lost.
+    """
+
+    last: SequenceNumber
+    complete: bool
+    empty: bool
+    loss_accepted: bool
+
+
+class RecoveryStages:
+    """One recovery of a gateway, from its start on.
+
+    Its tables have an entry for each other gateway at most, and last as long as the recovery.
+
+    Attributes:
+        own_last: Up to this number its own records are good.
+        started: When it began, in seconds.
+        others: The numbers of all other gateways.
+        held_by: How many others hold every record.
+        trusts_own_records: Its own records may be believed without the others.
+        alone: Nobody else can know its records.
+        stage: See the module's description.
+        stage_since: When the stage was entered, in seconds.
+        answers: Up to where each of the others held its records when it answered.
+        fetched: Of the others, those from which all later records have come.
+        incarnation: The latest of this gateway that anyone knows.
+    """
+
+    def __init__(self, now: float, own: OwnRecords, others: frozenset[int], held_by: int) -> None:
+        # Of incomplete records nobody can tell up to where they are good: all that others hold is wanted.
+        self.own_last = own.last if own.complete else NO_SEQUENCE
+        self.started = now
+        self.others = others
+        self.held_by = held_by
+        self.trusts_own_records = own.loss_accepted or (own.complete and not own.empty)
+        # Without replicas an empty folder is a first start, and incomplete records are for a person.
         self.alone = held_by == 0 or not others
-        if self.alone and empty:
+        if self.alone and own.empty:
             self.trusts_own_records = True
         self.stage = Stage.POLLING
-        self.since = now
-        self.heard: dict[int, SequenceNumber] = {}  # what each held as it answered; as many as others
-        self.fetched: set[int] = set()  # of them: what was later than the own has come
-        self.life = own[0]  # the latest life of this head that anyone knows
-        self._advance(now)
+        self.stage_since = now
+        self.answers: dict[int, SequenceNumber] = {}
+        self.fetched: set[int] = set()
+        self.incarnation = own.last[0]
+        self.advance(now)
 
     @property
-    def needed(self) -> int:
-        """Answers after which nothing can be missing."""
+    def answers_needed(self) -> int:
+        """The number of answers after which nothing can be missing."""
         return max(0, len(self.others) - self.held_by + 1)
 
     @property
-    def certain(self) -> bool:
-        done = [n for n, last in self.heard.items() if last <= self.own or n in self.fetched]
-        return not self.alone and len(done) >= self.needed
-
-    def wanted(self) -> list[int]:
-        """Of whom the answer, or what it holds beyond the own records, is still to come."""
-        return sorted(
-            n
-            for n in self.others
-            if n not in self.heard or self.heard[n] > self.own and n not in self.fetched
-        )
-
-    def answered(self, other: int, last: SequenceNumber, life: int, now: float) -> bool:
-        """It holds this head's records up to there, and has heard of that life of it; whether what it holds
-        beyond the own records is worth fetching."""
+    def is_certain(self) -> bool:
+        """Enough others have answered, and what they hold beyond its own records has come."""
+        done = [other for other in self.answers if not self._holds_more(other)]
+        return not self.alone and len(done) >= self.answers_needed
+
+    def _holds_more(self, other: int) -> bool:
+        return self.answers[other] > self.own_last and other not in self.fetched
+
+    def awaited(self) -> list[int]:
+        """Return the others whose answer, or what they hold beyond its own records, is still to come."""
+        return sorted(other for other in self.others if other not in self.answers or self._holds_more(other))
+
+    def on_answer(self, other: int, last: SequenceNumber, incarnation: int, now: float) -> bool:
+        """Note the answer of another gateway.
+
+        Args:
+            other: Who answered.
+            last: Up to this number it holds this gateway's records.
+            incarnation: The latest of this gateway that it knows.
+            now: Seconds.
+
+        Returns:
+            Whether what it holds beyond the own records is to be fetched.
+        """
         if other not in self.others:
             return False
-        self.heard[other] = last
-        self.life = max(self.life, life, last[0])
-        self._advance(now)
-        return last > self.own and other not in self.fetched
+        self.answers[other] = last
+        self.incarnation = max(self.incarnation, incarnation, last[0])
+        self.advance(now)
+        return self._holds_more(other)
 
-    def got(self, other: int, now: float) -> None:
-        """What it holds beyond the own records has come whole."""
+    def on_fetched(self, other: int, now: float) -> None:
+        """Note that all that another gateway holds beyond the own records has come."""
         self.fetched.add(other)
-        self._advance(now)
-
-    def tick(self, now: float) -> None:
-        self._advance(now)
+        self.advance(now)
 
-    def accept(self, now: float) -> None:
-        """A person says that what is lost is lost."""
+    def accept_loss(self, now: float) -> None:
+        """Note that a person accepted that what is lost is lost."""
         self.trusts_own_records = True
-        self._advance(now)
+        self.advance(now)
+
+    def next_incarnation(self, wall_ms: float) -> int:
+        """Return an incarnation later than any that is known.
 
-    def next_life(self, wall: float) -> int:
-        """wall: milliseconds. Later than any that is known, and so that not even one that nobody remembers
-        comes again, as long as clocks are not set back."""
-        return max(self.life + 1, int(wall))
+        The wall clock (milliseconds) makes it also later than one that nobody remembers, as long as clocks
+        are not set back.
+        """
+        return max(self.incarnation + 1, int(wall_ms))
 
-    def refuses(self, now: float) -> float:
-        """0.0: what is not known is nowhere, and may be placed; else after how many seconds to ask again."""
+    def retry_after(self) -> float:
+        """Return 0.0 where unknown extents may be placed, else the seconds after which to ask again."""
         return 0.0 if self.stage is Stage.COMPLETE else RETRY_AFTER
 
     @property
-    def lost(self) -> bool:
-        """It can't become COMPLETE by itself: too few others answer, and its own records are not enough."""
+    def records_lost(self) -> bool:
+        """It can't become COMPLETE by itself: its own records are not enough, and too few others answer."""
         return self.stage is Stage.RESTRICTED and not self.trusts_own_records
 
-    def _advance(self, now: float) -> None:
+    def advance(self, now: float) -> None:
+        """Enter the next stage where that is due."""
         before = self.stage
-        trusted = self.trusts_own_records and (self.alone or now >= self.began + TRUST)
-        if self.certain or trusted:
+        may_trust = self.trusts_own_records and (self.alone or now >= self.started + TRUST_AFTER)
+        if self.is_certain or may_trust:
             self.stage = Stage.COMPLETE
-        elif self.stage is Stage.POLLING and now >= self.began + ASK_MOST:
+        elif self.stage is Stage.POLLING and now >= self.started + POLLING_TIMEOUT:
             self.stage = Stage.RESTRICTED
         if self.stage is not before:
-            self.since = now
-
-
-def due(r: Return, now: float) -> float | None:
-    """When tick() is next of use; None: never again."""
-    if r.stage is Stage.COMPLETE:
-        return None
-    times = [r.began + ASK_MOST, *([r.began + TRUST] if r.trusts_own_records else [])]
-    return min((t for t in times if t > now), default=None)
+            self.stage_since = now
+
+    def next_timer(self, now: float) -> float | None:
+        """Return when advance() is next of use, in seconds; None: never again by time alone."""
+        if self.stage is Stage.COMPLETE:
+            return None
+        times = [self.started + POLLING_TIMEOUT]
+        if self.trusts_own_records:
+            times.append(self.started + TRUST_AFTER)
+        return min((time for time in times if time > now), default=None)
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -132,12 +132,14 @@
         w = self.good("2 kill head-0 for 0.3\n2 kill head-1 for 0.5\n2 kill head-2 for 5\n")
         self.assertEqual([Stage.COMPLETE] * 3, self.stages(w))
         back = w.heads[0].promises.recovery
-        self.assertLess(back.since - back.began, 2.2)
+        self.assertLess(back.stage_since - back.started, 2.2)
 
     def test_an_empty_disk_is_known_as_lost_and_given_back(self) -> None:
         w = self.good("3 wipe head-0 for 0.5\n3 kill head-2 for 3\n")
         returning = w.heads[0].promises.recovery
-        self.assertGreater(returning.since - returning.began, 2.0, "it waited for the one that may hold more")
+        self.assertGreater(
+            returning.stage_since - returning.started, 2.0, "it waited for the one that may hold more"
+        )
         self.assertGreater(len(w.heads[0].promises.store.table.placements()), 10)
 
     def test_exchanged_disks_are_told_apart(self) -> None:
@@ -285,7 +287,7 @@
         )
         self.assertEqual(2, done.returncode, done.stderr)
         self.assertIn("written by gateway 0", done.stderr)
-        self.assertIn("Give each head the folder that it had before", done.stderr)
+        self.assertIn("Give each gateway the folder that it had before", done.stderr)
 
     def test_what_a_site_says_of_records_is_checked(self) -> None:
         text = PATH.read_text()
@@ -346,8 +348,8 @@
     def test_the_judge_sees_heads_that_ask_nobody(self) -> None:
         r = self.played(
             LOSSES,
-            "from gorsethread.recovery.stages import Return\n"
-            "Return.alone = property(lambda r: True, lambda r, given: None)\n"
-            "Return.wanted = lambda r: []\n",
+            "from gorsethread.recovery.stages import RecoveryStages\n"
+            "RecoveryStages.alone = property(lambda r: True, lambda r, given: None)\n"
+            "RecoveryStages.awaited = lambda r: []\n",
         )
         self.assertGreater(r.denied, 0)
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -11,7 +11,7 @@
 from gorsethread.durable_log.records import NO_SEQUENCE, ExtentPlaced, ExtentReleased, Record, RecordTable
 from gorsethread.durable_log.replica_placement import FailureDomain, choose_replicas
 from gorsethread.durable_log.replication import BATCH_RECORDS, IncarnationFence, ReplicationSender
-from gorsethread.recovery.stages import ASK_MOST, TRUST, Return, Stage, due
+from gorsethread.recovery.stages import POLLING_TIMEOUT, TRUST_AFTER, OwnRecords, RecoveryStages, Stage
 
 OTHERS = frozenset({1, 2, 3})
 LAST = (7, 40)
@@ -24,8 +24,8 @@
     accepted: bool = False,
     others: frozenset[int] = OTHERS,
     held_by: int = 1,
-) -> Return:
-    return Return(0.0, own, whole, empty, accepted, others, held_by)
+) -> RecoveryStages:
+    return RecoveryStages(0.0, OwnRecords(own, whole, empty, accepted), others, held_by)
 
 
 class Stages(unittest.TestCase):
@@ -33,50 +33,50 @@
         r = returning()
         for n in OTHERS:
             self.assertIs(Stage.POLLING, r.stage)
-            self.assertFalse(r.answered(n, LAST, 7, 0.1))
-        self.assertEqual((Stage.COMPLETE, 0.0), (r.stage, r.refuses(0.1)))
+            self.assertFalse(r.on_answer(n, LAST, 7, 0.1))
+        self.assertEqual((Stage.COMPLETE, 0.0), (r.stage, r.retry_after()))
 
     def test_nobody_to_ask_does_not_hold_up_whole_records(self) -> None:
         r = returning()
-        self.assertEqual(ASK_MOST, due(r, 0.0))
-        r.tick(ASK_MOST)
+        self.assertEqual(POLLING_TIMEOUT, r.next_timer(0.0))
+        r.advance(POLLING_TIMEOUT)
         self.assertIs(Stage.RESTRICTED, r.stage)
-        self.assertGreater(r.refuses(ASK_MOST), 0.0)
-        self.assertEqual(TRUST, due(r, ASK_MOST))
-        r.tick(TRUST)
-        self.assertEqual((Stage.COMPLETE, None), (r.stage, due(r, TRUST)))
+        self.assertGreater(r.retry_after(), 0.0)
+        self.assertEqual(TRUST_AFTER, r.next_timer(POLLING_TIMEOUT))
+        r.advance(TRUST_AFTER)
+        self.assertEqual((Stage.COMPLETE, None), (r.stage, r.next_timer(TRUST_AFTER)))
 
     def test_lost_records_wait_for_answers_or_a_person(self) -> None:
         for lost in ({"own": NO_SEQUENCE, "empty": True}, {"whole": False}):
             with self.subTest(lost=lost):
                 r = returning(**lost)  # type: ignore[arg-type]
-                r.tick(1000.0)
-                self.assertEqual((Stage.RESTRICTED, True), (r.stage, r.lost))
-                self.assertEqual([1, 2, 3], r.wanted())
-                r.accept(1001.0)
+                r.advance(1000.0)
+                self.assertEqual((Stage.RESTRICTED, True), (r.stage, r.records_lost))
+                self.assertEqual([1, 2, 3], r.awaited())
+                r.accept_loss(1001.0)
                 self.assertIs(Stage.COMPLETE, r.stage)
-                self.assertIs(Stage.COMPLETE, self.after(returning(**lost, accepted=True), TRUST))  # type: ignore
+                self.assertIs(Stage.COMPLETE, self.after(returning(**lost, accepted=True), TRUST_AFTER))  # type: ignore
 
-    def after(self, r: Return, now: float) -> Stage:
-        r.tick(now)
+    def after(self, r: RecoveryStages, now: float) -> Stage:
+        r.advance(now)
         return r.stage
 
     def test_what_others_hold_beyond_it_is_waited_for(self) -> None:
         r = returning()
-        self.assertTrue(r.answered(1, (7, 41), 7, 0.1))
-        r.answered(2, LAST, 7, 0.1)
-        r.answered(3, LAST, 7, 0.1)
+        self.assertTrue(r.on_answer(1, (7, 41), 7, 0.1))
+        r.on_answer(2, LAST, 7, 0.1)
+        r.on_answer(3, LAST, 7, 0.1)
         self.assertIs(Stage.POLLING, r.stage)
-        r.got(1, 0.2)
+        r.on_fetched(1, 0.2)
         self.assertIs(Stage.COMPLETE, r.stage)
 
     def test_holes_want_everything_from_all(self) -> None:
         r = returning(whole=False)
-        self.assertTrue(r.answered(1, (7, 3), 7, 0.0))
+        self.assertTrue(r.on_answer(1, (7, 3), 7, 0.0))
 
     def test_as_many_answers_as_leave_no_promise_out(self) -> None:
         for held_by, needed in ((1, 3), (2, 2), (3, 1)):
-            self.assertEqual(needed, returning(held_by=held_by).needed)
+            self.assertEqual(needed, returning(held_by=held_by).answers_needed)
 
     def test_without_copies_a_first_start_and_a_whole_folder_are_full_at_once(self) -> None:
         for r in (
@@ -91,8 +91,8 @@
     def test_a_life_is_later_than_any_that_is_known(self, own: int, known: list[int], wall: float) -> None:
         r = returning((own, 1))
         for n, life in enumerate(known, 1):
-            r.answered(n, (0, 0), life, 0.0)
-        self.assertGreater(r.next_life(wall), max(own, *known, 0))
+            r.on_answer(n, (0, 0), life, 0.0)
+        self.assertGreater(r.next_incarnation(wall), max(own, *known, 0))
 
 
 class Checked(unittest.TestCase):
@@ -102,17 +102,18 @@
 
     PROMISES = 2
 
-    def check(self, plant: Callable[[Return], None] = lambda r: None) -> dict[str, Any]:
+    def check(self, plant: Callable[[RecoveryStages], None] = lambda r: None) -> dict[str, Any]:
         def made(
             own: int, whole: bool, empty: bool, heard: tuple[Any, ...], fetched: tuple[int, ...], now: float
-        ) -> Return:
-            r = Return(0.0, (1, own) if own else NO_SEQUENCE, whole, empty, False, frozenset({1, 2}), 1)
+        ) -> RecoveryStages:
+            found = OwnRecords((1, own) if own else NO_SEQUENCE, whole, empty, False)
+            r = RecoveryStages(0.0, found, frozenset({1, 2}), 1)
             plant(r)
             for n, last in heard:
-                r.answered(n, (1, last) if last else NO_SEQUENCE, 1, 0.0)
+                r.on_answer(n, (1, last) if last else NO_SEQUENCE, 1, 0.0)
             for n in fetched:
-                r.got(n, 0.0)
-            r.tick(now)
+                r.on_fetched(n, 0.0)
+            r.advance(now)
             return r
 
         def transitions(state: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
@@ -208,15 +209,15 @@
         self.assertTrue(result["properties"]["full is whole"]["holds"], result)
 
     def test_each_planted_flaw_is_found(self) -> None:
-        def trusting(r: Return) -> None:
+        def trusting(r: RecoveryStages) -> None:
             r.trusts_own_records = True
 
-        def one_answer(r: Return) -> None:
+        def one_answer(r: RecoveryStages) -> None:
             r.held_by = 2
 
-        def not_fetched(r: Return) -> None:
-            honest = r.answered
-            r.answered = lambda n, last, life, now: honest(n, min(last, r.own), life, now)  # type: ignore
+        def not_fetched(r: RecoveryStages) -> None:
+            honest = r.on_answer
+            r.on_answer = lambda n, last, life, now: honest(n, min(last, r.own_last), life, now)  # type: ignore
 
         for flaw in (trusting, one_answer, not_fetched):
             with self.subTest(flaw.__name__):
--- a/tests/test_spacing.py
+++ b/tests/test_spacing.py
@@ -13,7 +13,14 @@
 
 from gorsethread.cli.main import app
 from gorsethread.lab.returning import full_after, in_world, most_in_a_second, script_of, shown
-from gorsethread.recovery.spacing import BEHIND_MOST, CALLS, CALLS_MOST, Asks, Opens, spread_retry_after
+from gorsethread.recovery.spacing import (
+    INITIAL_POLLS_PER_SECOND,
+    MAX_POLLS_PER_SECOND,
+    MAX_SLOTS_AHEAD,
+    ConnectionSlots,
+    PollOrder,
+    spread_retry_after,
+)
 from gorsethread.sitefile.reading import BadSite, parse_site, read_site
 
 PATH = Path(__file__).parent.parent / "deploy" / "site.txtpb"
@@ -34,33 +41,33 @@
         """Every head wants `each` connections at once, from a moment of its own on."""
         at = []
         for n in range(heads):
-            opens = Opens(a_second, n, heads)
-            at += [wall + late[n] + opens.wait(wall + late[n]) for _ in range(each)]
+            opens = ConnectionSlots(a_second, n, heads)
+            at += [wall + late[n] + opens.reserve(wall + late[n]) for _ in range(each)]
         self.assertLessEqual(most_in_a_second(at), a_second + 2)
         self.assertLessEqual(max(at) - wall, 3.0 + (each + 1) * heads / a_second)
 
     def test_a_wall_clock_that_is_set_back_holds_nothing_up_for_good(self) -> None:
-        opens = Opens(10.0, 3, 10)
-        opens.wait(2e9)
-        self.assertLessEqual(opens.wait(1e9), 1.0)
+        opens = ConnectionSlots(10.0, 3, 10)
+        opens.reserve(2e9)
+        self.assertLessEqual(opens.reserve(1e9), 1.0)
         for n in range(500):
-            self.assertLessEqual(opens.wait(1e9 + 0.01 * n), (BEHIND_MOST + 2) * opens.round)
+            self.assertLessEqual(opens.reserve(1e9 + 0.01 * n), (MAX_SLOTS_AHEAD + 2) * opens.round_seconds)
 
     def test_without_a_bound_nobody_waits(self) -> None:
-        self.assertEqual([0.0] * 5, [Opens(0.0, 1, 9).wait(1e9) for _ in range(5)])
+        self.assertEqual([0.0] * 5, [ConnectionSlots(0.0, 1, 9).reserve(1e9) for _ in range(5)])
 
     def test_who_most_likely_holds_is_asked_first_and_who_fails_comes_again_last(self) -> None:
-        asks = Asks([4, 2, 9], 200)
-        self.assertEqual(200 / CALLS, asks.gap)
-        self.assertEqual(4, asks.next())
-        asks.ended(4, False, 1.0)
-        self.assertEqual([2, 9, 4, None], [asks.next() for _ in range(4)])
+        asks = PollOrder([4, 2, 9], 200)
+        self.assertEqual(200 / INITIAL_POLLS_PER_SECOND, asks.interval)
+        self.assertEqual(4, asks.take_next())
+        asks.on_ended(4, False, 1.0)
+        self.assertEqual([2, 9, 4, None], [asks.take_next() for _ in range(4)])
         for _ in range(20):
-            asks.ended(2, True, 0.01)
-        self.assertEqual(200 / CALLS_MOST, asks.gap)
+            asks.on_ended(2, True, 0.01)
+        self.assertEqual(200 / MAX_POLLS_PER_SECOND, asks.interval)
         for _ in range(20):
-            asks.ended(2, True, 0.5)
-        self.assertEqual(200 / CALLS, asks.gap)
+            asks.on_ended(2, True, 0.5)
+        self.assertEqual(200 / INITIAL_POLLS_PER_SECOND, asks.interval)
 
     def test_return_times_are_spread(self) -> None:
         self.assertEqual([0.3, 0.6, 0.9], [round(spread_retry_after(0.3, d), 6) for d in (0.0, 0.5, 1.0)])
