--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -15,8 +15,8 @@
 
 from gorsethread.accounts import snapshot_pb2
 from gorsethread.accounts.snapshots import FRAME, decode, encode
+from gorsethread.durable_log.log_store import LogStore
 from gorsethread.durable_log.recovery import recover
-from gorsethread.durable_log.store import Store
 from gorsethread.logs import log_for
 from gorsethread.sitefile.reading import read_site
 from gorsethread.transport.real import RealTransport
@@ -46,11 +46,11 @@
     found = recover(files, FLEET, gateway)
     records = [
         [list(record.number), plain(msgspec.to_builtins(record.fact, builtin_types=(bytes,)))]
-        for record in found.table.whole()
+        for record in found.table.in_order()
     ]
     assert records == expected["records"]
     assert list(found.table.last) == expected["last"]
-    assert found.whole == expected["complete"]
+    assert found.complete == expected["complete"]
     assert found.faults == []
 
 
@@ -59,10 +59,10 @@
         (tmp_path / segment.name).write_bytes(segment.read_bytes())
 
     async def start() -> None:
-        store = Store(RealTransport(), str(tmp_path), FLEET, 2, log_for())
+        store = LogStore(RealTransport(), str(tmp_path), FLEET, 2, log_for())
         try:
-            assert store.open().whole
-            assert store.table.placed() == {(1, 0): 2, (2, 5): 3, (2, 6): 1}
+            assert store.open().complete
+            assert store.table.placements() == {(1, 0): 2, (2, 5): 3, (2, 6): 1}
         finally:
             store.close()
 
