--- a/tests/test_platform_program.py
+++ b/tests/test_platform_program.py
@@ -31,9 +31,9 @@
             ({"settings": {**SETTINGS, "specifics": []}}, "settings"),
             (
                 {"settings": {**SETTINGS, "services": [{**SETTINGS["services"][0], "aim": "soon"}]}},
-                "promised",
+                "latency_objective",
             ),
-            ({"settings": {**SETTINGS, "contract": {**SETTINGS["contract"], "fall": float("nan")}}}, "span"),
+            ({"settings": {**SETTINGS, "contract": {**SETTINGS["contract"], "fall": float("nan")}}}, "window"),
             ({"settings": {**SETTINGS, "grades": [{"name": "plain", "neverOver": [9]}]}}, "limit"),
         ):
             with self.subTest(changed=changed), self.assertRaises(UnusableConfigurationError) as caught:
