--- a/gorsethread/cli/fleet.py
+++ b/gorsethread/cli/fleet.py
@@ -14,7 +14,7 @@
 from gorsethread.head.peers import fleet_of
 from gorsethread.lab.asking import NoAnswer, Shown, ask, ask_past
 from gorsethread.logs import log_for, start_logs
-from gorsethread.membership.gossip_messages import Address, State, Word
+from gorsethread.membership.gossip_messages import Address, MemberRecord, MemberState
 from gorsethread.sitefile.reading import BadSite, read_site, split_address
 from gorsethread.transport.real import RealTransport, run
 
@@ -32,6 +32,8 @@
 Site = Annotated[str, typer.Option(help="The site file (protobuf text format) that the head runs by.")]
 Json = Annotated[str, typer.Option("--json", help="Write it here; - for standard output.")]
 
+JSON_NAMES = {"member": "name", "incarnation": "life", "refutation": "incarnation", "reported_by": "by"}
+
 
 def _end(text: str) -> typer.Exit:
     typer.echo(text, err=True)
@@ -83,8 +85,14 @@
     return found["answer"]
 
 
-def _state(w: Word) -> str:
-    return State(w.state).name.lower()
+def _state(w: MemberRecord) -> str:
+    return MemberState(w.state).name.lower()
+
+
+def record_as_json(w: MemberRecord) -> dict[str, Any]:
+    """A record under the names of its fields in this command's JSON."""
+    fields = w._asdict()
+    return {JSON_NAMES.get(name, name): value for name, value in fields.items()}
 
 
 @app.callback()
@@ -100,23 +108,23 @@
     table = Table("head", "state", "life", "incarnation", "zone", "address", "said by")
     for _, w in sorted(shown.words.items()):
         table.add_row(
-            str(w.name),
+            str(w.member),
             _state(w),
-            str(w.life),
             str(w.incarnation),
+            str(w.refutation),
             str(w.zone),
             f"{w.host}:{w.port}",
-            str(w.by),
+            str(w.reported_by),
         )
     console = Console(stderr=json_path == "-")
     console.print(table)
-    console.print(f"head {shown.me.name}: {', '.join(shown.own) or 'not settled'}; view {shown.digest:08x}")
+    console.print(f"head {shown.me.member}: {', '.join(shown.own) or 'not settled'}; view {shown.digest:08x}")
     write_json(
         {
-            "head": shown.me.name,
+            "head": shown.me.member,
             "own": shown.own,
             "digest": shown.digest,
-            "words": [w._asdict() for _, w in sorted(shown.words.items())],
+            "words": [record_as_json(w) for _, w in sorted(shown.words.items())],
         },
         json_path,
     )
@@ -126,12 +134,16 @@
 def history(head: Head, fleet: Fleet = 0, site: Site = "", json_path: Json = "") -> None:
     """The changes of one head's view that it keeps, oldest first. Status 2: no answer."""
     address, which = _whom(head, fleet, site)
-    found: list[tuple[float, Word]] = _asked(lambda transport: ask_past(transport, address, which), "history")
+    found: list[tuple[float, MemberRecord]] = _asked(
+        lambda transport: ask_past(transport, address, which), "history"
+    )
     table = Table("seconds ago", "head", "state", "life", "incarnation", "said by")
     for age, w in found:
-        table.add_row(f"{age:.1f}", str(w.name), _state(w), str(w.life), str(w.incarnation), str(w.by))
+        table.add_row(
+            f"{age:.1f}", str(w.member), _state(w), str(w.incarnation), str(w.refutation), str(w.reported_by)
+        )
     Console(stderr=json_path == "-").print(table)
-    write_json({"changes": [{"seconds_ago": age, **w._asdict()} for age, w in found]}, json_path)
+    write_json({"changes": [{"seconds_ago": age, **record_as_json(w)} for age, w in found]}, json_path)
 
 
 @app.command()
@@ -170,12 +182,12 @@
     """Lines for what one look found that the one before had not."""
     lines = ["it answers again"] if back else []
     if before is None or before.own != now.own:
-        lines.append(f"head {now.me.name if now.me else '?'}: {', '.join(now.own) or 'not settled'}")
+        lines.append(f"head {now.me.member if now.me else '?'}: {', '.join(now.own) or 'not settled'}")
     for name, w in sorted(now.words.items()):
         old = before.words.get(name) if before else None
-        if old is None or (old.life, old.state) != (w.life, w.state):
-            was = f", was {_state(old)}" if old is not None and old.life == w.life else ""
-            lines.append(f"head {name} is {_state(w)}{was}, life {w.life}, says head {w.by}")
+        if old is None or (old.incarnation, old.state) != (w.incarnation, w.state):
+            was = f", was {_state(old)}" if old is not None and old.incarnation == w.incarnation else ""
+            lines.append(f"head {name} is {_state(w)}{was}, life {w.incarnation}, says head {w.reported_by}")
     return lines
 
 
@@ -194,7 +206,7 @@
     known = tuple(address_of(c, "contact") for c in contact or [])
 
     async def work(transport: RealTransport) -> None:
-        me = Word(number, 0, 0, State.ALIVE, zone, 0, *here, number)
+        me = MemberRecord(number, 0, 0, MemberState.ALIVE, zone, 0, *here, number)
         side = FleetSide(
             transport, me, address_of(listen, "listen"), known, frozenset(known), fleet, log_for(head=number)
         )
--- a/gorsethread/faults/fleet.py
+++ b/gorsethread/faults/fleet.py
@@ -12,8 +12,9 @@
 from typing import Any
 
 from gorsethread.faults.script import Act, Script
-from gorsethread.membership.gossip_messages import Address, State, Word, read, write
-from gorsethread.membership.view import Pace, View
+from gorsethread.membership.failure_detector import ProbeTiming
+from gorsethread.membership.gossip_messages import Address, MemberRecord, MemberState, decode, encode
+from gorsethread.membership.membership_view import MembershipView
 from gorsethread.transport.program import Draws
 
 FLEET = 4711
@@ -38,7 +39,7 @@
 @dataclass
 class Node:
     number: int
-    view: View
+    view: MembershipView
     offset: float
     up: bool = True
     paused: bool = False
@@ -67,14 +68,14 @@
 
 class FleetWorld:
     """script: acts on heads, and cuts between them. plant: changes each view as it is made. make: what views
-    are, a View or a baseline of its shape. Play it once."""
+    are, a MembershipView or a baseline of its shape. Play it once."""
 
     def __init__(
         self,
         script: Script,
-        plant: Callable[[View], None] | None = None,
+        plant: Callable[[MembershipView], None] | None = None,
         calm: float | None = None,
-        make: Callable[..., Any] = View,
+        make: Callable[..., Any] = MembershipView,
     ) -> None:
         self.script, self.plant, self.make = script, plant, make
         self.over_at: dict[tuple[int, int], list[float]] = {}  # by name and life: when each head held it over
@@ -101,10 +102,10 @@
     def _start(self, number: int, life: int) -> None:
         c = self.chance
         address = ("10.0.0.1", 1000 + number)
-        me = Word(number, life, 0, State.ALIVE, number % 2, number, *address, number)
+        me = MemberRecord(number, life, 0, MemberState.ALIVE, number % 2, number, *address, number)
         known = [("10.0.0.1", 1000 + n) for n in range(self.script.heads)]
         offset = c.uniform(-900.0, 900.0)
-        view = self.make(me, tuple(known), self.now + offset, c.random, Pace(), ALL_HEADS)
+        view = self.make(me, tuple(known), self.now + offset, c.random, ProbeTiming(), ALL_HEADS)
         if self.plant is not None:
             self.plant(view)
         node = self.nodes[number] = Node(number, view, offset, troubled=self.now)
@@ -135,32 +136,32 @@
         before = node.view.history[-1] if node.view.history else None
         act()
         self._watch(node, before)
-        out, node.view.out = node.view.out, []
+        out, node.view.outbox = node.view.outbox, []
         for to, message in out:
-            self._send(node, to, write(message, FLEET))
+            self._send(node, to, encode(message, FLEET))
 
     def _watch(self, node: Node, before: Any) -> None:
         """What its view has come to: a death told in error, a dead life alive again."""
         for change in reversed(node.view.history):
             if change is before:
                 break
-            w = change.word
-            if w.over:
-                if (node.number, w.name, w.life) not in self.dead:
-                    self.over_at.setdefault((w.name, w.life), []).append(self.now)
-                self.dead.add((node.number, w.name, w.life))
+            w = change.record
+            if w.ended:
+                if (node.number, w.member, w.incarnation) not in self.dead:
+                    self.over_at.setdefault((w.member, w.incarnation), []).append(self.now)
+                self.dead.add((node.number, w.member, w.incarnation))
                 self._judge_death(node, w)
-            elif (node.number, w.name, w.life) in self.dead:
+            elif (node.number, w.member, w.incarnation) in self.dead:
                 self.revived += 1
 
-    def _judge_death(self, node: Node, w: Word) -> None:
-        other = self.nodes.get(w.name)
-        if w.state != State.DEAD or w.by != node.number or other is None or not other.up:
+    def _judge_death(self, node: Node, w: MemberRecord) -> None:
+        other = self.nodes.get(w.member)
+        if w.state != MemberState.DEAD or w.reported_by != node.number or other is None or not other.up:
             return
         calm = min(self.now - node.troubled, self.now - other.troubled)
-        if self.cuts[node.number, w.name] or self.cuts[w.name, node.number] or other.paused or other.late:
+        if self.cuts[node.number, w.member] or self.cuts[w.member, node.number] or other.paused or other.late:
             calm = 0.0  # held dead for what it can't be told from
-        if calm > CALM and other.view.me.life == w.life:
+        if calm > CALM and other.view.own.incarnation == w.incarnation:
             self.false_deaths += 1
 
     # ---- the network
@@ -182,7 +183,7 @@
     def _arrives(self, one: int, other: int, raw: bytes) -> None:
         node = self.nodes[other]
         if node.up and not self.cuts[one, other]:
-            self._later(node, lambda: node.view.heard(("10.0.0.1", 1000 + one), read(raw, FLEET)))
+            self._later(node, lambda: node.view.received(("10.0.0.1", 1000 + one), decode(raw, FLEET)))
 
     # ---- acts
 
@@ -209,7 +210,7 @@
             self._do(node, node.view.leave)
         if act.kind in ("kill", "vanish", "term"):
             node.up = False
-            life = node.view.me.life + 1 + int(self.chance.random() * 1000)
+            life = node.view.own.incarnation + 1 + int(self.chance.random() * 1000)
             self.at(self.now + act.seconds, lambda: self._start(node.number, life))
         elif act.kind == "pause":
             node.paused = True
@@ -282,10 +283,10 @@
         self._sent_before = sum(n.sent_bytes for n in self.nodes.values())
 
     def _truth(self) -> set[tuple[int, int]]:
-        return {(n.number, n.view.me.life) for n in self.nodes.values() if n.up}
+        return {(n.number, n.view.own.incarnation) for n in self.nodes.values() if n.up}
 
     def _seen(self, node: Node) -> set[tuple[int, int]]:
-        return {(w.name, w.life) for w in node.view.alive}
+        return {(w.member, w.incarnation) for w in node.view.alive}
 
     def _look(self) -> None:
         truth = self._truth()
--- a/gorsethread/faults/mutants.py
+++ b/gorsethread/faults/mutants.py
@@ -438,18 +438,18 @@
 
 @mutant("membership: old news is believed")
 def _believes_old_news(head: Head) -> None:
-    head.peers.core._known = lambda n: False  # type: ignore[method-assign]
+    head.peers.core._covered_by_own_list = lambda news: False  # type: ignore[method-assign]
 
 
 @mutant("membership: what peers stopped is not used again")
 def _never_freed(head: Head) -> None:
-    honest = head.peers.core._freed
+    honest = head.peers.core._release
 
-    def freed(shelves: list[int]) -> list[int]:
-        honest(shelves)
+    def freed(backends: list[int]) -> list[int]:
+        honest(backends)
         return []
 
-    head.peers.core._freed = freed  # type: ignore[method-assign]
+    head.peers.core._release = freed  # type: ignore[method-assign]
 
 
 @mutant("membership: a peer's word lets a head send")
--- a/gorsethread/gateway/messages.py
+++ b/gorsethread/gateway/messages.py
@@ -5,7 +5,14 @@
 from collections.abc import Callable
 from zlib import crc32
 
-from gorsethread.membership.gossip_messages import Address, Kind, Message, Unreadable, read, write
+from gorsethread.membership.gossip_messages import (
+    Address,
+    GossipDecodeError,
+    GossipMessage,
+    MessageKind,
+    decode,
+    encode,
+)
 from gorsethread.transport.base import Transport
 
 SENT_MOST = 400  # messages a second; decisions that ask for more are not carried
@@ -59,17 +66,20 @@
             return
         self.counts["sent"] += 1
         self._port.send(
-            self.addresses[head], write(Message(Kind.TOLD, self.me, 0, 0, 0, (), said=words), self.fleet)
+            self.addresses[head],
+            encode(
+                GossipMessage(MessageKind.SCHEDULER_MESSAGE, self.me, 0, 0, 0, (), text=words), self.fleet
+            ),
         )
 
     def _came(self, data: bytes, source: Address) -> None:
         try:
-            message = read(data, self.fleet)
-        except Unreadable as error:
+            message = decode(data, self.fleet)
+        except GossipDecodeError as error:
             self.counts[str(error)] += 1
             return
         if self.numbers.get(source) != message.sender or message.sender == self.me:
             self.counts["from no peer"] += 1
-        elif message.kind == Kind.TOLD:
+        elif message.kind == MessageKind.SCHEDULER_MESSAGE:
             self.counts["heard"] += 1
-            self.told(message.sender, message.said)
+            self.told(message.sender, message.text)
--- a/gorsethread/head/fleet.py
+++ b/gorsethread/head/fleet.py
@@ -4,18 +4,20 @@
 from collections.abc import Callable
 from typing import Any
 
+from gorsethread.membership.failure_detector import DEFAULT_TIMING, ProbeTiming
 from gorsethread.membership.gossip_messages import (
-    PAST,
+    HISTORY_TARGET,
     Address,
-    Kind,
-    Message,
-    State,
-    Unreadable,
-    Word,
-    read,
-    write,
+    GossipDecodeError,
+    GossipMessage,
+    MemberRecord,
+    MemberState,
+    MessageKind,
+    decode,
+    encode,
 )
-from gorsethread.membership.view import USUAL_PACE, Pace, View
+from gorsethread.membership.membership_view import MembershipView
+from gorsethread.membership.operator_replies import history_page, table_page
 from gorsethread.transport.base import Transport
 
 TICKS = 10  # a period
@@ -30,25 +32,30 @@
     def __init__(
         self,
         transport: Transport,
-        me: Word,
+        me: MemberRecord,
         listen: Address,
         contacts: tuple[Address, ...],
         peers: frozenset[Address],
         fleet: int,
         log: Any,
-        pace: Pace = USUAL_PACE,
+        pace: ProbeTiming = DEFAULT_TIMING,
     ) -> None:
         self.transport, self.listen, self.peers, self.fleet, self.log = transport, listen, peers, fleet, log
         self.pace = pace
         # Milliseconds of the wall clock name a start; one whose clock was set back hears it from the others.
-        me = me._replace(life=int(transport.wall() * 1000), incarnation=0, state=State.ALIVE, by=me.name)
-        self.view = View(me, contacts, transport.now(), transport.chance("view").random, pace)
+        me = me._replace(
+            incarnation=int(transport.wall() * 1000),
+            refutation=0,
+            state=MemberState.ALIVE,
+            reported_by=me.member,
+        )
+        self.view = MembershipView(me, contacts, transport.now(), transport.chance("view").random, pace)
         self.wrong: Counter[str] = Counter()  # by reason; as many as there are reasons
         # What else comes from peers on this port, by kind; what is of no kind here is dropped.
-        self.also: dict[int, Callable[[Address, Message], None]] = {}
+        self.also: dict[int, Callable[[Address, GossipMessage], None]] = {}
         self.stopped = False
         self._shown = 0
-        self._told = (me.life, True)
+        self._told = (me.incarnation, True)
 
     def start(self) -> None:
         """OSError where its address can't be had."""
@@ -57,8 +64,8 @@
         self._tick()
         self.log.info(
             "fleet's view begins",
-            name=self.view.me.name,
-            life=self.view.me.life,
+            name=self.view.own.member,
+            life=self.view.own.incarnation,
             port=self.port,
             fleet=self.fleet,
         )
@@ -81,37 +88,41 @@
 
     def _came(self, data: bytes, source: Address) -> None:
         try:
-            message = read(data, self.fleet)
-        except Unreadable as error:
+            message = decode(data, self.fleet)
+        except GossipDecodeError as error:
             self.wrong[str(error)] += 1
             return
-        if message.kind == Kind.SHOW:
+        if message.kind == MessageKind.VIEW_QUERY:
             self._show(message, source)
         elif self.peers and source not in self.peers:
             self.wrong["from no peer"] += 1
         elif message.kind in self.also:
             self.also[message.kind](source, message)
-        elif message.kind <= Kind.NACK:
-            self.view.heard(source, message)
+        elif message.kind <= MessageKind.NACK:
+            self.view.received(source, message)
             self._flush()
 
-    def send(self, to: Address, message: Message) -> None:
-        self._port.send(to, write(message, self.fleet))
+    def send(self, to: Address, message: GossipMessage) -> None:
+        self._port.send(to, encode(message, self.fleet))
 
-    def _show(self, asked: Message, to: Address) -> None:
+    def _show(self, asked: GossipMessage, to: Address) -> None:
         if not to[0].startswith(LOOPBACK) or self._shown >= SHOWN_MOST:
             self.wrong["not shown"] += 1
             return
         self._shown += 1
-        past = asked.target == PAST
-        said = self.view.past(asked.cursor, self.transport.now()) if past else self.view.show(asked.cursor)
+        past = asked.target == HISTORY_TARGET
+        said = (
+            history_page(self.view, asked.cursor, self.transport.now())
+            if past
+            else table_page(self.view, asked.cursor)
+        )
         self.send(to, said)
 
     def _flush(self) -> None:
-        out, self.view.out = self.view.out, []
+        out, self.view.outbox = self.view.outbox, []
         for to, message in out:
-            self._port.send(to, write(message, self.fleet))
-        now = self.view.me.life, self.view.settled
+            self._port.send(to, encode(message, self.fleet))
+        now = self.view.own.incarnation, self.view.settled
         if now != self._told:
             self._told = now
             self.log.info(
@@ -121,6 +132,6 @@
                 alive=len(self.view.alive),
                 apart=self.view.apart,
                 minority=self.view.minority,
-                doubles=self.view.doubles,
+                doubles=self.view.duplicates,
                 wrong=dict(self.wrong),
             )
--- a/gorsethread/head/listing.py
+++ b/gorsethread/head/listing.py
@@ -192,7 +192,7 @@
                 link.ready(self._usable(s))
 
     def _usable(self, s: Listed) -> bool:
-        return s.state == "ready" and (self.peers is None or not self.peers.core.stopped(s.number))
+        return s.state == "ready" and (self.peers is None or not self.peers.core.is_stopped(s.number))
 
     def again(self, shelves: list[int]) -> None:
         """Tells the module anew of these, as the own list and peers' news together have it."""
--- a/gorsethread/head/peers.py
+++ b/gorsethread/head/peers.py
@@ -8,8 +8,14 @@
 
 from gorsethread.gateway.messages import WORDS_MOST, Allowance
 from gorsethread.head.fleet import FleetSide
-from gorsethread.membership.gossip_messages import Address, Kind, Message, State, Word
-from gorsethread.membership.news import EVERY, Membership, News
+from gorsethread.membership.backend_news import RESEND_INTERVAL, BackendNews, BackendNewsTable
+from gorsethread.membership.gossip_messages import (
+    Address,
+    GossipMessage,
+    MemberRecord,
+    MemberState,
+    MessageKind,
+)
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.sitefile.reading import split_address
 from gorsethread.transport.base import Transport
@@ -37,7 +43,9 @@
         # Places of heads in the list are numbers to the decisions, and mean others in another list.
         self.heads = sorted(h.number for h in site.head)
         self.list = crc32(repr(self.heads).encode())
-        self.core = Membership(head, self.addresses, transport.chance(f"peers of head {head}").randrange)
+        self.core = BackendNewsTable(
+            head, self.addresses, transport.chance(f"peers of head {head}").randrange
+        )
         self.driver: Any = None
         self.news, self.told = Allowance(TELLINGS_MOST), Allowance()
         self._begin = 0  # of all there is to tell, where the next telling goes on
@@ -46,7 +54,7 @@
         if head in self.addresses:
             others = tuple(a for number, a in sorted(self.addresses.items()) if number != head)
             zone = next(h.zone for h in site.head if h.number == head)
-            me = Word(head, 0, 0, State.ALIVE, zone, 0, *self.addresses[head], head)
+            me = MemberRecord(head, 0, 0, MemberState.ALIVE, zone, 0, *self.addresses[head], head)
             self.side = FleetSide(
                 transport,
                 me,
@@ -56,7 +64,10 @@
                 fleet_of(site),
                 log,
             )
-            self.side.also = {Kind.NEWS: self._heard, Kind.TOLD: self._peer_told}
+            self.side.also = {
+                MessageKind.BACKEND_NEWS: self._heard,
+                MessageKind.SCHEDULER_MESSAGE: self._peer_told,
+            }
 
     @property
     def all_may_tell(self) -> bool:
@@ -64,7 +75,9 @@
 
     def living(self) -> list[int]:
         """Other heads that are not held dead."""
-        return [w.name for w in self.side.view.alive if w.name != self.head] if self.side is not None else []
+        return (
+            [w.member for w in self.side.view.alive if w.member != self.head] if self.side is not None else []
+        )
 
     def start(self) -> None:
         """OSError where its address can't be had."""
@@ -83,7 +96,7 @@
         self, life: int, version: int, shelves: list[tuple[int, int, str]], whole: bool
     ) -> list[int]:
         """Shelves that may be used again."""
-        freed, fresh = self.core.list_said(life, version, shelves, whole, self.transport.now())
+        freed, fresh = self.core.list_updated(life, version, shelves, whole, self.transport.now())
         if fresh:
             self._tell(fresh, True)
         return freed
@@ -94,24 +107,32 @@
         if self.stopped:
             return
         now = self.transport.now()
-        if freed := self.core.expired(now):
+        if freed := self.core.expire(now):
             self.log.info("peers' news not borne out", shelves=freed)
             self.follower.again(freed)
-        if news := self.core.to_tell(now):
+        if news := self.core.news_to_send(now):
             self._begin = self._begin % len(news) if len(news) > PIECE * PIECES_MOST else 0
             self._tell((news[self._begin :] + news[: self._begin])[: PIECE * PIECES_MOST], False)
             self._begin += PIECE * PIECES_MOST
-        self.transport.at(now + EVERY, self._round)
+        self.transport.at(now + RESEND_INTERVAL, self._round)
 
-    def _tell(self, news: list[News], fresh: bool) -> None:
+    def _tell(self, news: list[BackendNews], fresh: bool) -> None:
         if self.stopped or self.side is None:
             return
-        for peer in self.core.whom_to_tell(fresh, [w.name for w in self.side.view.alive]):
+        for peer in self.core.draw_recipients(fresh, [w.member for w in self.side.view.alive]):
             for begin in range(0, len(news), PIECE):
                 if self.news.takes(self.transport.now()):
                     self.side.send(
                         self.addresses[peer],
-                        Message(Kind.NEWS, self.head, 0, 0, 0, (), news=tuple(news[begin : begin + PIECE])),
+                        GossipMessage(
+                            MessageKind.BACKEND_NEWS,
+                            self.head,
+                            0,
+                            0,
+                            0,
+                            (),
+                            backend_news=tuple(news[begin : begin + PIECE]),
+                        ),
                     )
 
     def tell(self, place: int, words: str) -> None:
@@ -125,19 +146,19 @@
         ):
             self.side.send(
                 self.addresses[self.heads[place]],
-                Message(Kind.TOLD, self.head, 0, 0, self.list, (), said=words),
+                GossipMessage(MessageKind.SCHEDULER_MESSAGE, self.head, 0, 0, self.list, (), text=words),
             )
 
     # ---- from peers
 
-    def _peer_told(self, source: Address, message: Message) -> None:
+    def _peer_told(self, source: Address, message: GossipMessage) -> None:
         if message.digest == self.list and self.driver is not None:
-            self.driver.peer_told(self.heads.index(self.numbers[source]), message.said)
+            self.driver.peer_told(self.heads.index(self.numbers[source]), message.text)
 
-    def _heard(self, source: Address, message: Message) -> None:
-        fresh = self.core.peer_said([News(*n) for n in message.news], self.transport.now())
+    def _heard(self, source: Address, message: GossipMessage) -> None:
+        fresh = self.core.peer_reported([BackendNews(*n) for n in message.backend_news], self.transport.now())
         if not fresh:
             return
-        self.log.info("peers' news", head=self.numbers[source], shelves={n.shelf: n.state for n in fresh})
-        self.follower.again([n.shelf for n in fresh])
+        self.log.info("peers' news", head=self.numbers[source], shelves={n.backend: n.state for n in fresh})
+        self.follower.again([n.backend for n in fresh])
         self._tell(fresh, True)
--- a/gorsethread/lab/asking.py
+++ b/gorsethread/lab/asking.py
@@ -10,15 +10,17 @@
 from gorsethread.durable_log.replication_messages import MessageReader, ProtocolError, encode
 from gorsethread.errors import GorsethreadError
 from gorsethread.membership.gossip_messages import (
-    OWN,
-    PAST,
+    HISTORY_TARGET,
+    STATUS_FLAGS,
     Address,
-    Kind,
-    Message,
-    Unreadable,
-    Word,
-    read,
-    write,
+    GossipDecodeError,
+    GossipMessage,
+    MemberRecord,
+    MessageKind,
+    decode,
+)
+from gorsethread.membership.gossip_messages import (
+    encode as encode_gossip,
 )
 from gorsethread.offline_writes import messages as offline_messages
 from gorsethread.transport.base import StreamClosed, Transport, Unreachable
@@ -29,10 +31,10 @@
 
 @dataclass
 class Shown:
-    """A head's view. own: which of OWN hold of it."""
+    """A head's view. own: which of STATUS_FLAGS hold of it."""
 
-    words: dict[int, Word] = field(default_factory=dict)
-    me: Word | None = None
+    words: dict[int, MemberRecord] = field(default_factory=dict)
+    me: MemberRecord | None = None
     own: tuple[str, ...] = ()
     digest: int = 0
 
@@ -47,20 +49,20 @@
     """Its whole view, piece by piece. NoAnswer where it is not told within that many seconds."""
     shown = Shown()
     async for message in _pieces(transport, head, fleet, within, -1):
-        shown.me, shown.digest = message.words[0], message.digest
-        shown.own = tuple(name for bit, name in enumerate(OWN) if message.seq >> bit & 1)
-        shown.words.update({w.name: w for w in message.words})
+        shown.me, shown.digest = message.records[0], message.digest
+        shown.own = tuple(name for bit, name in enumerate(STATUS_FLAGS) if message.sequence >> bit & 1)
+        shown.words.update({w.member: w for w in message.records})
     return shown
 
 
 async def ask_past(
     transport: Transport, head: Address, fleet: int, within: float = 2.0
-) -> list[tuple[float, Word]]:
+) -> list[tuple[float, MemberRecord]]:
     """The changes of its view that it keeps, oldest first: how many seconds ago, and what it then held."""
     found = []
-    async for message in _pieces(transport, head, fleet, within, PAST):
-        ages = [int(age) / 10.0 for age in message.said.split(",") if age]
-        found += list(zip(ages, message.words[1:], strict=True))
+    async for message in _pieces(transport, head, fleet, within, HISTORY_TARGET):
+        ages = [int(age) / 10.0 for age in message.text.split(",") if age]
+        found += list(zip(ages, message.records[1:], strict=True))
     return found
 
 
@@ -97,15 +99,15 @@
 
 async def _pieces(
     transport: Transport, head: Address, fleet: int, within: float, target: int
-) -> AsyncIterator[Message]:
-    came: asyncio.Queue[Message] = asyncio.Queue()
+) -> AsyncIterator[GossipMessage]:
+    came: asyncio.Queue[GossipMessage] = asyncio.Queue()
 
     def on_datagram(data: bytes, source: Address) -> None:
         try:
-            message = read(data, fleet)
-        except Unreadable:
+            message = decode(data, fleet)
+        except GossipDecodeError:
             return
-        if source == head and message.kind == Kind.SHOWN and message.target == target:
+        if source == head and message.kind == MessageKind.VIEW_REPLY and message.target == target:
             came.put_nowait(message)
 
     port, begin = transport.datagrams("127.0.0.1", 0, on_datagram), 0
@@ -116,7 +118,10 @@
             while message is None:
                 if transport.now() >= by:
                     raise NoAnswer(f"{head[0]}:{head[1]}: no answer in {within:g} s")
-                port.send(head, write(Message(Kind.SHOW, 0, 0, begin, 0, (), target), fleet))
+                port.send(
+                    head,
+                    encode_gossip(GossipMessage(MessageKind.VIEW_QUERY, 0, 0, begin, 0, (), target), fleet),
+                )
                 try:
                     message = await asyncio.wait_for(came.get(), AGAIN)
                 except TimeoutError:
--- a/gorsethread/lab/fleet.py
+++ b/gorsethread/lab/fleet.py
@@ -16,7 +16,7 @@
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.relay import DatagramRelay
 from gorsethread.lab.asking import NoAnswer, Shown, ask
-from gorsethread.membership.gossip_messages import State
+from gorsethread.membership.gossip_messages import MemberState
 from gorsethread.transport.base import Transport
 from gorsethread.transport.real import free_ports
 
@@ -137,12 +137,12 @@
 
     def _differences(self, shown: dict[int, Shown | None]) -> dict[str, int]:
         found: Counter[str] = Counter()
-        lives = {n: s.me.life for n, s in shown.items() if s is not None and s.me is not None}
+        lives = {n: s.me.incarnation for n, s in shown.items() if s is not None and s.me is not None}
         for s in shown.values():
             if s is None:
                 found["says nothing"] += 1
                 continue
-            alive = {w.name: w.life for w in s.words.values() if w.state < State.LEFT}
+            alive = {w.member: w.incarnation for w in s.words.values() if w.state < MemberState.LEFT}
             found["held dead though it runs"] += sum(alive.get(n) != life for n, life in lives.items())
             found["held alive though it is gone"] += sum(n not in shown for n in alive)
             found["not settled"] += "settled" not in s.own
--- a/gorsethread/lab/views.py
+++ b/gorsethread/lab/views.py
@@ -19,8 +19,16 @@
 
 from gorsethread.faults.fleet import FleetWorld, bound, drawn  # noqa: E402
 from gorsethread.faults.script import read_script  # noqa: E402
-from gorsethread.membership.gossip_messages import Address, Kind, Message, State, Word  # noqa: E402
-from gorsethread.membership.view import Change, Pace, View  # noqa: E402
+from gorsethread.membership.failure_detector import ProbeTiming  # noqa: E402
+from gorsethread.membership.gossip_messages import (  # noqa: E402
+    Address,
+    GossipMessage,
+    MemberRecord,
+    MemberState,
+    MessageKind,
+)
+from gorsethread.membership.member_table import Change  # noqa: E402
+from gorsethread.membership.membership_view import MembershipView  # noqa: E402
 
 LOST_AT = 60.0  # seconds from the start of all until one head is gone for good
 WATCHED = 60.0  # seconds after that
@@ -35,54 +43,64 @@
 
     def __init__(
         self,
-        me: Word,
+        me: MemberRecord,
         contacts: tuple[Address, ...],
         now: float,
         draw: Callable[[], float],
-        pace: Pace,
+        pace: ProbeTiming,
         most: int,
     ) -> None:
-        self.me, self.contacts, self.pace = me, contacts, pace
-        self.words: dict[int, Word] = {me.name: me}
+        self.own, self.contacts, self.pace = me, contacts, pace
+        self.records: dict[int, MemberRecord] = {me.member: me}
         self.heard_at: dict[int, float] = {}
-        self.out: list[tuple[Address, Message]] = []
+        self.outbox: list[tuple[Address, GossipMessage]] = []
         self.history: deque[Change] = deque(maxlen=1024)
         self._now, self._next = now, now + draw() * pace.period
 
     @property
-    def alive(self) -> list[Word]:
-        return [w for w in self.words.values() if not w.over]
+    def alive(self) -> list[MemberRecord]:
+        return [w for w in self.records.values() if not w.ended]
 
     def tick(self, now: float) -> None:
         self._now = now
         for name, at in self.heard_at.items():
-            if now - at > SILENT * self.pace.period and not self.words[name].over:
-                self._believe(self.words[name]._replace(state=State.DEAD, by=self.me.name))
+            if now - at > SILENT * self.pace.period and not self.records[name].ended:
+                self._believe(
+                    self.records[name]._replace(state=MemberState.DEAD, reported_by=self.own.member)
+                )
         if now >= self._next:
             self._next = now + self.pace.period
-            self.out += [
-                (to, Message(Kind.PING, self.me.name, 0, 0, 0, (self.me,)))
+            self.outbox += [
+                (to, GossipMessage(MessageKind.PING, self.own.member, 0, 0, 0, (self.own,)))
                 for to in self.contacts
-                if to != self.me.address
+                if to != self.own.address
             ]
 
-    def heard(self, source: Address, m: Message) -> None:
-        for w in m.words:
-            known = self.words.get(w.name)
-            self.heard_at[w.name] = self._now
-            if known is None or w.life > known.life or known.state != w.state and w.life == known.life:
+    def received(self, source: Address, m: GossipMessage) -> None:
+        for w in m.records:
+            known = self.records.get(w.member)
+            self.heard_at[w.member] = self._now
+            if (
+                known is None
+                or w.incarnation > known.incarnation
+                or known.state != w.state
+                and w.incarnation == known.incarnation
+            ):
                 self._believe(w)
 
     def leave(self) -> None:
-        self.me = self.me._replace(state=State.LEFT)
-        self.out += [(to, Message(Kind.PING, self.me.name, 0, 0, 0, (self.me,))) for to in self.contacts]
-
-    def _believe(self, w: Word) -> None:
-        self.words[w.name] = w
+        self.own = self.own._replace(state=MemberState.LEFT)
+        self.outbox += [
+            (to, GossipMessage(MessageKind.PING, self.own.member, 0, 0, 0, (self.own,)))
+            for to in self.contacts
+        ]
+
+    def _believe(self, w: MemberRecord) -> None:
+        self.records[w.member] = w
         self.history.append(Change(self._now, w))
 
 
-KINDS: dict[str, Callable[..., Any]] = {"view": View, "heartbeats": Heartbeats}
+KINDS: dict[str, Callable[..., Any]] = {"view": MembershipView, "heartbeats": Heartbeats}
 
 
 def one_lost(kind: str, heads: int, lossy: float = 0.0) -> dict[str, Any]:
--- a/gorsethread/membership/__init__.py
+++ b/gorsethread/membership/__init__.py
@@ -1,1 +1,1 @@
-"""What heads tell each other of shelves that drain or are gone."""
+"""Membership of the fleet: who is alive, and news of backends that drain or are gone. No I/O."""
--- a/gorsethread/membership/gossip_messages.py
+++ b/gorsethread/membership/gossip_messages.py
@@ -1,9 +1,9 @@
-"""What heads say of each other, and how it is said in datagrams of 256 bytes. No I/O.
+"""Gossip messages between gateways and their codec: msgpack arrays in datagrams of 256 bytes at most. No I/O.
 
-Of two words on one head the same one wins at every head, in whatever order, however often and late they come:
-a later life before an earlier one; within a life the end of it before all else, else the later incarnation,
-else suspicion. So a life that has ended is never alive again; whoever was held dead in error goes on as a new
-life.
+Two numbers order the reports on one gateway. ``incarnation`` names one start of its process; it grows with
+each start and a gateway that was declared dead goes on under the next one. ``refutation`` counts, within an
+incarnation, how often the gateway has refuted a suspicion; the SWIM paper calls that count the incarnation
+number. member_state.py holds the order.
 """
 
 from enum import IntEnum
@@ -13,159 +13,208 @@
 
 from gorsethread.errors import GorsethreadError
 
-VERSION = 2
-MOST_BYTES = 256
-HEADER_MOST = 48  # bytes of a message without its words
+PROTOCOL_VERSION = 2
+DATAGRAM_BYTES_MAX = 256
+HEADER_BYTES_MAX = 48  # of a message without its member records
+PORTS = 65536
+
+HISTORY_TARGET = 1  # target of a VIEW_QUERY and a VIEW_REPLY on changes kept, not on the present view
+NO_TARGET = -1
+BACKEND_STATES = (0, 1, 2)  # of membership/backend_news.py
+STATUS_FLAGS = ("settled", "apart", "minority", "leaving")  # one bit each, the first the lowest
 
 Address = tuple[str, int]
+BackendNewsFields = tuple[int, int, int, int, int]
+
 
+class MemberState(IntEnum):
+    """What a gateway is believed to be, by its number on the wire."""
 
-class State(IntEnum):
     ALIVE = 0
     SUSPECT = 1
     LEFT = 2
     DEAD = 3
 
 
-class Word(NamedTuple):
-    """name: the head's number. life: which start of it. by: who said so; it decides nothing between words."""
+class MemberRecord(NamedTuple):
+    """What is reported of one gateway, in the order of the fields on the wire.
+
+    Attributes:
+        member: The gateway's number.
+        incarnation: Which start of its process.
+        refutation: How many suspicions it refuted in this incarnation.
+        state: A MemberState.
+        zone: The zone that it stands in.
+        machine: The machine that it runs on.
+        host: Where its peers reach it.
+        port: The same.
+        reported_by: The gateway that reported it; this orders nothing.
+    """
 
-    name: int
-    life: int
+    member: int
     incarnation: int
+    refutation: int
     state: int
     zone: int
     machine: int
     host: str
     port: int
-    by: int
+    reported_by: int
 
     @property
-    def over(self) -> bool:
-        return self.state >= State.LEFT
+    def ended(self) -> bool:
+        """Whether this incarnation left or died."""
+        return self.state >= MemberState.LEFT
 
     @property
     def address(self) -> Address:
+        """Where its peers reach it."""
         return self.host, self.port
 
 
-def rank(w: Word) -> tuple[int, bool, int, int]:
-    return w.life, w.over, 0 if w.over else w.incarnation, w.state
-
-
-def beats(one: Word, other: Word | None) -> bool:
-    """Whether one is to be believed in place of the other, both on the same head."""
-    return other is None or rank(one) > rank(other)
-
+class MessageKind(IntEnum):
+    """The kinds of messages, by their numbers on the wire."""
 
-class Kind(IntEnum):
     PING = 0
     ACK = 1
-    ASK = 2  # to ping another, on the asker's behalf
-    NACK = 3  # that other did not answer the one asked
-    SHOW = 4  # an operator asks for the view from a name on; changes nothing
-    NEWS = 7  # of shelves that drain or are gone
-    TOLD = 6  # words of one head's decisions to another's
-    SHOWN = 5  # a piece of it; seq holds what the head says of itself (OWN)
-
-
-PAST = 1  # the target of a SHOW and a SHOWN that are about changes kept, not about what holds
-NEWS_STATES = (0, 1, 2)  # of membership/news.py
-OWN = ("settled", "apart", "minority", "leaving")  # one bit each, the first the lowest
-
-
-class Message(NamedTuple):
-    """seq: which ping it belongs to. target: the head to ping, of an ASK (-1: none). cursor: in a PING the
-    name from which on the sender would hear the table, in an ACK the name from which on it goes on. digest:
-    of the sender's view. said: what a TOLD carries. news: shelf, start,
-    state, life and version of the list that said so, of a NEWS."""
+    PING_REQUEST = 2  # to ping the target for the sender
+    NACK = 3  # the target of a ping request did not answer
+    VIEW_QUERY = 4  # an operator asks for the view from a cursor on; changes nothing
+    VIEW_REPLY = 5  # one page of it; the sequence holds STATUS_FLAGS
+    SCHEDULER_MESSAGE = 6  # text from one gateway's scheduler to another's
+    BACKEND_NEWS = 7  # backends that drain or are gone
+
+
+class GossipMessage(NamedTuple):
+    """One message, decoded.
+
+    Attributes:
+        kind: A MessageKind.
+        sender: The sending gateway's number.
+        sequence: The ping that it belongs to.
+        cursor: In a PING the first member that the sender wants records of, in an ACK the first that the next
+            page would begin with.
+        digest: Of the sender's view.
+        records: Member records that it carries.
+        target: The member to ping, of a PING_REQUEST.
+        text: What a SCHEDULER_MESSAGE carries.
+        backend_news: Of a BACKEND_NEWS: backend, its start, its state, incarnation and version of the
+            endpoint list that said so.
+    """
 
     kind: int
     sender: int
-    seq: int
+    sequence: int
     cursor: int
     digest: int
-    words: tuple[Word, ...]
-    target: int = -1
-    said: str = ""
-    news: tuple[tuple[int, int, int, int, int], ...] = ()
+    records: tuple[MemberRecord, ...]
+    target: int = NO_TARGET
+    text: str = ""
+    backend_news: tuple[BackendNewsFields, ...] = ()
 
 
-class Unreadable(GorsethreadError):
+class GossipDecodeError(GorsethreadError):
     """A datagram that is no message of this fleet; the text says why."""
 
-    action = "See that all heads run one version and site, and that nothing else sends to the peers' port."
+    action = "See that all gateways run one version and site, and that nothing else sends to the peers' port."
+
 
+class _WireMessage(msgspec.Struct, frozen=True, array_like=True):
+    """The order of the fields on the wire."""
 
-class _Wire(msgspec.Struct, frozen=True, array_like=True):
     version: int
     fleet: int
     kind: int
     sender: int
-    seq: int
+    sequence: int
     cursor: int
     digest: int
     target: int
-    words: list[tuple[int, int, int, int, int, int, str, int, int]]
-    said: str
-    news: list[tuple[int, int, int, int, int]]
+    records: list[tuple[int, int, int, int, int, int, str, int, int]]
+    text: str
+    backend_news: list[BackendNewsFields]
 
 
 _encode = msgspec.msgpack.Encoder().encode
-_decoder: msgspec.msgpack.Decoder[_Wire] = msgspec.msgpack.Decoder(_Wire)
+_decoder: msgspec.msgpack.Decoder[_WireMessage] = msgspec.msgpack.Decoder(_WireMessage)
 
 
-def size_of(word: Word) -> int:
-    """Bytes of a word on the wire."""
-    return len(_encode(word))
+def encoded_size(record: MemberRecord) -> int:
+    """Bytes of a record on the wire."""
+    return len(_encode(record))
 
 
-def write(message: Message, fleet: int) -> bytes:
-    """ValueError over the bound: who fills a message keeps to it by size_of()."""
-    m = message
-    raw = _encode(
-        _Wire(
-            VERSION,
+def encode(message: GossipMessage, fleet: int) -> bytes:
+    """The datagram of a message.
+
+    Args:
+        message: Who fills it keeps to the bound by encoded_size().
+        fleet: The number that all gateways of this fleet share.
+
+    Raises:
+        ValueError: It is over DATAGRAM_BYTES_MAX.
+    """
+    data = _encode(
+        _WireMessage(
+            PROTOCOL_VERSION,
             fleet,
-            m.kind,
-            m.sender,
-            m.seq,
-            m.cursor,
-            m.digest,
-            m.target,
-            list(m.words),
-            m.said,
-            list(m.news),
+            message.kind,
+            message.sender,
+            message.sequence,
+            message.cursor,
+            message.digest,
+            message.target,
+            list(message.records),
+            message.text,
+            list(message.backend_news),
         )
     )
-    if len(raw) > MOST_BYTES:
-        raise ValueError(f"{len(raw)} bytes of a message")
-    return raw
+    if len(data) > DATAGRAM_BYTES_MAX:
+        raise ValueError(f"{len(data)} bytes of a message")
+    return data
+
 
+def decode(data: bytes, fleet: int) -> GossipMessage:
+    """The message of a datagram.
 
-def read(raw: bytes, fleet: int) -> Message:
-    """Unreadable for anything that is not whole, of this version and of this fleet."""
-    if len(raw) > MOST_BYTES:
-        raise Unreadable("over the bound")
+    Raises:
+        GossipDecodeError: It is not complete, or of another version or fleet.
+    """
+    if len(data) > DATAGRAM_BYTES_MAX:
+        raise GossipDecodeError("over the bound")
     try:
-        m = _decoder.decode(raw)
+        wire = _decoder.decode(data)
     except (msgspec.DecodeError, ValueError):
-        raise Unreadable("malformed") from None
-    if m.version != VERSION:
-        raise Unreadable("another version")
-    if m.fleet != fleet:
-        raise Unreadable("another fleet")
-    words = tuple(Word(*w) for w in m.words)
-    if (
-        m.kind not in list(Kind)
-        or min(m.sender, m.seq, m.cursor, m.digest, m.target + 1) < 0
-        or any(
-            w.state not in list(State)
-            or min(w.name, w.life, w.incarnation, w.zone, w.machine) < 0
-            or not 0 < w.port < 65536
-            for w in words
-        )
-        or any(min(n) < 0 or n[2] not in NEWS_STATES for n in m.news)
-    ):
-        raise Unreadable("out of bounds")
-    return Message(m.kind, m.sender, m.seq, m.cursor, m.digest, words, m.target, m.said, tuple(m.news))
+        raise GossipDecodeError("malformed") from None
+    if wire.version != PROTOCOL_VERSION:
+        raise GossipDecodeError("another version")
+    if wire.fleet != fleet:
+        raise GossipDecodeError("another fleet")
+    records = tuple(MemberRecord(*fields) for fields in wire.records)
+    if not (_header_in_bounds(wire) and all(map(_record_in_bounds, records)) and _news_in_bounds(wire)):
+        raise GossipDecodeError("out of bounds")
+    return GossipMessage(
+        wire.kind,
+        wire.sender,
+        wire.sequence,
+        wire.cursor,
+        wire.digest,
+        records,
+        wire.target,
+        wire.text,
+        tuple(wire.backend_news),
+    )
+
+
+def _header_in_bounds(wire: _WireMessage) -> bool:
+    numbers = (wire.sender, wire.sequence, wire.cursor, wire.digest, wire.target - NO_TARGET)
+    return wire.kind in list(MessageKind) and min(numbers) >= 0
+
+
+def _record_in_bounds(record: MemberRecord) -> bool:
+    numbers = (record.member, record.incarnation, record.refutation, record.zone, record.machine)
+    return record.state in list(MemberState) and min(numbers) >= 0 and 0 < record.port < PORTS
+
+
+def _news_in_bounds(wire: _WireMessage) -> bool:
+    return all(min(news) >= 0 and news[2] in BACKEND_STATES for news in wire.backend_news)
--- a/tests/membership/test_membership_view.py
+++ b/tests/membership/test_membership_view.py
@@ -12,58 +12,72 @@
 from gorsethread.faults.fleet import FleetWorld, drawn
 from gorsethread.faults.script import read_script
 from gorsethread.faults.viewmutants import VIEW_MUTANTS
-from gorsethread.membership import view as view_module
-from gorsethread.membership.gossip_messages import Kind, Message, State, Unreadable, Word, beats, read, write
-from gorsethread.membership.view import View
+from gorsethread.membership.failure_detector import RelayedPing
+from gorsethread.membership.gossip_messages import (
+    GossipDecodeError,
+    GossipMessage,
+    MemberRecord,
+    MemberState,
+    MessageKind,
+    decode,
+    encode,
+)
+from gorsethread.membership.member_state import supersedes
+from gorsethread.membership.member_table import HISTORY_MAX
+from gorsethread.membership.membership_view import MembershipView
 
 HOME = ("10.0.0.1", 1000)
 WORDS = st.builds(
-    Word,
+    MemberRecord,
     st.just(3),
     st.integers(0, 3),
     st.integers(0, 3),
-    st.sampled_from(list(State)),
+    st.sampled_from(list(MemberState)),
     st.just(0),
     st.just(0),
     st.just("10.0.0.1"),
     st.just(1003),
     st.integers(0, 3),
 )
-RAW = write(Message(Kind.PING, 1, 1, 0, 5, (Word(3, 1, 0, 0, 0, 0, *HOME, 1),)), 7)
+RAW = encode(GossipMessage(MessageKind.PING, 1, 1, 0, 5, (MemberRecord(3, 1, 0, 0, 0, 0, *HOME, 1),)), 7)
 
 
-def word(name: int, life: int = 1, incarnation: int = 0, state: int = State.ALIVE, by: int = 0) -> Word:
-    return Word(name, life, incarnation, state, 0, 0, "10.0.0.1", 1000 + name, by)
+def word(
+    name: int, incarnation: int = 1, refutation: int = 0, state: int = MemberState.ALIVE, by: int = 0
+) -> MemberRecord:
+    return MemberRecord(name, incarnation, refutation, state, 0, 0, "10.0.0.1", 1000 + name, by)
 
 
-def view(name: int = 0, now: float = 0.0) -> View:
-    return View(word(name), (("10.0.0.1", 1000),), now, lambda: 0.5)
+def view(name: int = 0, now: float = 0.0) -> MembershipView:
+    return MembershipView(word(name), (("10.0.0.1", 1000),), now, lambda: 0.5)
 
 
 class Words(unittest.TestCase):
     @given(st.lists(WORDS, min_size=1, max_size=8), st.randoms(use_true_random=False))
-    def test_the_same_word_wins_in_any_order_and_however_often(self, words: list[Word], chance: Any) -> None:
-        def last(order: list[Word]) -> tuple[int, int, int]:
-            best: Word | None = None
+    def test_the_same_word_wins_in_any_order_and_however_often(
+        self, words: list[MemberRecord], chance: Any
+    ) -> None:
+        def last(order: list[MemberRecord]) -> tuple[int, int, int]:
+            best: MemberRecord | None = None
             for w in order:
-                best = w if beats(w, best) else best
+                best = w if supersedes(w, best) else best
             assert best is not None
-            return best.life, best.state, 0 if best.over else best.incarnation
+            return best.incarnation, best.state, 0 if best.ended else best.refutation
 
         other = words + words[:3]
         chance.shuffle(other)
         self.assertEqual(last(words), last(other))
 
     @given(st.lists(WORDS, min_size=1, max_size=8))
-    def test_what_is_over_stays_over_within_its_life(self, words: list[Word]) -> None:
+    def test_what_is_over_stays_over_within_its_life(self, words: list[MemberRecord]) -> None:
         v = view()
         over: set[int] = set()
         for w in words:
-            v.heard(("10.0.0.1", 1001), Message(Kind.ACK, 1, 0, 0, 0, (w,)))
-            if w.over:
-                over.add(w.life)
-            held = v.words[3]
-            self.assertFalse(held.life in over and not held.over, (held, over))
+            v.received(("10.0.0.1", 1001), GossipMessage(MessageKind.ACK, 1, 0, 0, 0, (w,)))
+            if w.ended:
+                over.add(w.incarnation)
+            held = v.records[3]
+            self.assertFalse(held.incarnation in over and not held.ended, (held, over))
 
     @given(st.binary(max_size=300))
     @settings(max_examples=200)
@@ -71,10 +85,10 @@
         for data in (raw, RAW[: len(raw) % len(RAW)], RAW[:5] + raw):
             if data != RAW:
                 try:
-                    read(data, 7)
-                except Unreadable:
+                    decode(data, 7)
+                except GossipDecodeError:
                     continue
-                self.assertEqual(data, write(read(data, 7), 7))
+                self.assertEqual(data, encode(decode(data, 7), 7))
 
     def test_other_fleets_versions_and_sizes_are_refused(self) -> None:
         for raw, why in (
@@ -83,46 +97,48 @@
             (b"", "malformed"),
             (RAW[:1] + b"\x01" + RAW[2:], "another version"),
         ):
-            with self.assertRaises(Unreadable) as caught:
-                read(raw, 8 if why == "another fleet" else 7)
+            with self.assertRaises(GossipDecodeError) as caught:
+                decode(raw, 8 if why == "another fleet" else 7)
             self.assertEqual(why, str(caught.exception))
 
     def test_messages_are_filled_and_never_over_the_bound(self) -> None:
         v = view()
         for n in range(1, 300):
-            v._hear(word(n, life=2**44 + n, incarnation=n)._replace(host="127.127.127.127", machine=10**6))
+            v._merge(
+                word(n, incarnation=2**44 + n, refutation=n)._replace(host="127.127.127.127", machine=10**6)
+            )
         for _ in range(200):
             v._ping(("10.0.0.1", 1))
-        sizes = [len(write(m, 2**32 - 1)) for _, m in v.out]
+        sizes = [len(encode(m, 2**32 - 1)) for _, m in v.outbox]
         self.assertLessEqual(max(sizes), 256)
         self.assertGreater(min(sizes), 150)
-        named = {w.name for _, m in v.out for w in m.words}
+        named = {w.member for _, m in v.outbox for w in m.records}
         self.assertEqual(set(range(300)), named, "the whole table goes in pieces")
 
 
 class Own(unittest.TestCase):
-    def tell(self, v: View, w: Word, sender: int = 1) -> None:
-        v.heard(("10.0.0.1", 1000 + sender), Message(Kind.ACK, sender, 0, 0, 0, (w,)))
+    def tell(self, v: MembershipView, w: MemberRecord, sender: int = 1) -> None:
+        v.received(("10.0.0.1", 1000 + sender), GossipMessage(MessageKind.ACK, sender, 0, 0, 0, (w,)))
 
     def test_a_suspicion_is_refuted_and_a_death_ends_the_life(self) -> None:
         v = view()
-        self.tell(v, word(0, state=State.SUSPECT, by=1))
-        self.assertEqual((1, 1), (v.me.life, v.me.incarnation))
-        self.tell(v, word(0, state=State.DEAD, by=1))
-        self.assertEqual((2, 0, State.ALIVE), (v.me.life, v.me.incarnation, v.me.state))
+        self.tell(v, word(0, state=MemberState.SUSPECT, by=1))
+        self.assertEqual((1, 1), (v.own.incarnation, v.own.refutation))
+        self.tell(v, word(0, state=MemberState.DEAD, by=1))
+        self.assertEqual((2, 0, MemberState.ALIVE), (v.own.incarnation, v.own.refutation, v.own.state))
 
     def test_another_process_under_its_name_is_found(self) -> None:
         v = view()
-        self.tell(v, word(0, life=9))
-        self.assertEqual((10, 1), (v.me.life, v.doubles))
-        v.heard(HOME, Message(Kind.PING, 0, 0, 0, 0, ()))
-        self.assertEqual(2, v.doubles)
+        self.tell(v, word(0, incarnation=9))
+        self.assertEqual((10, 1), (v.own.incarnation, v.duplicates))
+        v.received(HOME, GossipMessage(MessageKind.PING, 0, 0, 0, 0, ()))
+        self.assertEqual(2, v.duplicates)
 
     def test_more_names_than_the_fleet_has_are_refused(self) -> None:
-        v = View(word(0), (), 0.0, lambda: 0.5, most=3)
+        v = MembershipView(word(0), (), 0.0, lambda: 0.5, members_max=3)
         for n in range(1, 9):
             self.tell(v, word(n))
-        self.assertEqual((3, 6), (len(v.words), v.refused))
+        self.assertEqual((3, 6), (len(v.records), v.refused))
 
     def test_a_head_that_hears_nobody_accuses_nobody(self) -> None:
         v = view()
@@ -136,8 +152,8 @@
     def test_nonsense_without_end_is_not_all_answered(self) -> None:
         v = view()
         for _ in range(500):
-            v.heard(("10.0.0.1", 1001), Message(Kind.PING, 1, 0, 0, 0, ()))
-        self.assertLess(len(v.out), 40)
+            v.received(("10.0.0.1", 1001), GossipMessage(MessageKind.PING, 1, 0, 0, 0, ()))
+        self.assertLess(len(v.outbox), 40)
 
 
 class Fleets(unittest.TestCase):
@@ -171,45 +187,45 @@
     """Two observers and the head they hold words of, every order of lost, late and doubled tellings, a crash
     and a restart. A state: the head's own (life, incarnation, up), and what each observer believes."""
 
-    def check(self, believes: Callable[[Word, Word | None], bool]) -> dict[str, Any]:
+    def check(self, believes: Callable[[MemberRecord, MemberRecord | None], bool]) -> dict[str, Any]:
         def transitions(s: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
             life, inc, up, a, b, said, dead_a, dead_b = s
             found = []
 
-            def told(who: str, w: Word, s_: tuple[Any, ...]) -> None:
+            def told(who: str, w: MemberRecord, s_: tuple[Any, ...]) -> None:
                 held, dead = (a, dead_a) if who == "a" else (b, dead_b)
-                known = Word(3, *held, 0, 0, "h", 1, 0) if held else None
+                known = MemberRecord(3, *held, 0, 0, "h", 1, 0) if held else None
                 if believes(w, known):
-                    new = (w.life, w.incarnation, int(w.state))
-                    now_dead = dead | {w.life} if w.over else dead
+                    new = (w.incarnation, w.refutation, int(w.state))
+                    now_dead = dead | {w.incarnation} if w.ended else dead
                     now = (new, b) if who == "a" else (a, new)
                     over = (now_dead, dead_b) if who == "a" else (dead_a, now_dead)
                     found.append((f"{who} hears {new}", (life, inc, up, *now, said | {new}, *over)))
 
             for one in said:
                 for who in "ab":
-                    told(who, Word(3, *one, 0, 0, "h", 1, 0), s)
+                    told(who, MemberRecord(3, *one, 0, 0, "h", 1, 0), s)
             for who, held in (("a", a), ("b", b)):
-                if held and held[2] == State.ALIVE:
-                    told(who, Word(3, held[0], held[1], State.SUSPECT, 0, 0, "h", 1, 0), s)
-                elif held and held[2] == State.SUSPECT:
-                    told(who, Word(3, held[0], held[1], State.DEAD, 0, 0, "h", 1, 0), s)
+                if held and held[2] == MemberState.ALIVE:
+                    told(who, MemberRecord(3, held[0], held[1], MemberState.SUSPECT, 0, 0, "h", 1, 0), s)
+                elif held and held[2] == MemberState.SUSPECT:
+                    told(who, MemberRecord(3, held[0], held[1], MemberState.DEAD, 0, 0, "h", 1, 0), s)
             rest = (a, b, said, dead_a, dead_b)
             if up:
                 found.append(("crash", (life, inc, False, *rest)))
                 for w in said:
-                    if w[0] == life and w[2] >= State.LEFT and life < 2:
-                        born = (life + 1, 0, int(State.ALIVE))
+                    if w[0] == life and w[2] >= MemberState.LEFT and life < 2:
+                        born = (life + 1, 0, int(MemberState.ALIVE))
                         found.append(("held dead", (life + 1, 0, True, a, b, said | {born}, dead_a, dead_b)))
-                    elif w[0] == life and w[2] == State.SUSPECT and w[1] >= inc and inc < 1:
-                        more = (life, inc + 1, int(State.ALIVE))
+                    elif w[0] == life and w[2] == MemberState.SUSPECT and w[1] >= inc and inc < 1:
+                        more = (life, inc + 1, int(MemberState.ALIVE))
                         found.append(("refutes", (life, inc + 1, True, a, b, said | {more}, dead_a, dead_b)))
             elif life < 2:
-                born = (life + 1, 0, int(State.ALIVE))
+                born = (life + 1, 0, int(MemberState.ALIVE))
                 found.append(("starts", (life + 1, 0, True, a, b, said | {born}, dead_a, dead_b)))
             return found
 
-        first = (1, 0, int(State.ALIVE))
+        first = (1, 0, int(MemberState.ALIVE))
         protocol = Protocol(
             name="lives",
             candidate=False,
@@ -218,7 +234,7 @@
             transitions=transitions,
             invariants={
                 "a dead life stays dead": lambda d: not any(
-                    held[0] in dead and held[2] < State.LEFT
+                    held[0] in dead and held[2] < MemberState.LEFT
                     for held, dead in ((d["a"], d["dead_a"]), (d["b"], d["dead_b"]))
                 )
             },
@@ -227,15 +243,15 @@
         return result
 
     def test_every_order_keeps_a_dead_life_dead(self) -> None:
-        result = self.check(beats)
+        result = self.check(supersedes)
         self.assertTrue(result["exhaustive"])
         self.assertTrue(result["properties"]["a dead life stays dead"]["holds"], result)
 
     def test_a_flaw_in_the_order_is_found(self) -> None:
-        def flawed(one: Word, other: Word | None) -> bool:
-            return other is None or (one.life, one.incarnation, one.state) > (
-                other.life,
+        def flawed(one: MemberRecord, other: MemberRecord | None) -> bool:
+            return other is None or (one.incarnation, one.refutation, one.state) > (
                 other.incarnation,
+                other.refutation,
                 other.state,
             )
 
@@ -246,7 +262,7 @@
     def test_the_core_keeps_to_its_tables(self) -> None:
         v = view()
         for n in range(1, 2000):
-            v._hear(word(n))
-            v._relayed[n] = HOME, 0, 0.0
-        self.assertLessEqual(len(v.words), v.most)
-        self.assertLessEqual(len(v.history), view_module.HISTORY)
+            v._merge(word(n))
+            v.relayed_pings[n] = RelayedPing(HOME, 0, 0.0)
+        self.assertLessEqual(len(v.records), v.members_max)
+        self.assertLessEqual(len(v.history), HISTORY_MAX)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,6 +11,7 @@
 
 import pytest
 
+from gorsethread.cli.fleet import record_as_json
 from gorsethread.faults.script import read_script
 from gorsethread.harness.cast import unplayable
 from gorsethread.harness.processes import Processes, resized
@@ -19,7 +20,13 @@
 from gorsethread.lab.asking import NoAnswer, Shown, ask, ask_past
 from gorsethread.lab.fleet import FLEET, PARTIES, PLAYED, RealFleet
 from gorsethread.logs import log_for, start_logs
-from gorsethread.membership.gossip_messages import Kind, Message, State, Word, write
+from gorsethread.membership.gossip_messages import (
+    GossipMessage,
+    MemberRecord,
+    MemberState,
+    MessageKind,
+    encode,
+)
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.sitefile.reading import read_site, split_address
 from gorsethread.transport.real import RealTransport
@@ -86,20 +93,23 @@
 
             try:
                 await asyncio.gather(*(start(n) for n in range(4)))
-                before = await until(0, lambda s: states(s) == [State.ALIVE] * 4 and "settled" in s.own)
+                before = await until(0, lambda s: states(s) == [MemberState.ALIVE] * 4 and "settled" in s.own)
                 await processes.end("head 1", signal.SIGKILL)
                 await start(1)
                 again = await until(
-                    0, lambda s: s.words[1].life > before.words[1].life and s.words[1].state == State.ALIVE
+                    0,
+                    lambda s: s.words[1].incarnation > before.words[1].incarnation
+                    and s.words[1].state == MemberState.ALIVE,
                 )
                 await processes.end("head 2")
                 for head in (0, 3):
                     await until(
                         head,
-                        lambda s: s.words[2].state == State.LEFT and s.words[1].life == again.words[1].life,
+                        lambda s: s.words[2].state == MemberState.LEFT
+                        and s.words[1].incarnation == again.words[1].incarnation,
                     )
                 await processes.end("head 3", signal.SIGKILL)
-                await until(0, lambda s: s.words[3].state == State.DEAD)
+                await until(0, lambda s: s.words[3].state == MemberState.DEAD)
             finally:
                 statuses = await processes.end_all()
         self.assertEqual({"head 0": 0, "head 1": 0}, statuses)
@@ -149,7 +159,7 @@
             process = VirtualTransport(network, Disk(), f"head {n}")
             side = FleetSide(
                 process,
-                Word(n, 0, 0, State.ALIVE, 0, 0, *addresses[n], n),
+                MemberRecord(n, 0, 0, MemberState.ALIVE, 0, 0, *addresses[n], n),
                 addresses[n],
                 tuple(addresses),
                 frozenset(addresses),
@@ -160,14 +170,14 @@
             sides.append(side)
         stranger = VirtualTransport(network, Disk(), "stranger")
         port = stranger.datagrams("127.0.0.9", 1, lambda data, source: None)
-        death = Word(1, 2**50, 0, State.DEAD, 0, 0, *addresses[1], 2)
-        told = Message(Kind.ACK, 2, 1, 0, 0, (death,))
-        for data in (b"noise", write(told, FLEET), write(told, FLEET + 1), write(told, FLEET)[:20]):
+        death = MemberRecord(1, 2**50, 0, MemberState.DEAD, 0, 0, *addresses[1], 2)
+        told = GossipMessage(MessageKind.ACK, 2, 1, 0, 0, (death,))
+        for data in (b"noise", encode(told, FLEET), encode(told, FLEET + 1), encode(told, FLEET)[:20]):
             loop.call_later(8.0, port.send, addresses[0], data)
         task = loop.create_task(ask(stranger, addresses[0], FLEET))
         loop.call_later(9.0, lambda: None)
         shown = loop.run_until_complete(task)
-        self.assertEqual(0, shown.me.name if shown.me else -1)
+        self.assertEqual(0, shown.me.member if shown.me else -1)
         over = loop.create_future()
         loop.call_later(10.0, over.set_result, None)
         loop.run_until_complete(over)
@@ -177,10 +187,21 @@
         last = loop.create_future()
         loop.call_later(5.0, last.set_result, None)
         loop.run_until_complete(last)
-        self.assertEqual([State.LEFT] * 2, [side.view.words[2].state for side in sides[:2]])
+        self.assertEqual([MemberState.LEFT] * 2, [side.view.records[2].state for side in sides[:2]])
         past = loop.run_until_complete(ask_past(stranger, addresses[0], FLEET))
         self.assertEqual(
-            [(c.word, round(sides[0].transport.now() - c.at)) for c in sides[0].view.history],
+            [(c.record, round(sides[0].transport.now() - c.at)) for c in sides[0].view.history],
             [(word, round(age)) for age, word in past],
         )
-        self.assertEqual((2, State.LEFT), (past[-1][1].name, past[-1][1].state))
+        self.assertEqual((2, MemberState.LEFT), (past[-1][1].member, past[-1][1].state))
+
+
+def test_records_in_the_commands_json_keep_their_names() -> None:
+    record = MemberRecord(2, 7, 1, MemberState.SUSPECT, 3, 4, "10.0.0.1", 9, 5)
+    said = {"name": 2, "life": 7, "incarnation": 1, "state": 1, "zone": 3, "machine": 4}
+    assert list(record_as_json(record).items()) == [
+        *said.items(),
+        ("host", "10.0.0.1"),
+        ("port", 9),
+        ("by", 5),
+    ]
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -25,7 +25,7 @@
 from gorsethread.lab.crowd.world import World
 from gorsethread.lab.lending import LENT_UNITS, Result, Trial, script_of
 from gorsethread.logs import log_for, start_logs
-from gorsethread.membership.gossip_messages import Kind, Message, write
+from gorsethread.membership.gossip_messages import GossipMessage, MessageKind, encode
 from gorsethread.scheduling.model import (
     Backend,
     Effect,
@@ -461,7 +461,10 @@
         stranger = VirtualTransport(network, Disk(), "x").datagrams("x", 1, lambda data, source: None)
         fleet = made[0].fleet
         for sender, of in ((0, fleet), (2, fleet), (0, fleet + 1)):
-            stranger.send(addresses[1], write(Message(Kind.TOLD, sender, 0, 0, 0, (), said="no"), of))
+            stranger.send(
+                addresses[1],
+                encode(GossipMessage(MessageKind.SCHEDULER_MESSAGE, sender, 0, 0, 0, (), text="no"), of),
+            )
         stranger.send(addresses[1], b"\x93\x01")
         loop.run_until_complete(asyncio.sleep(1.0))
         self.assertEqual([(0, "ask 1 2 3 4")], heard)
