--- a/gorsethread/gateway/messages.py
+++ b/gorsethread/gateway/messages.py
@@ -7,7 +7,14 @@
 from collections.abc import Callable
 from zlib import crc32
 
-from gorsethread.membership.gossip_messages import Address, Kind, Message, Unreadable, read, write
+from gorsethread.membership.gossip_messages import (
+    Address,
+    GossipDecodeError,
+    GossipMessage,
+    MessageKind,
+    decode,
+    encode,
+)
 from gorsethread.transport.base import Transport
 
 SENT_MOST = 400  # messages a second; a scheduler that asks for more is not obeyed
@@ -73,17 +80,17 @@
             self.counts["not carried"] += 1
             return
         self.counts["sent"] += 1
-        message = Message(Kind.TOLD, self._me, 0, 0, 0, (), said=words)
-        self._port.send(self._addresses[gateway], write(message, self._fleet))
+        message = GossipMessage(MessageKind.SCHEDULER_MESSAGE, self._me, 0, 0, 0, (), text=words)
+        self._port.send(self._addresses[gateway], encode(message, self._fleet))
 
     def _came(self, data: bytes, source: Address) -> None:
         try:
-            message = read(data, self._fleet)
-        except Unreadable as error:
+            message = decode(data, self._fleet)
+        except GossipDecodeError as error:
             self.counts[str(error)] += 1
             return
         if self._numbers.get(source) != message.sender or message.sender == self._me:
             self.counts["from no peer"] += 1
-        elif message.kind == Kind.TOLD:
+        elif message.kind == MessageKind.SCHEDULER_MESSAGE:
             self.counts["heard"] += 1
-            self._received(message.sender, message.said)
+            self._received(message.sender, message.text)
--- a/tests/test_platform_program.py
+++ b/tests/test_platform_program.py
@@ -33,7 +33,10 @@
                 {"settings": {**SETTINGS, "services": [{**SETTINGS["services"][0], "aim": "soon"}]}},
                 "latency_objective",
             ),
-            ({"settings": {**SETTINGS, "contract": {**SETTINGS["contract"], "fall": float("nan")}}}, "window"),
+            (
+                {"settings": {**SETTINGS, "contract": {**SETTINGS["contract"], "fall": float("nan")}}},
+                "window",
+            ),
             ({"settings": {**SETTINGS, "grades": [{"name": "plain", "neverOver": [9]}]}}, "limit"),
         ):
             with self.subTest(changed=changed), self.assertRaises(UnusableConfigurationError) as caught:
