--- a/gorsethread/http_gateway/configuration.py
+++ b/gorsethread/http_gateway/configuration.py
@@ -17,6 +17,7 @@
 from gorsethread.http_gateway.endpoint_list import ListAnswer
 from gorsethread.scheduling.model import SchedulerSettings
 
+Unchecked = Any  # a field that is taken as it stands; a value of another kind matches no request
 SOCKETS_LEAST = 32
 # No list at all, so none that is complete.
 NO_LIST = ListAnswer(generation=0, reset=False, instances=[])
@@ -72,7 +73,7 @@
 
 class _RequestClass(msgspec.Struct):
     name: str
-    longest_wait: float = msgspec.field(name="giveUp", default=0.0)
+    longest_wait: float | bool = msgspec.field(name="giveUp", default=0.0)
 
 
 class _ServiceTier(msgspec.Struct):
@@ -80,7 +81,7 @@
 
 
 class _Bounds(msgspec.Struct):
-    shards: int | float
+    shards: Unchecked
 
 
 class _Settings(msgspec.Struct):
@@ -90,7 +91,7 @@
     request_classes: list[_RequestClass] = msgspec.field(name="services")
     service_tiers: list[_ServiceTier] = msgspec.field(name="grades")
     bounds: _Bounds = msgspec.field(name="specifics")
-    zones: list[str] = msgspec.field(name="azs", default_factory=list)
+    zones: Unchecked = msgspec.field(name="azs", default_factory=list)
 
 
 class _File(msgspec.Struct):
@@ -126,10 +127,8 @@
         raise UnusableConfigurationError(f"{path}: {_place_and_reason(str(error))}") from None
     except UnusableConfigurationError as error:
         raise UnusableConfigurationError(f"{path}: {error}") from None
-    except ValueError as error:  # a name that is no Unicode text
-        raise UnusableConfigurationError(
-            f"{path}: settings: something is of the wrong kind: {error}"
-        ) from None
+    except (TypeError, ValueError) as error:  # names that are no Unicode text, zones that are no list
+        raise UnusableConfigurationError(f"{path}: something is of the wrong kind: {error}") from None
 
 
 def _place_and_reason(text: str) -> str:
@@ -193,7 +192,7 @@
         ),
         connect_timeout=given.permissions.connect_timeout,
         idle_timeout=given.permissions.idle_timeout,
-        longest_wait=max(one.longest_wait for one in given.request_classes),
+        longest_wait=float(max(one.longest_wait for one in given.request_classes)),
         pushed=not settings.list_on_request,
         peer_listen=peer_listen,
         peers=peers,
