--- a/gorsethread/faults/coldpart.py
+++ b/gorsethread/faults/coldpart.py
@@ -77,19 +77,19 @@
         driver.recorder = record
 
     def _forward(self, scheduler: Any, head: int, request: int, shelf: int, now: float) -> None:
-        t, s = scheduler.requests.get(request), scheduler.backends.get(shelf)
+        t, s = scheduler.requests.get(request), scheduler.shards.backends.get(shelf)
         if t is None or s is None:
             return
         told, truly = self.told_of.get((head, shelf), now), now - self.started.get(shelf, now)
         if (
             now > told + HEARD_WITHIN
             and truly < self.rule.warm_after - SAME_START
-            and (s.since <= 0 or scheduler.now - s.since > truly + SAME_START)
+            and (s.started_at <= 0 or scheduler.timers.now - s.started_at > truly + SAME_START)
         ):
             self.broken(f"takes a cold shelf for a warm one: shelf {shelf}, head {head}")
-        if s.since <= 0:
+        if s.started_at <= 0:
             return
-        age = scheduler.now - s.since
+        age = scheduler.timers.now - s.started_at
         if age >= self.rule.warm_after:
             return
         self.seen += 1
--- a/gorsethread/faults/mutants.py
+++ b/gorsethread/faults/mutants.py
@@ -2,7 +2,6 @@
 that serves. Each changes one head that has not started."""
 
 from collections.abc import Callable
-from dataclasses import replace
 from typing import Any
 
 from gorsethread.faults.planted import plant
@@ -13,6 +12,7 @@
 from gorsethread.head.program import Head
 from gorsethread.nvme.command import Completion, Status
 from gorsethread.scheduling.model import AttemptOutcome
+from gorsethread.scheduling.retries import MAX_ATTEMPTS
 
 Change = Callable[[Head], None]
 MOST_FORWARDS = 8  # forwards of one transaction; without an end such a world would hardly get on
@@ -20,11 +20,6 @@
 mutant = kept_in(MUTANTS)
 
 
-def _facts(head: Head, **changed: Any) -> None:
-    scheduler = head.driver.scheduler
-    scheduler.facts = replace(scheduler.facts, **changed)
-
-
 def _on_links(head: Head, change: Callable[[BackendLink], None]) -> None:
     """Changes each link as it is made."""
     follower: Any = head.follower
@@ -365,7 +360,7 @@
 
 @mutant("module: a key does not rest after what may still run")
 def _no_key_rest(head: Head) -> None:
-    _facts(head, key_cool_down=0.0)
+    head.driver.scheduler.key_ordering.cool_down = 0.0
 
 
 @mutant("module: keys have no turns")
@@ -386,51 +381,52 @@
 
 @mutant("module: each head takes all that a cold shelf bears for its own")
 def _whole_cold_part(head: Head) -> None:
-    _facts(head, gateways=1)
-    head.driver.scheduler.lends = False
+    head.driver.scheduler.slow_start.gateways = 1
+    head.driver.scheduler.leases.enabled = False
 
 
 @mutant("module: no budget of further forwards")
 def _no_budget(head: Head) -> None:
-    _facts(head, retry_budget=None, max_attempts=50)
-    scheduler = head.driver.scheduler
-    honest = scheduler._may_go_again
-
-    def may_go_again(t: Any) -> bool:
-        t.attempts, kept = 1 if t.attempts < MOST_FORWARDS else t.attempts, t.attempts
-        may = honest(t)
-        t.attempts = kept
+    retries = head.driver.scheduler.retries
+    retries.budget = None
+    retries.max_attempts = MAX_ATTEMPTS
+    honest = retries.may_retry
+
+    def may_retry(request: Any) -> bool:
+        request.attempts, kept = 1 if request.attempts < MOST_FORWARDS else request.attempts, request.attempts
+        may = honest(request)
+        request.attempts = kept
         return may
 
-    scheduler._may_go_again = may_go_again  # type: ignore[method-assign]
+    retries.may_retry = may_retry  # type: ignore[method-assign]
 
 
 @mutant("module: a waiting transaction is not looked at again")
 def _no_looks(head: Head) -> None:
-    head.driver.scheduler._look_at = lambda t: None  # type: ignore[method-assign]
+    head.driver.scheduler._review = lambda request: None  # type: ignore[method-assign]
 
 
 @mutant("module: an irreversible transaction may go again")
 def _goes_again(head: Head) -> None:
-    scheduler = head.driver.scheduler
-    honest = scheduler._may_go_again
+    retries = head.driver.scheduler.retries
+    honest = retries.may_retry
 
-    def may_go_again(t: Any) -> bool:
-        ran, t.ran_at = t.ran_at, None
-        may = honest(t)
-        t.ran_at = ran
+    def may_retry(request: Any) -> bool:
+        ran, request.ran_at = request.ran_at, None
+        may = honest(request)
+        request.ran_at = ran
         return may
 
-    scheduler._may_go_again = may_go_again  # type: ignore[method-assign]
-    scheduler._may_go_to = lambda t, s: True  # type: ignore[method-assign]
+    retries.may_retry = may_retry  # type: ignore[method-assign]
+    retries.may_run_on = lambda request, backend: True  # type: ignore[method-assign]
 
 
 @mutant("module: what is over keeps its key's line")
 def _line_stays(head: Head) -> None:
-    scheduler = head.driver.scheduler
-    honest = scheduler._next_in_line
+    ordering = head.driver.scheduler.key_ordering
+    honest = ordering.next_runnable
     now = sometimes(40)
-    scheduler._next_in_line = lambda key: None if now() else honest(key)  # type: ignore[method-assign]
+    ordering.next_runnable = lambda key: None if now() else honest(key)  # type: ignore[method-assign]
 
 
 # ---- membership
--- a/gorsethread/faults/planted.py
+++ b/gorsethread/faults/planted.py
@@ -51,7 +51,7 @@
 
 
 def _twice(head: Head) -> None:
-    profiles = head.driver.scheduler.facts.request_classes
+    profiles = head.driver.scheduler.settings.request_classes
 
     def act(t: Open, f: Attempt) -> None:
         if profiles[t.client.profile].effect is Effect.NON_IDEMPOTENT:  # type: ignore[attr-defined]
@@ -104,10 +104,10 @@
 
 def _no_limit(head: Head) -> None:
     scheduler = head.driver.scheduler
-    scheduler._limit_left = lambda v: float("inf")  # type: ignore[method-assign]
+    scheduler.rate_limits.units_left = lambda volume: float("inf")  # type: ignore[method-assign]
     # Nothing else holds a volume back either, else a busy shelf hides that the limit does not hold.
-    scheduler._in_pace = lambda t, s, chosen: True  # type: ignore[method-assign]
-    scheduler._free_slots = lambda s: 32 - len(s.out)  # type: ignore[method-assign]
+    scheduler.pacing.admits = lambda request, rate, units_chosen: True  # type: ignore[method-assign]
+    scheduler.admission.free_slots = lambda backend: 32 - len(backend.in_flight)  # type: ignore[method-assign]
 
 
 _PLANTS = {
--- a/gorsethread/faults/states.py
+++ b/gorsethread/faults/states.py
@@ -3,26 +3,30 @@
 from collections.abc import Callable
 from typing import Any
 
-from gorsethread.scheduling.scheduler import FREE_RATE
+from gorsethread.scheduling.concurrency_limits import UNLIMITED_RATE
 
 States = dict[str, Callable[[Any], bool]]
 DECIDED: States = {
     "nothing open": lambda h: not h.driver.open,
-    "forwards out": lambda h: any(s.out for s in h.driver.scheduler.backends.values()),
+    "forwards out": lambda h: any(s.in_flight for s in h.driver.scheduler.shards.backends.values()),
     "first writes out": lambda h: bool(h.driver._placing),
-    "volumes held": lambda h: any(v.lanes for v in h.driver.scheduler.busy.values()),
-    "a key's line": lambda h: any(len(line) > 1 for line in h.driver.scheduler.lines.values()),
-    "a key rests": lambda h: bool(h.driver.scheduler.key_rests),
-    "a shelf is cold": lambda h: bool(h.driver.scheduler.lent),
+    "volumes held": lambda h: any(v.queues for v in h.driver.scheduler.queueing.busy.values()),
+    "a key's line": lambda h: any(len(line) > 1 for line in h.driver.scheduler.key_ordering.queues.values()),
+    "a key rests": lambda h: bool(h.driver.scheduler.key_ordering.cool_downs),
+    "a shelf is cold": lambda h: bool(h.driver.scheduler.leases.log.by_shard),
     "a shelf rests": lambda h: any(
-        s.rest_until > h.driver.clock() for s in h.driver.scheduler.backends.values()
+        s.health.cool_down_until > h.driver.clock() for s in h.driver.scheduler.shards.backends.values()
+    ),
+    "a shelf drains": lambda h: any(not s.ready for s in h.driver.scheduler.shards.backends.values()),
+    "a rate is cut": lambda h: any(
+        s.limits.rate < UNLIMITED_RATE for s in h.driver.scheduler.shards.backends.values()
     ),
-    "a shelf drains": lambda h: any(not s.ready for s in h.driver.scheduler.backends.values()),
-    "a rate is cut": lambda h: any(s.rate < FREE_RATE for s in h.driver.scheduler.backends.values()),
     "a limit holds": lambda h: any(
-        v.plan.rate_limit and v.limit_store < 1.0 for v in h.driver.scheduler.volumes.values()
+        v.tier.rate_limit and v.bucket.level < 1.0 for v in h.driver.scheduler.queueing.volumes.values()
+    ),
+    "a further forward out": lambda h: any(
+        n for s in h.driver.scheduler.shards.backends.values() for _, n in s.in_flight
     ),
-    "a further forward out": lambda h: any(n for s in h.driver.scheduler.backends.values() for _, n in s.out),
 }
 STATES: States = DECIDED | {
     "a link is down": lambda h: any(link.association is None for link in h.driver.links.values()),
--- a/gorsethread/faults/webmutants.py
+++ b/gorsethread/faults/webmutants.py
@@ -2,7 +2,6 @@
 each. Never part of a head that serves. Each changes one head that has not started."""
 
 from collections.abc import Callable
-from dataclasses import replace
 from typing import Any
 
 import h11
@@ -339,34 +338,34 @@
 
 @mutant("lending: a home lends from its first moment, as if no earlier life had")
 def _lends_at_once(head: Gateway) -> None:
-    scheduler = head.driver.scheduler
-    honest = scheduler._lend
+    leases = head.driver.scheduler.leases
+    honest = leases.grant
 
-    def lend(shard: int, units: float, age: float) -> bool:
-        born, scheduler.born = scheduler.born, -1e9
-        lends = honest(shard, units, age)
-        scheduler.born = born
-        return lends
+    def grant(shard: int, units: float, age: float) -> bool:
+        started_at, leases.started_at = leases.started_at, -1e9
+        granted = honest(shard, units, age)
+        leases.started_at = started_at
+        return granted
 
-    scheduler._lend = lend  # type: ignore[method-assign]
+    leases.grant = grant  # type: ignore[method-assign]
 
 
 @mutant("lending: what was lent counts for half of the span")
 def _lending_forgotten(head: Gateway) -> None:
-    head.driver.scheduler.lent_kept *= 0.5
+    head.driver.scheduler.leases.grants_kept_for *= 0.5
 
 
 @mutant("lending: a doubled answer lends twice")
 def _lends_twice(head: Gateway) -> None:
-    scheduler = head.driver.scheduler
-    honest = scheduler._borrow
+    leases = head.driver.scheduler.leases
+    honest = leases.accept
 
-    def borrow(s: Backend) -> None:
-        asked = s.asked
-        honest(s)
-        s.asked = asked
+    def accept(backend: Backend) -> None:
+        number = backend.lease.request_number
+        honest(backend)
+        backend.lease.request_number = number
 
-    scheduler._borrow = borrow  # type: ignore[method-assign]
+    leases.accept = accept  # type: ignore[method-assign]
 
 
 @mutant("shelves: what waited for its connection is sent whenever that comes up")
@@ -376,13 +375,13 @@
 
 @mutant("lending: every head is each shelf's home")
 def _all_homes(head: Gateway) -> None:
-    head.driver.scheduler._home = lambda shard: head.configuration.facts.gateway_index  # type: ignore[method-assign]
+    head.driver.scheduler.leases.holder = lambda shard: head.configuration.facts.gateway_index  # type: ignore[method-assign]
 
 
 @mutant("lending: each head takes all that a cold shelf bears")
 def _takes_all(head: Gateway) -> None:
-    head.driver.scheduler.lends = False
-    head.driver.scheduler.facts = replace(head.driver.scheduler.facts, gateways=1)
+    head.driver.scheduler.leases.enabled = False
+    head.driver.scheduler.slow_start.gateways = 1
 
 
 @mutant("clients: the room of connections that were refused or ended is not given back")
--- a/gorsethread/faults/webworld.py
+++ b/gorsethread/faults/webworld.py
@@ -197,7 +197,7 @@
 
     def _used(self, head: Any) -> set[int]:
         names = {backend_number(f"s-{s.number}"): s.number for s in self.site.shelf}
-        return {names[s.id] for s in head.driver.scheduler.backends.values() if s.ready}
+        return {names[s.id] for s in head.driver.scheduler.shards.backends.values() if s.ready}
 
     def _check_owners(self, number: int, head: Any) -> None:
         """Each connection counted is one that is kept, carries a forward or comes up, and none carries a
--- a/gorsethread/faults/world.py
+++ b/gorsethread/faults/world.py
@@ -583,7 +583,7 @@
 
     def _used(self, head: Any) -> set[int]:
         """Shelves that its decisions take as ready, by the list's numbers."""
-        return {s.id for s in head.driver.scheduler.backends.values() if s.ready}
+        return {s.id for s in head.driver.scheduler.shards.backends.values() if s.ready}
 
     def _check_owners(self, number: int, head: Any) -> None:
         """No forward out without a transaction that owns it, and none awaited that no link holds."""
@@ -652,9 +652,11 @@
             left: dict[str, Sized] = {
                 "open transactions": driver.open,
                 "transactions of the policy": scheduler.requests,
-                "busy volumes": scheduler.busy,
-                "lines of keys": scheduler.lines,
-                "forwards at the policy's shelves": [o for s in scheduler.backends.values() for o in s.out],
+                "busy volumes": scheduler.queueing.busy,
+                "lines of keys": scheduler.key_ordering.queues,
+                "forwards at the policy's shelves": [
+                    o for s in scheduler.shards.backends.values() for o in s.in_flight
+                ],
             }
             for what, things in left.items():
                 if things:
--- a/gorsethread/gateway/driver.py
+++ b/gorsethread/gateway/driver.py
@@ -316,7 +316,7 @@
         t, link, s = (
             self.open.get(f.request),
             self.links.get(f.backend),
-            self.scheduler.backends.get(f.backend),
+            self.scheduler.shards.backends.get(f.backend),
         )
         # While it waited its client may have left, or the backend begun to drain.
         if kept and link is not None and t is not None and not t.answered and s is not None and s.ready:
--- a/gorsethread/gateway/held_reasons.py
+++ b/gorsethread/gateway/held_reasons.py
@@ -1,40 +1,39 @@
-"""Why a request was held back in the last search: read from the decisions' state for the latency accounts.
-
-Decides nothing.
-"""
+"""Why a request was held back in the last search, for the latency accounts. Decides nothing."""
 
 from gorsethread.scheduling.model import Backend, HoldReason, Request
-from gorsethread.scheduling.scheduler import FREE_RATE, NEW, Scheduler
+from gorsethread.scheduling.scheduler import Scheduler
 
 NO_BACKEND = -1
 
 
-def why_held(scheduler: Scheduler, request: int) -> tuple[HoldReason, int]:
-    """What kept it back, and the backend it is meant for, or NO_BACKEND."""
-    t = scheduler.requests.get(request)
-    if t is None or t.over or t.out:
+def why_held(scheduler: Scheduler, request_id: int) -> tuple[HoldReason, int]:
+    """Returns what kept a request back, and the backend that it is meant for, or NO_BACKEND."""
+    request = scheduler.requests.get(request_id)
+    if request is None or request.ended or request.in_flight:
         return HoldReason.NOT, NO_BACKEND
-    backend = (
-        next(iter(scheduler._ranking(t.volume)), None) if t.shard == NEW else scheduler.held_by.get(t.shard)
-    )
-    number = backend.id if backend else NO_BACKEND
-    if not t.waiting:
-        first = t.key is not None and scheduler.lines[t.key][0] is t
-        return (HoldReason.REST if first else HoldReason.KEY_TURN), number
-    return (_held_at(scheduler, t, backend) if backend else HoldReason.NO_SHELF), number
+    backend = scheduler.admission.preferred_backend(request)
+    backend_id = backend.id if backend else NO_BACKEND
+    if not request.waiting:
+        first = scheduler.key_ordering.is_first(request)
+        return (HoldReason.COOL_DOWN if first else HoldReason.KEY_ORDER), backend_id
+    if backend is None:
+        return HoldReason.NO_BACKEND, backend_id
+    return _reason_at(scheduler, request, backend), backend_id
 
 
-def _held_at(scheduler: Scheduler, t: Request, backend: Backend) -> HoldReason:
-    if t.volume.plan.rate_limit and not t.attempts and t.volume.limit_store < t.units:
-        return HoldReason.LIMIT
-    if scheduler.now < backend.rest_until:
-        return HoldReason.REST
-    if scheduler.now < backend.first_send or scheduler._cold_left(backend) < max(1.0, t.units):
-        return HoldReason.COLD
-    if backend.out and (backend.misses or scheduler._is_overdue(backend)):
+def _reason_at(scheduler: Scheduler, request: Request, backend: Backend) -> HoldReason:
+    """Asks the mechanisms in the order in which they decide."""
+    if scheduler.rate_limits.holds_back(request):
+        return HoldReason.RATE_LIMIT
+    if scheduler.outliers.is_cooling_down(backend):
+        return HoldReason.COOL_DOWN
+    if scheduler.slow_start.holds_back(request, backend):
+        return HoldReason.SLOW_START
+    awaits_health_check = scheduler.outliers.has_failed(backend) or scheduler.outliers.is_silent(backend)
+    if backend.in_flight and awaits_health_check:
         return HoldReason.SILENT
-    if len(backend.out) >= max(1, int(backend.bound)):
+    if scheduler.limits.is_full(backend):
         return HoldReason.SLOTS
-    if t.attempts:
-        return HoldReason.UNKNOWN if scheduler._within_budget() else HoldReason.BUDGET
-    return HoldReason.RATE if backend.rate < FREE_RATE else HoldReason.UNKNOWN
+    if request.attempts:
+        return HoldReason.UNKNOWN if scheduler.retries.within_budget() else HoldReason.RETRY_BUDGET
+    return HoldReason.RATE if scheduler.limits.has_limited_rate(backend) else HoldReason.UNKNOWN
--- a/gorsethread/gateway/startfacts.py
+++ b/gorsethread/gateway/startfacts.py
@@ -76,7 +76,7 @@
         max_retry_after=may["maxRetryAfter"] if may["retryAfter"] else 0.0,
         largest_request_units=facts["mostUnits"],
         excess_value=facts.get("shareWorth", 1.0),
-        repeats_marked=bool(setup["clients"].get("marksRetry")),
+        retries_marked=bool(setup["clients"].get("marksRetry")),
         gateway_index=setup.get("index", 0),
         may_send_messages=bool(may.get("peerMessages")),
     )
--- a/gorsethread/head/facts.py
+++ b/gorsethread/head/facts.py
@@ -48,7 +48,7 @@
         max_retry_after=rules.longest_return,
         largest_request_units=float(units_of(site.links.largest_bytes, site.links.unit_bytes)),
         excess_value=rules.share_worth,
-        repeats_marked=True,
+        retries_marked=True,
     )
 
 
--- a/gorsethread/http_gateway/config.py
+++ b/gorsethread/http_gateway/config.py
@@ -165,6 +165,6 @@
         raise Unusable(f"peers: {len(set(peers))} different addresses for {facts.gateways} heads")
     if type(facts.gateway_index) is not int or not 0 <= facts.gateway_index < facts.gateways:
         raise Unusable(
-            f"settings.gateway_index: {facts.gateway_index!r} is no number of one of {facts.gateways} heads"
+            f"settings.index: {facts.gateway_index!r} is no number of one of {facts.gateways} heads"
         )
     return address_of(given["peer_listen"], "peer_listen"), peers
--- a/gorsethread/lab/allseeing.py
+++ b/gorsethread/lab/allseeing.py
@@ -11,8 +11,9 @@
 from gorsethread.lab.crowd.day import UNIT_WORK, Scene, draw
 from gorsethread.lab.crowd.score import USABLE, Score
 from gorsethread.lab.crowd.world import World
+from gorsethread.scheduling.concurrency_limits import LOWEST_RATE, UNLIMITED_RATE, WAIT_PART
 from gorsethread.scheduling.model import AttemptOutcome, Backend, Request
-from gorsethread.scheduling.scheduler import FREE_RATE, LOWEST_RATE, WAIT_PART, Scheduler
+from gorsethread.scheduling.scheduler import Scheduler
 
 ASKED_OF_LATE = 1.5  # seconds of demand that is told
 SPARE = 0.6  # of what a shelf can do, while its line is long
@@ -24,10 +25,13 @@
 class ByTold(Scheduler):
     """Rates come from what is told; answers move the rest of a shelf's health as ever."""
 
-    def _judge(self, s: Backend, how: AttemptOutcome, elapsed: float, t: Request, sent: float) -> None:
-        rate, grown_at, cut_at = s.rate, s.grown_at, s.cut_at
-        super()._judge(s, how, elapsed, t, sent)
-        s.rate, s.grown_at, s.cut_at = rate, grown_at, cut_at
+    def _record_outcome(
+        self, backend: Backend, outcome: AttemptOutcome, elapsed: float, request: Request, sent_at: float
+    ) -> None:
+        limits = backend.limits
+        rate, grown_at, cut_at = limits.rate, limits.grown_at, limits.cut_at
+        super()._record_outcome(backend, outcome, elapsed, request, sent_at)
+        limits.rate, limits.grown_at, limits.cut_at = rate, grown_at, cut_at
 
 
 class EvenParts(Scheduler):
@@ -35,24 +39,26 @@
 
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        self.lends = False
+        self.leases.enabled = False
 
 
 def lines_told(world: World) -> None:
     """Each head knows each shelf's line, as if an answer had just told it, and sends none into a long one."""
     for head in world.heads:
         p = head.scheduler
-        p.now = world.now
-        for s in p.backends.values():
+        p.timers.now = world.now
+        limits = p.limits
+        for s in p.shards.backends.values():
             wait = world.machines[s.id].behind
-            part = WAIT_PART * p.quickest / max(wait, 0.001)
+            part = WAIT_PART * limits.shortest_objective / max(wait, 0.001)
             if part >= 1.0:
-                s.rate = min(FREE_RATE, s.rate * 2.0 ** min(1.0, world.now - s.grown_at))
-            elif world.now - WAIT_PART >= s.cut_at:
-                p._cut(s, p.first_rate, max(0.5, part))
-            s.grown_at = world.now
-            s.first_send = world.now + STEP if wait > HOLD * p.quickest else 0.0
-        p.changed = True
+                grown = s.limits.rate * 2.0 ** min(1.0, world.now - s.limits.grown_at)
+                s.limits.rate = min(UNLIMITED_RATE, grown)
+            elif world.now - WAIT_PART >= s.limits.cut_at:
+                limits.cut(s, limits.first_rate, max(0.5, part))
+            s.limits.grown_at = world.now
+            s.first_attempt_at = world.now + STEP if wait > HOLD * limits.shortest_objective else 0.0
+        p.queueing.capacity_changed()
         p.batch_ended()
 
 
@@ -64,25 +70,25 @@
         if now - ASKED_OF_LATE <= ask.at <= now:
             asked[ask.shard][ask.volume] += ask.units / ASKED_OF_LATE
     weights = [day.facts.service_tiers[s.plan].weight for s in day.stores]
-    usual = world.heads[0].scheduler.usual
+    usual = world.heads[0].scheduler.pacing.expected_rate
     rates = {}
     for n, machine in enumerate(world.machines):
         bears = USABLE * 2.0 * machine.speed / UNIT_WORK * (SPARE if machine.behind > LONG_LINE else 1.0)
         rates[n] = _rate(asked[n], bears, [w * usual for w in weights])
     for head in world.heads:
         p = head.scheduler
-        p.now = now
-        for s in p.backends.values():
-            s.rate = rates[s.id]
-        p.changed = True
+        p.timers.now = now
+        for s in p.shards.backends.values():
+            s.limits.rate = rates[s.id]
+        p.queueing.capacity_changed()
         p.batch_ended()
 
 
 def _rate(asked: dict[int, float], bears: float, weights: list[float]) -> float:
     """The rate for a unit of weight at which all that is let through is what the shelf bears."""
     if sum(asked.values()) <= bears:
-        return FREE_RATE
-    low, high = LOWEST_RATE, FREE_RATE
+        return UNLIMITED_RATE
+    low, high = LOWEST_RATE, UNLIMITED_RATE
     for _ in range(20):
         middle = 0.5 * (low + high)
         if sum(min(units, weights[v] * middle) for v, units in asked.items()) > bears:
--- a/gorsethread/scheduling/actions.py
+++ b/gorsethread/scheduling/actions.py
@@ -1,31 +1,34 @@
-"""What the decisions may ask of the program round them. A gateway provides one of these per instance."""
+"""What the scheduler may ask of the program around it."""
 
 from typing import Protocol
 
 
-class Host(Protocol):
-    """The acts open to the scheduler. Times are seconds; backends and requests are named by their own ids."""
+class SchedulerActions(Protocol):
+    """The actions open to one scheduler, provided by the gateway that drives it.
+
+    Times are seconds. Requests and backends are named by the ids in the scheduler's events.
+    """
 
     def clock(self) -> float:
-        """The time now; it stands still while a batch is worked on."""
+        """Returns the time now, in seconds; it stands still while a batch of events is worked on."""
 
     def send_attempt(self, request: int, backend: int, wait: float) -> None:
-        """Send a request to a backend; wait 0 lasts until the deadline."""
+        """Sends a request to a backend; it times out after wait seconds, 0: at the request's deadline."""
 
     def cancel_attempt(self, request: int, number: int) -> None:
-        """Stop waiting for one attempt."""
+        """Stops waiting for one attempt of a request."""
 
     def reject(self, request: int, return_after: float) -> None:
-        """End a request: the client may try again, best after this long (0: no advice)."""
+        """Ends a request: its client may retry, best after so many seconds (0: no advice)."""
 
     def fail(self, request: int) -> None:
-        """End a request with an error that promises nothing."""
+        """Ends a request with an error that promises nothing."""
 
     def set_timer(self, delay: float, name: str) -> None:
-        """Have the scheduler's timer_fired(name) called after a delay."""
+        """Has the scheduler's timer_fired(name) called after so many seconds."""
 
-    def send_peer_message(self, head: int, words: str) -> None:
-        """A message to another gateway, by its number: slow, perhaps never there, 200 characters at most."""
+    def send_peer_message(self, gateway: int, message: str) -> None:
+        """Sends another gateway, by its number, a text of 200 characters at most, which may never arrive."""
 
     def poll_endpoints(self) -> None:
-        """Ask to be told the list of backends and its changes; the answer may be a refusal."""
+        """Asks for the endpoint list and its changes; the answer may be a refusal."""
--- a/gorsethread/scheduling/model.py
+++ b/gorsethread/scheduling/model.py
@@ -1,11 +1,15 @@
-"""Plain types: the facts a gateway is given at its start, and what it keeps as it works."""
+"""The scheduler's types: its settings, its events, and what it keeps of requests, volumes and backends."""
 
 from dataclasses import dataclass, field
 from enum import Enum, IntEnum
 from typing import NamedTuple
 
+NEW_OBJECT = -1  # the shard of a new object, which any backend may take
+
 
 class Effect(Enum):
+    """Whether a request may run more than once."""
+
     IDEMPOTENT = "redoable"
     KEYED = "labelled"
     NON_IDEMPOTENT = "irreversible"
@@ -67,18 +71,26 @@
     NOT = "not held"
     SLOTS = "slots taken"
     RATE = "rate of the shelf"
-    LIMIT = "limit"
-    COLD = "cold ramp"
-    KEY_TURN = "turn of its key"
-    REST = "rest after a miss"
+    RATE_LIMIT = "limit"
+    SLOW_START = "cold ramp"
+    KEY_ORDER = "turn of its key"
+    COOL_DOWN = "rest after a miss"
     SILENT = "shelf is silent"
-    NO_SHELF = "no shelf known"
-    BUDGET = "budget of forwards"
+    NO_BACKEND = "no shelf known"
+    RETRY_BUDGET = "budget of forwards"
     UNKNOWN = "unknown"
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class RequestClass:
+    """Settings by kind of request.
+
+    latency_objective: seconds until it should be answered; effect: whether it may run again;
+    idempotency_scope, idempotency_window: which backends drop its repeats, for how many seconds;
+    keyed_order: whether requests of one key run one after the other; priority_weight: what a request
+    answered in time is worth.
+    """
+
     latency_objective: float
     effect: Effect
     idempotency_scope: IdempotencyScope
@@ -93,7 +105,7 @@
 
     @property
     def keyed(self) -> bool:
-        """Its repeats are dropped, by the backends of its group and for as long as they remember it."""
+        """Its repeats are dropped, by the backends of its scope and within its window."""
         return self.effect is Effect.KEYED
 
     @property
@@ -104,6 +116,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceTier:
+    """Settings by customer.
+
+    reservation: units a second; weight: its share beside others; rate_limit: units a second, 0: none;
+    burst: units that its token bucket holds; expected_rate: units a second that a volume usually asks for.
+    """
+
     reservation: float
     weight: float
     rate_limit: float
@@ -113,18 +131,26 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStartRule:
+    """What all gateways together may send a backend that warms up.
+
+    units: in any window, from its start on; window: seconds; warm_after: seconds since its start;
+    initial_part: of what the warm backend can do.
+    """
+
     units: float
     window: float
     warm_after: float
     initial_part: float
 
     def units_allowed(self, age: float) -> float:
-        """Units within the span that all gateways together may send to a backend of that age."""
+        """Returns the units that all gateways may send within the window, age seconds after the start."""
         return self.units * (1.0 + (1.0 / self.initial_part - 1.0) * max(0.0, age) / self.warm_after)
 
 
 @dataclass(frozen=True, slots=True)
 class RetryBudget:
+    """Retries allowed in any window: free ones, and a ratio of the requests taken; window: seconds."""
+
     free: float
     ratio: float
     window: float
@@ -132,6 +158,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SchedulerSettings:
+    """What a scheduler is given at its start.
+
+    gateways: in the fleet; polls_endpoints: whether it asks for the endpoint list; poll_within: seconds
+    that a list may stand, 0: not said; drain_grace: seconds; key_cool_down: seconds; max_attempts: of a
+    request; max_retry_after: seconds; excess_value: what units beyond the reservation earn, 0 to 1;
+    retries_marked: whether clients mark their retries; gateway_index: of this gateway; may_send_messages:
+    whether gateways may.
+    """
+
     request_classes: tuple[RequestClass, ...]
     service_tiers: tuple[ServiceTier, ...]
     gateways: int
@@ -145,14 +180,17 @@
     max_retry_after: float
     largest_request_units: float
     excess_value: float
-    repeats_marked: bool
-    gateway_index: int = 0  # of this gateway among all
-    may_send_messages: bool = False  # whether gateways may send each other messages
+    retries_marked: bool
+    gateway_index: int = 0
+    may_send_messages: bool = False
 
 
 class RequestTaken(NamedTuple):
-    """A client's request has come. profile, plan: places in the settings; cut_off: on the process's clock, in
-    seconds; gateways: how many processes the volume's requests come through; repeat: a client's retry."""
+    """A client's request has come.
+
+    request_class, service_tier: places in the settings; deadline: in seconds of the process's clock; shard:
+    -1 for a new object; gateways: how many the volume's requests come through; is_retry: a client's retry.
+    """
 
     id: int
     request_class: int
@@ -167,8 +205,11 @@
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt of a request at a backend is over. elapsed: seconds since it was sent; finished: the request
-    has its answer; elsewhere: units that the volume was served through others, as the backend tells."""
+    """An attempt of a request at a backend is over.
+
+    elapsed: seconds since it was sent; request_finished: the request has its answer; units_elsewhere: units
+    that the volume was served through other gateways; usage: of the backend, as it notifies.
+    """
 
     request: int
     number: int
@@ -180,64 +221,122 @@
     usage: float
 
 
+@dataclass(slots=True, eq=False)
+class TokenBucket:
+    """Units that may be sent; rate_limits.py says how it fills. filled_at: seconds."""
+
+    level: float
+    filled_at: float
+
+
 @dataclass(slots=True, eq=False)
 class Volume:
+    """A volume of one tenant, with what its requests wait for.
+
+    Fair queueing moves service_received (units, its virtual time times its weight) and the queues by shard,
+    RateLimits the bucket, Pacing the pacing buckets by shard. gateways: how many its requests come through.
+    """
+
     id: str
-    plan: ServiceTier
-    total: float
-    heads: int
-    limit_store: float
-    filled: float
-    out: int = 0
-    lanes: dict[int, list["Request"]] = field(default_factory=dict)  # waiting, by shard
-    paces: dict[int, tuple[float, float]] = field(default_factory=dict)
+    name: str
+    tier: ServiceTier
+    service_received: float
+    gateways: int
+    bucket: TokenBucket
+    in_flight: int = 0  # attempts
+    queues: dict[int, list["Request"]] = field(default_factory=dict)
+    pacing: dict[int, TokenBucket] = field(default_factory=dict)
+
+
+@dataclass(slots=True, eq=False)
+class ConcurrencyState:
+    """What ConcurrencyLimits knows of a backend; times are seconds.
+
+    slots: attempts that may be in flight; rate: in expected rates of a unit of weight; unit_time: the
+    shortest time a unit.
+    """
+
+    slots: float
+    rate: float
+    service_time: float = 0.0
+    unit_time: float = float("inf")
+    service_times: dict[RequestClass, float] = field(default_factory=dict)
+    cut_at: float = 0.0
+    grown_at: float = 0.0
+
+
+@dataclass(slots=True, eq=False)
+class HealthState:
+    """What OutlierDetection knows of a backend; times are seconds.
+
+    failures: in turn; answered_sent_at: when the latest of the attempts was sent that it has answered.
+    """
+
+    error_rate: float = 0.0
+    cool_down_until: float = 0.0
+    failures: int = 0
+    answered_at: float = 0.0
+    answered_sent_at: float = 0.0
+
+
+@dataclass(slots=True, eq=False)
+class LeaseState:
+    """The slow-start lease of a backend and the request for the next one, as SlowStartLeases moves them.
+
+    units: not sent yet; request_number: empty where none is out; times are seconds.
+    """
+
+    request_number: str = ""
+    requested_units: float = 0.0
+    requested_at: float = -float("inf")
+    units: float = 0.0
+    valid_until: float = 0.0
 
 
 @dataclass(slots=True, eq=False)
 class Backend:
+    """A backend as the endpoint list has it, with the mechanisms' state of it; times are seconds.
+
+    started_at: 0 for long ago; first_attempt_at: no attempt before; last_send: the end of its drain;
+    in_flight: when each attempt was sent, by request and number, the earliest first.
+    """
+
     id: int
     zone: int
     shard: int
-    since: float
+    started_at: float
     ready: bool
-    first_send: float
-    bound: float
-    rate: float
-    time: float = 0.0
-    unit_time: float = float("inf")
-    cut_at: float = 0.0
-    grown_at: float = 0.0
-    times: dict[RequestClass, float] = field(default_factory=dict)
-    errors: float = 0.0
-    rest_until: float = 0.0
-    misses: int = 0
-    out: dict[tuple[int, int], float] = field(default_factory=dict)
-    asked: str = ""  # which asking for a lent part is out
-    asked_units: float = 0.0
-    asked_at: float = -float("inf")
-    lent: float = 0.0  # units lent to this gateway and not sent yet
-    lent_until: float = 0.0
-    last_send: float = 0.0  # after it was told to drain
-    answered_at: float = 0.0  # when it answered last
-    answered_of: float = 0.0  # when the latest of the attempts it has answered had been sent
+    first_attempt_at: float
+    limits: ConcurrencyState
+    last_send: float = 0.0
+    in_flight: dict[tuple[int, int], float] = field(default_factory=dict)
+    health: HealthState = field(default_factory=HealthState)
+    lease: LeaseState = field(default_factory=LeaseState)
 
 
 @dataclass(slots=True, eq=False)
 class Request:
+    """A client's request until it has ended and its attempts are in; times are seconds.
+
+    order: of arrival; objective_ends: when its latency objective is over; in_flight: attempts; ran_at,
+    ran_on: when and where it may first have run; late: it can no longer meet its objective; chosen: for an
+    attempt, by the search that is under way.
+    """
+
     id: int
     order: int
-    profile: RequestClass
+    request_class: RequestClass
     volume: Volume
     key: str | None
     deadline: float
-    promised_by: float
+    objective_ends: float
     units: float
     shard: int
     attempts: int = 0
-    out: int = 0
+    in_flight: int = 0
     ran_at: float | None = None
     ran_on: Backend | None = None
     waiting: bool = False
     late: bool = False
     chosen: bool = False
-    over: bool = False
+    ended: bool = False
--- a/gorsethread/scheduling/shard_assignment.py
+++ b/gorsethread/scheduling/shard_assignment.py
@@ -53,7 +53,7 @@
             del self._not_ready[backend.id]
         elif backend.last_send > now:
             self.next_drain_end = min(self.next_drain_end, backend.last_send)
-        elif not backend.out:
+        elif not backend.in_flight:
             self._forget(backend)
 
     def _forget(self, backend: Backend) -> None:
@@ -72,7 +72,7 @@
     def _assign(self, shard: int, now: float) -> None:
         of_shard = self._by_shard.get(shard, {}).values()
         usable = [backend for backend in of_shard if backend.ready or backend.last_send > now]
-        best = max(usable, key=lambda backend: (backend.ready, backend.since, backend.id), default=None)
+        best = max(usable, key=lambda backend: (backend.ready, backend.started_at, backend.id), default=None)
         before = self.serving.get(shard)
         if best is before:
             return
--- a/tests/crossing/test_discovery.py
+++ b/tests/crossing/test_discovery.py
@@ -211,7 +211,9 @@
     CROWDED = 1.7  # seconds behind a call's wait that a crowded service may answer
     HANGS = 3  # calls in turn that it answers nothing to
     ANSWERED_IN = 0.5  # seconds that the call after these may take
-    LONGEST_PAUSES = "from gorsethread.scheduling.draws import Draws; Draws.next = lambda self: 0.999"
+    LONGEST_PAUSES = (
+        "from gorsethread.scheduling.random_draws import RandomDraws; RandomDraws.next = lambda self: 0.999"
+    )
 
     def stays_open(self, peer: Peer, seconds: float) -> bool:
         peer.socket.settimeout(seconds)
@@ -313,7 +315,7 @@
                     scheduler, host = self.scheduler(ask_within, heads, 7 * refused + heads)
                     for _ in range(refused):
                         scheduler.endpoint_poll_failed()
-                    pause = scheduler.list_ask_at - host.now
+                    pause = scheduler.polling.next_poll_at - host.now
                     self.assertLessEqual(pause, TOLD_AFTER - 2.0, (ask_within, heads, refused))
 
     def test_the_longer_a_call_hung_the_sooner_the_next(self) -> None:
@@ -323,14 +325,14 @@
                     scheduler, host = self.scheduler(ask_within, 200, refused)
                     for _ in range(refused):
                         scheduler.endpoint_poll_failed(waited)
-                    pause = scheduler.list_ask_at - host.now
+                    pause = scheduler.polling.next_poll_at - host.now
                     self.assertLessEqual(waited + pause, TOLD_AFTER - 1.0, (ask_within, refused, waited))
 
     def test_a_new_process_asks_in_time_however_long_a_list_may_stand(self) -> None:
         for ask_within in (2.0, 10.0, 60.0, 600.0):
             for seed in range(50):
                 scheduler, host = self.scheduler(ask_within, 200, seed)
-                self.assertLessEqual(scheduler.list_ask_at - host.now, 2.0)
+                self.assertLessEqual(scheduler.polling.next_poll_at - host.now, 2.0)
 
     def test_a_first_refusal_leaves_time_for_the_answer_of_a_watch_that_fell_silent(self) -> None:
         """A silence shows after 4 s; what it hides counts as told after 6."""
@@ -340,7 +342,7 @@
                 scheduler.endpoint_list_begins(False, False)
                 scheduler.endpoint_list_ended()
                 scheduler.endpoint_poll_failed()
-                self.assertLessEqual(scheduler.list_ask_at - host.now, 1.0)
+                self.assertLessEqual(scheduler.polling.next_poll_at - host.now, 1.0)
 
 
 class RefusalsBeforeAMove(LiveRig):
@@ -349,13 +351,13 @@
             head = self.start()
             self.list.down = True
             await self.wait(30.0)
-            self.assertGreater(head.driver.scheduler.list_waits, 3)
+            self.assertGreater(head.driver.scheduler.polling.failures, 3)
             new = NewsList(self.process("list2"), ("list2", 1), generation=1)
             new.down = True
             self.configure(discovery="list2:1")
             self.transport.reload()
             await self.wait(0.1)
             self.assertEqual(1, len(new.asked))
-            self.assertEqual(1, head.driver.scheduler.list_waits, "as after a first refusal")
+            self.assertEqual(1, head.driver.scheduler.polling.failures, "as after a first refusal")
 
         self.play(work)
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -35,7 +35,7 @@
     "max_retry_after": 1.0,
     "largest_request_units": 8.0,
     "excess_value": 1.0,
-    "repeats_marked": True,
+    "retries_marked": True,
 }
 
 
@@ -119,10 +119,11 @@
         )
 
     def health(self, shelf: int = 1) -> None:
-        s = self.scheduler.backends[shelf]
+        s = self.scheduler.shards.backends[shelf]
         self.host.say(
-            f"    shelf {shelf}: rate {s.rate:.2f}, usual time {s.time:.2f}, {s.misses} misses, "
-            f"rests {max(0.0, s.rest_until - self.host.now):.2f}"
+            f"    shelf {shelf}: rate {s.limits.rate:.2f}, usual time {s.limits.service_time:.2f}, "
+            f"{s.health.failures} misses, "
+            f"rests {max(0.0, s.health.cool_down_until - self.host.now):.2f}"
         )
 
     def end(self) -> None:
--- a/tests/queues.py
+++ b/tests/queues.py
@@ -54,7 +54,7 @@
     def take(self, now: float, s: Sent) -> None:
         self.accounts.taken(s.id, s.volume, 0, s.shelf.number, False, s.units, now - 0.0002, now)
         if s.volume in self.day.limited and not self.day.spend(s.volume, s.units, now):
-            self.accounts.held(s.id, HoldReason.LIMIT, s.shelf.number, now)
+            self.accounts.held(s.id, HoldReason.RATE_LIMIT, s.shelf.number, now)
             self.day.at(now + 0.5, lambda at: self.offer(at, s))
         else:
             self.offer(now, s)
@@ -87,7 +87,7 @@
         for id in self.accounts.looks():
             volume, shelf, _ = self.accounts.lives[id].where
             limited = volume in self.day.limited
-            self.accounts.held(id, HoldReason.LIMIT if limited else HoldReason.SLOTS, shelf, now)
+            self.accounts.held(id, HoldReason.RATE_LIMIT if limited else HoldReason.SLOTS, shelf, now)
 
     def close(self, now: float, last: bool = False) -> None:
         window = self.accounts.close_window(now)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -173,7 +173,7 @@
             self.start_shelf(s.number)
         await self.until(lambda: len(self.list.entries) == len(self.site.shelf))
         self.start_head()
-        await self.until(lambda: len(self.heads[0].driver.scheduler.held_by) == len(self.site.shelf))
+        await self.until(lambda: len(self.heads[0].driver.scheduler.shards.serving) == len(self.site.shelf))
 
     def hold(self, shelf: int) -> list[IoCommand]:
         """From now on the shelf takes commands and answers none; they gather in the list."""
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -62,7 +62,7 @@
             alive.add(id)
             accounts.taken(id, 1 + id % 3, number % 2, number, number == 2, 1 + id, now - step / 2, now)
         elif what == "held":
-            accounts.held(id, why, number if why is not HoldReason.NO_SHELF else -1, now)
+            accounts.held(id, why, number if why is not HoldReason.NO_BACKEND else -1, now)
         elif what == "sent":
             accounts.sent(id, number, 5 + number, now)
             if id in alive:
@@ -172,7 +172,7 @@
         accounts.held(1, HoldReason.SLOTS, 5, 0.003)
         accounts.sent(1, 0, 6, 0.013)
         accounts.ended(1, 0, AttemptOutcome.CONNECTION_LOST, 0.0, 0.020)
-        accounts.held(1, HoldReason.REST, 6, 0.021)
+        accounts.held(1, HoldReason.COOL_DOWN, 6, 0.021)
         accounts.ended(9, 0, AttemptOutcome.SUCCEEDED, 0.022, 0.024)  # 2 ms of way: the least there
         accounts.answered(9, RequestOutcome.SUCCEEDED, 0.024)
         accounts.sent(1, 1, 5, 0.030)
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -40,10 +40,10 @@
         """The loss of the standing test, and what the guard in the module is worth against it."""
 
         class NoLine(Scheduler):
-            def _judge(self, *facts):  # type: ignore[no-untyped-def]
-                bound = facts[0].bound
-                super()._judge(*facts)
-                facts[0].bound = max(facts[0].bound, min(bound, 4.0))
+            def _record_outcome(self, backend, *facts):  # type: ignore[no-untyped-def]
+                slots = backend.limits.slots
+                super()._record_outcome(backend, *facts)
+                backend.limits.slots = max(backend.limits.slots, min(slots, 4.0))
 
         with_line = without = 0.0
         for seed in (1, 2):
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -190,7 +190,7 @@
         port = int(self.site.shelf[0].address.rpartition(":")[2])
         listener = self.transport.listen("127.0.0.1", port, accept)
         self.start_head()
-        await self.until(lambda: 0 in self.heads[0].driver.scheduler.held_by)
+        await self.until(lambda: 0 in self.heads[0].driver.scheduler.shards.serving)
         client = await self.client()
         how, _, _ = await self.send(client, Opcode.WRITE, hints=POST)
         listener.close()
@@ -300,7 +300,7 @@
         # Decided, not only taken: of so short a grace nothing is left once the drain is heard.
         await self.until(lambda: any(t.out for t in self.heads[0].driver.open.values()))
         self.list._order(Order(0, "draining"), _Deaf())
-        await self.until(lambda: 0 not in self.heads[0].driver.scheduler.held_by)
+        await self.until(lambda: 0 not in self.heads[0].driver.scheduler.shards.serving)
         late = self.send(client, Opcode.READ)
         await self.until(lambda: held)
         self.shelves[0]._saw_end(held[0], "honoured", True)
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -34,6 +34,7 @@
     RequestClass,
     SchedulerSettings,
     SlowStartRule,
+    TokenBucket,
     Volume,
 )
 from gorsethread.scheduling.scheduler import Scheduler
@@ -60,11 +61,17 @@
 class AtOnce(Scheduler):
     """Planted: lends from its first moment, as if no earlier life had."""
 
-    def _lend(self, shard: int, units: float, age: float) -> bool:
-        born, self.born = self.born, -1e9
-        lends = super()._lend(shard, units, age)
-        self.born = born
-        return lends
+    def __init__(self, *given: Any) -> None:
+        super().__init__(*given)
+        honest = self.leases.grant
+
+        def grant(shard: int, units: float, age: float) -> bool:
+            started_at, self.leases.started_at = self.leases.started_at, -1e9
+            granted = honest(shard, units, age)
+            self.leases.started_at = started_at
+            return granted
+
+        self.leases.grant = grant  # type: ignore[method-assign]
 
 
 class Forgetful(Scheduler):
@@ -72,23 +79,30 @@
 
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        self.lent_kept = 0.5 * self.facts.slow_start.window
+        self.leases.grants_kept_for = 0.5 * self.settings.slow_start.window
 
 
 class Twice(Scheduler):
     """Planted: a doubled answer lends twice."""
 
-    def _borrow(self, s: Backend) -> None:
-        asked = s.asked
-        super()._borrow(s)
-        s.asked = asked
+    def __init__(self, *given: Any) -> None:
+        super().__init__(*given)
+        honest = self.leases.accept
+
+        def accept(backend: Backend) -> None:
+            number = backend.lease.request_number
+            honest(backend)
+            backend.lease.request_number = number
+
+        self.leases.accept = accept  # type: ignore[method-assign]
 
 
 class Everyone(Scheduler):
     """Planted: every head is the home of every shelf."""
 
-    def _home(self, shard: int) -> int:
-        return self.facts.gateway_index
+    def __init__(self, *given: Any) -> None:
+        super().__init__(*given)
+        self.leases.holder = lambda shard: self.settings.gateway_index  # type: ignore[method-assign]
 
 
 class Fleet(unittest.TestCase):
@@ -152,7 +166,7 @@
         found = self.played(
             "from gorsethread.scheduling.scheduler import Scheduler\nold = Scheduler.__init__\n"
             "def begin(self, *given):\n    old(self, *given)\n"
-            "    self.lent_kept = 0.0\nScheduler.__init__ = begin",
+            "    self.leases.grants_kept_for = 0.0\nScheduler.__init__ = begin",
             LENT_UNITS / 3,
         )
         self.assertGreater(found.beyond, 0)
@@ -215,7 +229,7 @@
         host = PrintingHost()
         told: list[str] = []
         host.send_peer_message = lambda head, words: told.append(words)  # type: ignore[attr-defined]
-        home = Scheduler._home(Scheduler(host, facts, 1), 1)
+        home = Scheduler(host, facts, 1).leases.holder(1)
         askers = [n for n in range(3) if n != home]
         policies = {n: Scheduler(host, replace(facts, gateway_index=n), 1) for n in range(3)}
         for p in policies.values():
@@ -223,19 +237,35 @@
             p.endpoint_listed(1, 0, 1, True, 1.0)
             p.endpoint_list_ended()
             plant(p)
-        volume = Volume("v", facts.service_tiers[0], 0.0, 1, 0.0, 0.0)
+        volume = Volume("0/v", "v", facts.service_tiers[0], 0.0, 1, TokenBucket(0.0, 0.0))
         t = Request(1, 1, profile, volume, None, 1e9, 1e9, 1.0, 1)
 
         def asker(now: int, n: int, held: tuple[Any, ...]) -> Scheduler:
-            p, s = policies[n], policies[n].backends[1]
-            host.now = p.now = float(now)
-            _, p.order, s.asked, s.asked_at, s.asked_units, s.lent, s.lent_until = held
+            p, lease = policies[n], policies[n].shards.backends[1].lease
+            host.now = p.timers.now = float(now)
+            (
+                _,
+                p.timers.last_number,
+                lease.request_number,
+                lease.requested_at,
+                lease.requested_units,
+                lease.units,
+                lease.valid_until,
+            ) = held
             told.clear()
             return p
 
         def kept(n: int, life: int) -> tuple[Any, ...]:
-            s = policies[n].backends[1]
-            return life, policies[n].order, s.asked, s.asked_at, s.asked_units, s.lent, s.lent_until
+            lease = policies[n].shards.backends[1].lease
+            return (
+                life,
+                policies[n].timers.last_number,
+                lease.request_number,
+                lease.requested_at,
+                lease.requested_units,
+                lease.units,
+                lease.valid_until,
+            )
 
         def transitions(state: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
             now, born, ledger, held, messages, sends = state
@@ -256,21 +286,22 @@
                 found.append(("home restarts", (now, now, (), held, messages, sends)))
             for k, n in enumerate(askers):
                 p = asker(now, n, held[k])
-                if p._cold_left(p.backends[1]) >= 1.0:
-                    p.backends[1].lent -= 1.0
+                if p.slow_start.units_left(p.shards.backends[1]) >= 1.0:
+                    p.shards.backends[1].lease.units -= 1.0
                     put("sends", n, kept(n, held[k][0]), messages, (*sends, now))
-                elif not p._bears(t, p.backends[1]) and told:
+                elif not p.slow_start.admits(t, p.shards.backends[1]) and told:
                     put("asks", n, kept(n, held[k][0]), messages | {(n, told[0])}, sends)
                 if held[k][0] < 1 and -1.0 < held[k][3] < now:  # a start takes a while
                     put("restarts", n, (held[k][0] + 1, *FRESH[1:]), messages, sends)
             for n, words in messages:
                 if words.startswith("ask"):
                     p = policies[home]
-                    host.now, p.born, p.lent = float(now), float(born), {1: list(ledger)} if ledger else {}
+                    host.now, p.leases.started_at = float(now), float(born)
+                    p.leases.log.by_shard = {1: list(ledger)} if ledger else {}
                     told.clear()
                     p.peer_message_received(n, words)
                     if told:
-                        entries = tuple(p.lent.get(1, ()))
+                        entries = tuple(p.leases.log.by_shard.get(1, ()))
                         more = messages | {(n, told[0])}
                         found.append(("home lends", (now, born, entries, held, more, sends)))
                 else:
@@ -301,28 +332,31 @@
 
     def test_each_planted_leak_is_found(self) -> None:
         def no_silence(p: Scheduler) -> None:
-            honest = p._lend
+            honest = p.leases.grant
 
-            def lend(shard: int, units: float, age: float) -> bool:
-                p.born = -100.0
+            def grant(shard: int, units: float, age: float) -> bool:
+                p.leases.started_at = -100.0
                 return honest(shard, units, age)
 
-            p._lend = lend  # type: ignore[method-assign]
+            p.leases.grant = grant  # type: ignore[method-assign]
 
         def too_short(p: Scheduler) -> None:
-            p.lent_kept = p.facts.slow_start.window
+            p.leases.grants_kept_for = p.settings.slow_start.window
 
         def from_coming(p: Scheduler) -> None:
-            def borrow(s: Backend) -> None:
-                s.lent, s.lent_until, s.asked = s.asked_units, p.now + p.lent_for, ""
+            def accept(backend: Backend) -> None:
+                lease = backend.lease
+                lease.units, lease.request_number = lease.requested_units, ""
+                lease.valid_until = p.timers.now + p.leases.duration
 
-            p._borrow = borrow  # type: ignore[method-assign]
+            p.leases.accept = accept  # type: ignore[method-assign]
 
         def twice(p: Scheduler) -> None:
-            def borrow(s: Backend) -> None:
-                s.lent, s.lent_until = s.asked_units, s.asked_at + p.lent_for
+            def accept(backend: Backend) -> None:
+                lease = backend.lease
+                lease.units, lease.valid_until = lease.requested_units, lease.requested_at + p.leases.duration
 
-            p._borrow = borrow  # type: ignore[method-assign]
+            p.leases.accept = accept  # type: ignore[method-assign]
 
         for leak in (no_silence, too_short, from_coming, twice):
             with self.subTest(leak.__name__):
@@ -339,7 +373,7 @@
         self.end()
 
     def test_it_asks_the_home_and_sends_once_it_is_lent(self) -> None:
-        home = Scheduler._home(self.made(), 1)
+        home = self.made().leases.holder(1)
         self.begin((home + 1) % 60)
         self.take(1, units=2.0)
         self.end()
@@ -361,54 +395,54 @@
         return self.scheduler
 
     def test_a_lent_part_that_comes_late_is_not_used(self) -> None:
-        home = Scheduler._home(self.made(), 1)
+        home = self.made().leases.holder(1)
         self.begin((home + 1) % 60)
         self.take(1, units=2.0)
         self.end()
-        self.host.now += self.scheduler.lent_for
+        self.host.now += self.scheduler.leases.duration
         self.scheduler.peer_message_received(home, self.told[0][1].replace("ask", "lent"))
         self.end()
         self.assertFalse(self.host.sent)
         self.assertEqual(2, len(self.told))  # and asks anew
 
     def test_a_lent_part_that_was_not_needed_ends(self) -> None:
-        home = Scheduler._home(self.made(), 1)
+        home = self.made().leases.holder(1)
         self.begin((home + 1) % 60)
         self.take(1, units=2.0)
         self.end()
         self.scheduler.client_left(1)
         self.scheduler.peer_message_received(home, self.told[0][1].replace("ask", "lent"))
-        self.host.now += self.scheduler.lent_for
+        self.host.now += self.scheduler.leases.duration
         self.take(2, units=2.0)
         self.end()
         self.assertEqual((2, []), (len(self.told), list(self.host.sent)))
 
     def test_the_home_lends_what_is_borne_and_no_more(self) -> None:
-        home = Scheduler._home(self.made(), 1)
+        home = self.made().leases.holder(1)
         self.begin(home)
         for n in range(20):
             self.scheduler.peer_message_received((home + 1 + n) % 60, f"ask 1 {n} 2 0.0")
         self.assertEqual(4, len(self.told))  # of 9 units
-        self.host.now += 3.0 + self.scheduler.lent_for + 0.001
+        self.host.now += 3.0 + self.scheduler.leases.duration + 0.001
         self.scheduler.peer_message_received((home + 1) % 60, "ask 1 99 2 0.0")
         self.assertEqual(5, len(self.told))
 
     def test_a_false_age_lends_no_more_than_the_homes_own_list_bears_out(self) -> None:
-        home = Scheduler._home(self.made(), 1)
+        home = self.made().leases.holder(1)
         for listed, most in (({1: 9.0}, 11.9), ({}, 9.0)):
             with self.subTest(listed=listed):
                 self.begin(home)
                 self.shelves(listed)
                 self.told.clear()
-                self.scheduler.lent.clear()
+                self.scheduler.leases.log.by_shard.clear()
                 for n in range(20):
                     self.scheduler.peer_message_received((home + 1 + n) % 60, f"ask 1 {n} 2 12.9")
                 self.assertEqual(int(most / 2), len(self.told))
 
     def test_a_home_is_silent_until_an_earlier_lifes_lending_has_passed(self) -> None:
-        home = Scheduler._home(self.made(), 1)
+        home = self.made().leases.holder(1)
         self.begin(home)
-        self.scheduler.born = self.host.now - 3.0
+        self.scheduler.leases.started_at = self.host.now - 3.0
         self.scheduler.peer_message_received((home + 1) % 60, "ask 1 1 2 1.5")
         self.assertFalse(self.told)
 
@@ -430,14 +464,14 @@
     )
     def test_words_of_any_kind_break_nothing(self, words: str) -> None:
         if not hasattr(self, "policy"):
-            self.begin(Scheduler._home(self.made(), 1))
+            self.begin(self.made().leases.holder(1))
         self.scheduler.peer_message_received(5, words)
         self.scheduler.batch_ended()
         self.assertLessEqual(
-            sum(units for log in self.scheduler.lent.values() for _, units in log),
-            9.0 * max(1, len(self.scheduler.lent)) / 0.19,
+            sum(units for log in self.scheduler.leases.log.by_shard.values() for _, units in log),
+            9.0 * max(1, len(self.scheduler.leases.log.by_shard)) / 0.19,
         )
-        self.scheduler.lent.clear()
+        self.scheduler.leases.log.by_shard.clear()
 
 
 class Carried(unittest.TestCase):
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -10,8 +10,8 @@
             shelves,
             service_tiers=tuple(ServiceTier(reserve * i, w, 0.0, 0.0, 4.0) for i, w in enumerate(weights)),
         )
-        for shelf in self.scheduler.backends.values():
-            shelf.bound = float(slots)
+        for shelf in self.scheduler.shards.backends.values():
+            shelf.limits.slots = float(slots)
 
     def test_papers_example(self) -> None:
         """Three flows, five disks, one slot each: only moving earlier choices gives 2, 2, 1."""
@@ -66,7 +66,8 @@
             request_classes=(SLOW,),
             service_tiers=(ServiceTier(0.0, 1.0, 0.0, 0.0, 4.0), ServiceTier(12.0, 1.0, 0.0, 0.0, 4.0)),
         )
-        self.scheduler.backends[1].bound, self.scheduler.backends[1].rate = 32.0, 0.25
+        limits = self.scheduler.shards.backends[1].limits
+        limits.slots, limits.rate = 32.0, 0.25
         for id in range(14):
             self.take(id, "plain" if id < 7 else "reserved", plan=id // 7, units=4, within=20.0)
         self.end()
@@ -93,7 +94,7 @@
                 self.end()
             self.until(answered)
             self.answer(id, how, finished=True)
-            self.host.say(f"    paced at {self.scheduler.backends[1].rate:.1f} usual rates")
+            self.host.say(f"    paced at {self.scheduler.shards.backends[1].limits.rate:.1f} usual rates")
             self.end()
         self.kept("crowded_shelf")
 
--- a/tests/test_platform_clients.py
+++ b/tests/test_platform_clients.py
@@ -67,7 +67,7 @@
             self.assertEqual((1, {}, {}), (head.driver.counts["left"], head.driver.open, head.clients.open))
             self.assertEqual(1, self.shelves[0].ends)
             self.assertFalse(
-                any(s.out for s in head.driver.scheduler.backends.values()), "a slot stays taken"
+                any(s.in_flight for s in head.driver.scheduler.shards.backends.values()), "a slot stays taken"
             )
 
         self.play(work)
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -93,7 +93,7 @@
             for _ in range(2):
                 self.list.tell(instance(0, started=started))
                 await self.wait(0.7)
-                since = [s.since for s in head.driver.scheduler.backends.values() if s.shard == 0]
+                since = [s.started_at for s in head.driver.scheduler.shards.backends.values() if s.shard == 0]
                 self.assertAlmostEqual(now, since[0], places=3)
 
         self.play(work)
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from gorsethread.scheduling import rendezvous_ranking
-from gorsethread.scheduling.model import Backend, SchedulerSettings, Volume
+from gorsethread.scheduling.model import Backend, SchedulerSettings, TokenBucket, Volume
 from gorsethread.scheduling.rendezvous_ranking import RendezvousRanking
 from gorsethread.scheduling.scheduler import Scheduler
 from tests.harness import FACTS, OPEN_PLAN, PrintingHost
@@ -25,22 +25,24 @@
 HASHES_MOST = 3 * LARGE.bit_length()  # for two backends put in their places among that many
 
 
-def scheduler() -> Scheduler:
-    return Scheduler(PrintingHost(), SchedulerSettings(**FACTS), 7)
+def scheduler(host: PrintingHost) -> Scheduler:
+    return Scheduler(host, SchedulerSettings(**FACTS), 7)
 
 
 def volume(name: str) -> Volume:
-    return Volume(f"0/{name}", OPEN_PLAN, 0.0, 1, 0.0, PrintingHost().now)  # in use, so not forgotten
+    return Volume(
+        f"0/{name}", name, OPEN_PLAN, 0.0, 1, TokenBucket(0.0, PrintingHost().now)
+    )  # in use, so not forgotten
 
 
 def ranked_anew(told: Scheduler, name: str) -> list[Backend]:
-    return RendezvousRanking(told.held_by).of(name)
+    return RendezvousRanking(told.shards.serving).of(name)
 
 
 def assigned_anew(told: Scheduler) -> dict[int, Backend]:
     """By shard, of all backends known: the ready one before one that drains, then the newest."""
-    usable = [s for s in told.backends.values() if s.ready or s.last_send > told.now]
-    return {s.shard: s for s in sorted(usable, key=lambda s: (s.ready, s.since, s.id))}
+    usable = [s for s in told.shards.backends.values() if s.ready or s.last_send > told.timers.now]
+    return {s.shard: s for s in sorted(usable, key=lambda s: (s.ready, s.started_at, s.id))}
 
 
 def tell(told: Scheduler, entries: list[tuple[int, int, bool]], whole: bool) -> None:
@@ -55,24 +57,25 @@
 def test_after_any_lists_it_is_as_ranked_anew(
     lists: list[tuple[list[tuple[int, int, bool]], bool]], time_passes: bool
 ) -> None:
-    told, one = scheduler(), volume("a")
-    told.volumes[one.id] = one
+    host = PrintingHost()
+    told, one = scheduler(host), volume("a")
+    told.queueing.volumes[one.id] = one
     for entries, whole in lists:
         tell(told, entries, whole)
         if time_passes:
-            told.host.now += 0.5  # some of the grace of those that drain
-        assert told._ranking(one) == ranked_anew(told, "a")
-        assert set(told._ranking(one)) == set(told.held_by.values())
-        assert told.held_by == assigned_anew(told)
+            host.now += 0.5  # some of the grace of those that drain
+        assert told.admission.ranking(one) == ranked_anew(told, "a")
+        assert set(told.admission.ranking(one)) == set(told.shards.serving.values())
+        assert told.shards.serving == assigned_anew(told)
 
 
 def test_a_change_of_one_backend_ranks_none_of_the_others_again() -> None:
-    told = scheduler()
+    told = scheduler(PrintingHost())
     tell(told, [(n, n, True) for n in range(LARGE)], True)
     volumes = [volume(f"v{n}") for n in range(VOLUMES)]
     for one in volumes:
-        told.volumes[one.id] = one
-        told._ranking(one)
+        told.queueing.volumes[one.id] = one
+        told.admission.ranking(one)
     hashed: list[int] = []
     honest = rendezvous_ranking.positions
 
@@ -85,6 +88,6 @@
         tell(told, [(1, 1, False)], False)  # drains, and holds its shard on
         tell(told, [(LARGE + 1, 1, True)], False)  # another takes its place
         for one in volumes:
-            told._ranking(one)
+            told.admission.ranking(one)
     assert 0 < len(hashed) <= VOLUMES * HASHES_MOST
-    assert all(told._ranking(one) == ranked_anew(told, one.id[2:]) for one in volumes)
+    assert all(told.admission.ranking(one) == ranked_anew(told, one.id[2:]) for one in volumes)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -47,7 +47,7 @@
         self.answer(4, AttemptOutcome.UNREACHABLE)
         for id in (1, 2, 3):
             self.answer(id, AttemptOutcome.ERROR)
-        self.scheduler.backends[3].first_send = 100.9
+        self.scheduler.shards.backends[3].first_attempt_at = 100.9
         self.end()
         self.until(1.0)
         self.answer(3, AttemptOutcome.ERROR, 1)
@@ -81,9 +81,9 @@
         self.start()
         self.take(1)
         self.end()
-        late = 100.0 + self.scheduler.lent_for + 0.01
+        late = 100.0 + self.scheduler.leases.duration + 0.01
         self.assertTrue(self.scheduler.may_begin_attempt(1, 1, 100.0, late), "a warm backend")
-        self.scheduler.backends[1].since = 99.0
+        self.scheduler.shards.backends[1].started_at = 99.0
         self.assertTrue(self.scheduler.may_begin_attempt(1, 1, 100.0, late - 0.02))
         self.assertFalse(self.scheduler.may_begin_attempt(1, 1, 100.0, late))
 
--- a/tests/test_same_decisions.py
+++ b/tests/test_same_decisions.py
@@ -53,7 +53,7 @@
     return {
         "balancers": facts.gateways,
         "membershipMode": "subscribe",
-        "clients": {"marksRetry": facts.repeats_marked},
+        "clients": {"marksRetry": facts.retries_marked},
         "contract": {
             "askWithin": facts.poll_within,
             "fall": facts.slow_start.window,
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -95,10 +95,10 @@
             await self.wait(2.5)
             self.list.down = True
             await self.wait(14.0)
-            self.assertGreater(head.driver.scheduler.list_waits, 2)
+            self.assertGreater(head.driver.scheduler.polling.failures, 2)
             self.list.down = False
             await self.wait(14.0)
-            self.assertEqual(0, head.driver.scheduler.list_waits)
+            self.assertEqual(0, head.driver.scheduler.polling.failures)
             self.list.silence()
             began = self.user.now()
             self.list.tell(instance(0, "draining"))
