--- a/gorsethread/gateway/driver.py
+++ b/gorsethread/gateway/driver.py
@@ -332,7 +332,7 @@
         # While it waited its client may have left, or the backend begun to drain.
         awaited = kept and request is not None and not request.answered
         link = self.links.get(attempt.backend)
-        backend = self.scheduler.backends.get(attempt.backend)
+        backend = self.scheduler.shards.backends.get(attempt.backend)
         if awaited and link is not None and backend is not None and backend.ready:
             link.send(attempt)
         else:
