--- a/gorsethread/faults/webmutants.py
+++ b/gorsethread/faults/webmutants.py
@@ -8,7 +8,7 @@
 import h11
 
 from gorsethread.faults.planting import kept_in, told_as
-from gorsethread.http1 import asking, serving
+from gorsethread.http1 import client_codec, server_codec
 from gorsethread.http_gateway import backends
 from gorsethread.http_gateway.listing import ListAnswer
 from gorsethread.http_gateway.program import Gateway
@@ -85,12 +85,12 @@
     def change(link: backends.BackendLink) -> None:
         honest = link._answered
 
-        def answered(connection: Any, answer: asking.Answer) -> None:
-            if answer.last and not connection.over:
+        def answered(connection: Any, answer: client_codec.Response) -> None:
+            if answer.closes_connection and not connection.over:
                 # What a codec without the check would do: the bytes behind stand for the next answer.
                 more = connection.asking._wire.trailing_data[0]
                 connection.asking = _Stale(bytes(more))
-                answer = answer._replace(last=False)
+                answer = answer._replace(closes_connection=False)
             honest(connection, answer)
 
         link._answered = answered  # type: ignore[method-assign]
@@ -98,14 +98,14 @@
     _on_links(head, change)
 
 
-class _Stale(asking.Asking):
+class _Stale(client_codec.ClientCodec):
     """Answers its next request with what came before."""
 
     def __init__(self, more: bytes) -> None:
         super().__init__()
         self._more = more
 
-    def feed(self, data: bytes) -> asking.Answer | None:
+    def feed(self, data: bytes) -> client_codec.Response | None:
         data, self._more = self._more + data, b""
         return super().feed(data)
 
@@ -151,11 +151,11 @@
 
 @mutant("shelves: an answer of any length and form is believed")
 def _believes_all(head: Gateway) -> None:
-    class Trusting(asking.Asking):
-        def feed(self, data: bytes) -> asking.Answer | None:
+    class Trusting(client_codec.ClientCodec):
+        def feed(self, data: bytes) -> client_codec.Response | None:
             head_, split, body = data.partition(b"\r\n\r\n")
             self.waiting = False
-            return asking.Answer(200, [], body if split else head_, True)
+            return client_codec.Response(200, [], body if split else head_, True)
 
     def change(link: backends.BackendLink) -> None:
         honest = link._submit
@@ -230,10 +230,10 @@
 
 @mutant("clients: two ways to tell a length are not refused")
 def _two_lengths(head: Gateway) -> None:
-    class Trusting(serving.Serving):
-        def _begin(self, head: h11.Request) -> None:
-            self._raw = b""
-            self._head = head
+    class Trusting(server_codec.ServerCodec):
+        def _begin(self, request: h11.Request) -> None:
+            self._header_section = b""
+            self._request = request
 
     def on(connection: Any) -> None:
         connection.codec.__class__ = Trusting
--- /dev/null
+++ b/gorsethread/http1/client_codec.py
@@ -0,0 +1,156 @@
+"""The client's side of one connection: requests into bytes, the response to each out of bytes.
+
+Stricter than h11 where the platform's pages ask: a body's length is given in one way, within the bound. A
+body without any length ends with the connection, and is complete only where that end came in order.
+"""
+
+from typing import NamedTuple
+
+import h11
+
+from gorsethread.http1.framing import (
+    HEADER_SECTION_BYTES_MAX,
+    RESPONSE_BODY_BYTES_MAX,
+    Headers,
+    InvalidResponseError,
+    content_length,
+)
+
+INTERIM_RESPONSES_MAX = 8  # 1xx in front of one response
+SWITCHING_PROTOCOLS = 101
+STATUSES_WITHOUT_BODY = (204, 304)
+
+
+class Response(NamedTuple):
+    """A complete response.
+
+    Attributes:
+        status: The status code.
+        headers: Names in lower case.
+        body: Complete.
+        closes_connection: Whether the connection can't be used again, as the server closes it or sent more
+            than the response.
+    """
+
+    status: int
+    headers: Headers
+    body: bytes
+    closes_connection: bool
+
+    def header(self, name: bytes) -> bytes | None:
+        """The first value of a header."""
+        return next((value for known, value in self.headers if known == name), None)
+
+
+class ClientCodec:
+    """Owns the state of one connection to a server, one request after another; dropped with the connection.
+
+    Attributes:
+        waiting: Whether a response is outstanding.
+        ends_with_connection: Whether the response that is coming has no length.
+    """
+
+    def __init__(self) -> None:
+        self._wire = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEADER_SECTION_BYTES_MAX)
+        self._response: h11.Response | None = None
+        self._body: list[bytes] = []
+        self._size = 0
+        self._interim_responses = 0
+        self.waiting = False
+        self.ends_with_connection = False
+
+    def request(self, method: bytes, target: bytes, headers: Headers, body: bytes) -> bytes:
+        """The bytes of a request. To be called only while no response is outstanding."""
+        if body:
+            headers = [*headers, (b"content-length", b"%d" % len(body))]
+        wire = self._wire
+        parts = [
+            wire.send(h11.Request(method=method, target=target, headers=headers)),
+            wire.send(h11.Data(data=body)) if body else b"",
+            wire.send(h11.EndOfMessage()),
+        ]
+        self.waiting = True
+        return b"".join(part for part in parts if part)
+
+    def feed(self, data: bytes) -> Response | None:
+        """Takes bytes of the server; the response, once complete.
+
+        Raises:
+            InvalidResponseError: They are no response, or nothing was requested.
+        """
+        if not self.waiting:
+            raise InvalidResponseError("bytes that nobody asked for")
+        try:
+            self._wire.receive_data(data)
+            return self._next()
+        except h11.RemoteProtocolError as error:
+            raise InvalidResponseError(str(error)) from None
+
+    def ended(self) -> Response | None:
+        """The server has ended the connection in order; the response that is complete by that, else None.
+
+        Raises:
+            InvalidResponseError: What came is no response.
+        """
+        if not self.ends_with_connection:
+            return None
+        try:
+            self._wire.receive_data(b"")
+            return self._next()
+        except h11.RemoteProtocolError as error:
+            raise InvalidResponseError(str(error)) from None
+
+    def _next(self) -> Response | None:
+        while True:
+            event = self._wire.next_event()
+            if event is h11.NEED_DATA or event is h11.PAUSED:
+                return None
+            if isinstance(event, h11.InformationalResponse):
+                self._interim_responses += 1
+                if (
+                    self._interim_responses > INTERIM_RESPONSES_MAX
+                    or event.status_code == SWITCHING_PROTOCOLS
+                ):
+                    raise InvalidResponseError("interim answers without end")
+            elif isinstance(event, h11.Response):
+                self._begin(event)
+            elif isinstance(event, h11.Data):
+                self._size += len(event.data)
+                if self._size > RESPONSE_BODY_BYTES_MAX:
+                    raise InvalidResponseError("body over the bound")
+                self._body.append(bytes(event.data))
+            elif isinstance(event, h11.EndOfMessage):
+                return self._complete()
+            else:
+                raise InvalidResponseError("the connection ended")
+
+    def _begin(self, response: h11.Response) -> None:
+        headers: Headers = list(response.headers)
+        try:
+            length = content_length(headers)
+        except ValueError as error:
+            raise InvalidResponseError(str(error)) from None
+        chunked = any(name == b"transfer-encoding" for name, _ in headers)
+        if length is not None and length > RESPONSE_BODY_BYTES_MAX:
+            raise InvalidResponseError("body over the bound")
+        has_body = response.status_code not in STATUSES_WITHOUT_BODY
+        self.ends_with_connection = length is None and not chunked and has_body
+        self._response = response
+
+    def _complete(self) -> Response:
+        response = self._response
+        body = b"".join(self._body)
+        wire = self._wire
+        assert response is not None
+        self._response = None
+        self._body = []
+        self._size = 0
+        self._interim_responses = 0
+        more, _ = wire.trailing_data
+        closes = self.ends_with_connection or bool(more)
+        closes = closes or wire.our_state is not h11.DONE or wire.their_state is not h11.DONE
+        self.waiting = False
+        self.ends_with_connection = False
+        if not closes:
+            wire.start_next_cycle()
+        return Response(response.status_code, list(response.headers), body, closes)
--- /dev/null
+++ b/gorsethread/http1/server_codec.py
@@ -0,0 +1,190 @@
+"""The server's side of one connection: requests out of bytes, responses into bytes.
+
+Stricter than h11 where the platform's pages ask: one way to give a body's length, bounds on header sections
+and bodies, on what is sent behind an open request, and no parsing past it.
+"""
+
+import re
+from http import HTTPStatus
+from typing import NamedTuple
+
+import h11
+
+from gorsethread.http1.framing import (
+    HEADER_SECTION_BYTES_MAX,
+    READ_AHEAD_BYTES_MAX,
+    REQUEST_BODY_BYTES_MAX,
+    Headers,
+    InvalidRequestError,
+    content_length,
+)
+
+CONTENT_LENGTH_LINES = re.compile(rb"\ncontent-length[ \t]*:[ \t]*([^\r\n]*?)[ \t]*\r?(?=\n)", re.IGNORECASE)
+
+
+class Request(NamedTuple):
+    """A complete request; the names of its headers are in lower case."""
+
+    method: bytes
+    target: bytes
+    headers: Headers
+    body: bytes
+
+    def header(self, name: bytes) -> bytes | None:
+        """The value of a header that may stand once.
+
+        Raises:
+            InvalidRequestError: It stands more often.
+        """
+        found = [value for known, value in self.headers if known == name]
+        if len(found) > 1:
+            raise InvalidRequestError(400, f"{name.decode()} stands {len(found)} times")
+        return found[0] if found else None
+
+
+def closing_response(status: int) -> bytes:
+    """A response without a body that ends its connection, also where no request could be read."""
+    return (
+        f"HTTP/1.1 {status} {HTTPStatus(status).phrase}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+    ).encode()
+
+
+class ServerCodec:
+    """Owns the state of one connection of a client; dropped with the connection.
+
+    Attributes:
+        open: Whether a request was given out and has no response yet.
+        bytes_ahead: Bytes that came since the open request was complete.
+    """
+
+    def __init__(self) -> None:
+        self._wire = h11.Connection(h11.SERVER, max_incomplete_event_size=HEADER_SECTION_BYTES_MAX)
+        self._request: h11.Request | None = None
+        # What has come of the header section: h11 makes one length of several that are the same.
+        self._header_section = b""
+        self._body: list[bytes] = []
+        self._size = 0
+        self._received = False
+        self.bytes_ahead = 0
+        self.open = False
+
+    @property
+    def partial(self) -> bool:
+        """Whether a part of a request has come."""
+        return self._received and not self.open
+
+    def feed(self, data: bytes) -> None:
+        """Takes bytes of the client.
+
+        Raises:
+            InvalidRequestError: More was sent behind an open request than is held.
+        """
+        if self.open:
+            self.bytes_ahead += len(data)
+            if self.bytes_ahead > READ_AHEAD_BYTES_MAX:
+                raise InvalidRequestError(400, "too much sent ahead")
+        elif self._request is None:
+            self._header_section += data
+        self._received = True
+        self._wire.receive_data(data)
+
+    def next_request(self) -> Request | None:
+        """The next complete request; None while an earlier one is open or more has to come.
+
+        Raises:
+            InvalidRequestError: What came is no request.
+        """
+        if self.open:
+            return None
+        try:
+            return self._next()
+        except h11.RemoteProtocolError as error:
+            raise InvalidRequestError(error.error_status_hint, str(error)) from None
+
+    def _next(self) -> Request | None:
+        while True:
+            event = self._wire.next_event()
+            if event is h11.NEED_DATA or event is h11.PAUSED:
+                return None
+            if isinstance(event, h11.Request):
+                self._begin(event)
+            elif isinstance(event, h11.Data):
+                self._size += len(event.data)
+                if self._size > REQUEST_BODY_BYTES_MAX:
+                    raise InvalidRequestError(413, "body over the bound")
+                self._body.append(bytes(event.data))
+            elif isinstance(event, h11.EndOfMessage):
+                return self._complete()
+            else:
+                raise InvalidRequestError(400, "the connection ended")
+
+    def _begin(self, request: h11.Request) -> None:
+        if request.http_version != b"1.1":
+            raise InvalidRequestError(505, "another version")
+        headers: Headers = list(request.headers)
+        lengths = CONTENT_LENGTH_LINES.findall(self._header_section.partition(b"\r\n\r\n")[0] + b"\n")
+        self._header_section = b""
+        if len(lengths) > 1 or lengths and not lengths[0].isdigit():
+            raise InvalidRequestError(400, "two ways to tell the length")
+        try:
+            length = content_length(headers)
+        except ValueError as error:
+            raise InvalidRequestError(400, str(error)) from None
+        if length is not None and length > REQUEST_BODY_BYTES_MAX:
+            raise InvalidRequestError(413, "body over the bound")
+        if request.method == b"CONNECT" or any(name == b"upgrade" for name, _ in headers):
+            raise InvalidRequestError(501, "no other protocol is spoken here")
+        self._request = request
+
+    def _complete(self) -> Request:
+        request = self._request
+        body = b"".join(self._body)
+        assert request is not None
+        self._request = None
+        self._body = []
+        self._size = 0
+        self._header_section = self._wire.trailing_data[0]
+        self.bytes_ahead = len(self._header_section)
+        self.open = True
+        return Request(request.method, request.target, list(request.headers), body)
+
+    @property
+    def awaits_continue(self) -> bool:
+        """Whether the client asked if it may send its body; continue_response() is to be written."""
+        return self._request is not None and self._wire.they_are_waiting_for_100_continue
+
+    def continue_response(self) -> bytes:
+        """The bytes of a 100 (Continue)."""
+        return self._wire.send(h11.InformationalResponse(status_code=100, headers=[])) or b""
+
+    def respond(self, status: int, headers: Headers, body: bytes, last: bool = False) -> tuple[bytes, bool]:
+        """Ends the open request.
+
+        Args:
+            status: The status code.
+            headers: Without the body's length.
+            body: Complete.
+            last: Whether the connection ends with this response.
+
+        Returns:
+            The response's bytes, and whether the connection goes on after it.
+        """
+        framing: Headers = [(b"content-length", b"%d" % len(body))]
+        if last:
+            framing.append((b"connection", b"close"))
+        response = h11.Response(
+            status_code=status, headers=headers + framing, reason=HTTPStatus(status).phrase.encode()
+        )
+        wire = self._wire
+        parts = [
+            wire.send(response),
+            wire.send(h11.Data(data=body)) if body else b"",
+            wire.send(h11.EndOfMessage()),
+        ]
+        self.open = False
+        goes_on = not last and wire.our_state is h11.DONE and wire.their_state is h11.DONE
+        if goes_on:
+            wire.start_next_cycle()
+            self._header_section = wire.trailing_data[0]
+            self._received = bool(self._header_section)
+        return b"".join(part for part in parts if part), goes_on
--- a/gorsethread/http_gateway/backends.py
+++ b/gorsethread/http_gateway/backends.py
@@ -8,8 +8,8 @@
 from typing import NamedTuple
 
 from gorsethread.gateway.carrying import NOTHING, Attempt, Told
-from gorsethread.http1.asking import Answer, Asking
-from gorsethread.http1.bounds import Headers, Spoilt
+from gorsethread.http1.client_codec import ClientCodec, Response
+from gorsethread.http1.framing import Headers, InvalidResponseError
 from gorsethread.http_gateway.pool import ConnectionPool
 from gorsethread.scheduling.model import AttemptOutcome
 from gorsethread.transport.base import Stream, StreamClosed, StreamEnded, Timer, Unreachable
@@ -49,7 +49,7 @@
     def __init__(self, link: "BackendLink", stream: Stream) -> None:
         self.link, self.stream = link, stream
         self.over = False
-        self.asking = Asking()
+        self.asking = ClientCodec()
         self.out: Attempt | None = None
         self.idle_since = 0.0
         self.uses = 0
@@ -175,11 +175,11 @@
                 if connection.uses > 1:
                     self.pool.trust.seen(True, self.transport.now())
                 self.end(f, AttemptOutcome.UNREACHABLE if unsent else AttemptOutcome.CONNECTION_LOST)
-        except Spoilt as error:
+        except InvalidResponseError as error:
             self._spoilt(connection, str(error))
         self.pool.freed()
 
-    async def _read(self, connection: BackendConnection) -> Answer | None:
+    async def _read(self, connection: BackendConnection) -> Response | None:
         """Reads once; the answer where that made it whole."""
         try:
             data = await connection.stream.read()
@@ -215,7 +215,7 @@
             self.pool.spoilt[reason[:40]] += 1
             self.end(f, AttemptOutcome.ERROR)
 
-    def _answered(self, connection: BackendConnection, answer: Answer) -> None:
+    def _answered(self, connection: BackendConnection, answer: Response) -> None:
         f, connection.out = connection.out, None
         assert f is not None
         self.out -= 1
@@ -223,7 +223,7 @@
         now = self.transport.now()
         if connection.uses > 1:
             self.pool.trust.seen(False, now)
-        if answer.last or not self.pool.trust.holds(now):
+        if answer.closes_connection or not self.pool.trust.holds(now):
             self.lose(connection)
         else:
             self._rest(connection)
@@ -231,9 +231,9 @@
             self.end(
                 f,
                 AttemptOutcome.SUCCEEDED,
-                Told(answer.body, figure(answer.one(ELSEWHERE)), figure(answer.one(USAGE))),
+                Told(answer.body, figure(answer.header(ELSEWHERE)), figure(answer.header(USAGE))),
             )
-        elif answer.status in (503, 504) and answer.one(DECLINED) == b"1":
+        elif answer.status in (503, 504) and answer.header(DECLINED) == b"1":
             self.end(f, AttemptOutcome.REJECTED)
         else:
             self.end(f, AttemptOutcome.ERROR)
--- a/gorsethread/http_gateway/clients.py
+++ b/gorsethread/http_gateway/clients.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from gorsethread.gateway.driver import Driver
-from gorsethread.http1.bounds import Unreadable
-from gorsethread.http1.serving import Request, last_words
+from gorsethread.http1.framing import InvalidRequestError
+from gorsethread.http1.server_codec import Request, closing_response
 from gorsethread.http_gateway.backends import OutgoingRequest
 from gorsethread.http_gateway.config import Naming
 from gorsethread.http_gateway.connection import Connection
@@ -57,7 +57,7 @@
         ended = next((c for c in self.connections if c.over and not c.stream.unsent), None)
         if ended is not None:
             return ended
-        free = [c for c in self.connections if not c.codec.open and not c.codec.begun]
+        free = [c for c in self.connections if not c.codec.open and not c.codec.partial]
         silent = next((c for c in free if not c.served and c.stream.quiet()), None)
         if silent is not None:
             return silent
@@ -93,7 +93,7 @@
         """A defect met by one connection's bytes costs that connection alone."""
         self.log.exception("a connection failed", reason=repr(error))
         if not connection.over:
-            connection.stream.write(last_words(500))
+            connection.stream.write(closing_response(500))
         connection.end()
         self._left(connection)
 
@@ -104,8 +104,8 @@
         try:
             fields = read_request(request, self.naming)
             if fields.id in self.open:
-                raise Unreadable(409, "the id of an open request")
-        except Unreadable as error:
+                raise InvalidRequestError(409, "the id of an open request")
+        except InvalidRequestError as error:
             # Its bounds were kept, so the connection goes on; but what asks for nothing right asks slowly.
             self.wrong[str(error)[:40]] += 1
             connection.paused = True
@@ -143,9 +143,9 @@
                 self._close_ended(c, now)
             elif c.codec.open:
                 continue
-            elif c.codec.begun:
+            elif c.codec.partial:
                 if c.began <= now - WHOLE_WITHIN:
-                    c.refuse(Unreadable(408, "a request that does not come whole"))
+                    c.refuse(InvalidRequestError(408, "a request that does not come whole"))
             elif c.began <= now - (idle_most if c.served else WHOLE_WITHIN) and c.stream.quiet():
                 c.end()
 
@@ -163,9 +163,9 @@
                 self._close_ended(c, now)
             elif c.codec.open:
                 continue
-            elif c.codec.begun:
+            elif c.codec.partial:
                 if late:
-                    c.refuse(Unreadable(503, "a request that did not come whole before the end"))
+                    c.refuse(InvalidRequestError(503, "a request that did not come whole before the end"))
             elif late or c.stream.quiet() and (c.served or c.began <= now - NEW_WITHIN):
                 c.end()
 
--- a/gorsethread/http_gateway/connection.py
+++ b/gorsethread/http_gateway/connection.py
@@ -8,8 +8,8 @@
 from typing import TYPE_CHECKING
 
 from gorsethread.gateway.driver import Open
-from gorsethread.http1.bounds import MOST_HELD, Headers, Unreadable
-from gorsethread.http1.serving import Serving, last_words
+from gorsethread.http1.framing import READ_AHEAD_BYTES_MAX, Headers, InvalidRequestError
+from gorsethread.http1.server_codec import ServerCodec, closing_response
 from gorsethread.transport.base import READ_MOST, Stream, StreamClosed
 
 if TYPE_CHECKING:
@@ -17,7 +17,8 @@
 
 PAUSE = 0.25  # seconds that a client whose request was invalid waits for its next to be read
 LOOK_AGAIN = 0.02  # seconds until a client that was too far ahead, or reads no answers, is looked at again
-MOST_AHEAD = MOST_HELD - READ_MOST  # bytes behind an open request, beyond which no more is read for now
+# Bytes behind an open request, beyond which no more is read for now.
+MOST_AHEAD = READ_AHEAD_BYTES_MAX - READ_MOST
 MOST_UNSENT = 262_144  # bytes of answers that a client has not read, beyond which it gets no further one
 MOST_DROPPED = 262_144  # bytes that are read and dropped behind the end of this side
 
@@ -42,7 +43,7 @@
 
     def __init__(self, side: "ClientSide", stream: Stream, now: float) -> None:
         self.side, self.stream = side, stream
-        self.codec = Serving()
+        self.codec = ServerCodec()
         self.taken: Open | None = None
         self.id = b""
         # When it connected, last went idle, the request now coming began, or this side ended.
@@ -77,24 +78,24 @@
         self.id = b""
         if self.over:
             return
-        said, goes_on = self.codec.answer(status, headers, body, last=self._is_last())
+        said, goes_on = self.codec.respond(status, headers, body, last=self._is_last())
         self.stream.write(said)
         self.began, self.served = self.side.transport.now(), True
         if not goes_on:
             self.end()
-        elif self.codec.begun:
+        elif self.codec.partial:
             self.side.transport.soon(self.proceed)
 
     def _is_last(self) -> bool:
         """What has been read behind the request is owed an answer of its own, while there is time for it."""
         if not self.side.ending:
             return False
-        return self.side.late() or not self.codec.ahead and self.stream.quiet()
+        return self.side.late() or not self.codec.bytes_ahead and self.stream.quiet()
 
-    def refuse(self, error: Unreadable) -> None:
+    def refuse(self, error: InvalidRequestError) -> None:
         """Answers what can't be read as a request, or not any more, and ends the connection."""
         self.side.wrong[str(error)[:40]] += 1
-        self.stream.write(last_words(error.status))
+        self.stream.write(closing_response(error.status))
         self.end()
 
     def end(self) -> None:
@@ -116,13 +117,13 @@
         if self._answers_unread():
             return
         try:
-            while not self.over and not self.paused and (request := self.codec.next()) is not None:
+            while not self.over and not self.paused and (request := self.codec.next_request()) is not None:
                 self.side.requested(self, request)
                 if self._answers_unread():
                     return
             if not self.over and self.codec.awaits_continue:
-                self.stream.write(self.codec.continued())
-        except Unreadable as error:
+                self.stream.write(self.codec.continue_response())
+        except InvalidRequestError as error:
             self.refuse(error)
         except Exception as error:
             # Also called by the loop, where an exception would end the program and all it holds.
@@ -157,9 +158,9 @@
             pass
 
     def _came(self, data: bytes) -> None:
-        if not self.codec.ahead:  # else a request held since earlier would get a later deadline
+        if not self.codec.bytes_ahead:  # else a request held since earlier would get a later deadline
             self.arrived = self.side.transport.now()
-        if not self.codec.begun and not self.codec.open:
+        if not self.codec.partial and not self.codec.open:
             self.began = self.arrived if self.served else self.began
         self.codec.feed(data)
 
@@ -181,5 +182,5 @@
             self.proceed()
 
     def _is_ahead(self) -> bool:
-        far_ahead = self.codec.open and self.codec.ahead > MOST_AHEAD
+        far_ahead = self.codec.open and self.codec.bytes_ahead > MOST_AHEAD
         return self.paused or far_ahead or self.stream.unsent > MOST_UNSENT
--- a/gorsethread/http_gateway/discovery.py
+++ b/gorsethread/http_gateway/discovery.py
@@ -9,8 +9,8 @@
 from gorsethread.errors import GorsethreadError
 from gorsethread.gateway.driver import Driver
 from gorsethread.gateway.linktable import LinkTable
-from gorsethread.http1.asking import Answer, Asking
-from gorsethread.http1.bounds import Spoilt
+from gorsethread.http1.client_codec import ClientCodec, Response
+from gorsethread.http1.framing import InvalidResponseError
 from gorsethread.http_gateway.config import Address, Naming, Unusable, address_of
 from gorsethread.http_gateway.listing import Instance, ListAnswer
 from gorsethread.http_gateway.pool import ConnectionPool
@@ -38,9 +38,9 @@
     return int.from_bytes(blake2b(instance.encode(), digest_size=7).digest())
 
 
-async def read_answer(stream: Stream, asking: Asking) -> Answer:
+async def read_answer(stream: Stream, asking: ClientCodec) -> Response:
     """The answer to what was asked on that stream, also one that ends with its connection."""
-    answer: Answer | None = None
+    answer: Response | None = None
     while answer is None:
         try:
             answer = asking.feed(await stream.read())
@@ -117,7 +117,7 @@
             self._moved = False
             try:
                 await self._watch()
-            except (Unreachable, StreamClosed, Spoilt, Failed) as error:
+            except (Unreachable, StreamClosed, InvalidResponseError, Failed) as error:
                 if self._moved:
                     continue
                 self._asking = False
@@ -138,7 +138,7 @@
         stream = self._stream = await self.transport.connect(*address, CONNECT_WITHIN)
         self.log.info("the list is watched", since=self.version)
         self._heard = False
-        asking = Asking()
+        asking = ClientCodec()
         while not self.stopped and address == self.address:
             target = b"/v1/servers"
             wait = self.chance.uniform(SHORTEST_WAIT, 1.0) * self.wait
@@ -160,12 +160,12 @@
                 # Guards against a service that answers at once with nothing new; the watch still goes on.
                 await self.transport.sleep(SPACED)
             self._call_began = self.transport.now()
-            if answer.last:
+            if answer.closes_connection:
                 stream.close()
                 stream = self._stream = await self.transport.connect(*address, CONNECT_WITHIN)
-                asking = Asking()
+                asking = ClientCodec()
 
-    def _take(self, answer: Answer) -> bool:
+    def _take(self, answer: Response) -> bool:
         """Whether it was news."""
         if answer.status != 200:
             raise Failed(f"status {answer.status}")
--- a/gorsethread/http_gateway/requests.py
+++ b/gorsethread/http_gateway/requests.py
@@ -3,8 +3,8 @@
 import re
 from typing import NamedTuple
 
-from gorsethread.http1.bounds import Unreadable
-from gorsethread.http1.serving import Request
+from gorsethread.http1.framing import InvalidRequestError
+from gorsethread.http1.server_codec import Request
 from gorsethread.http_gateway.config import Naming
 
 ID = re.compile(rb"[0-9a-fA-F]{16}")
@@ -32,50 +32,50 @@
 
 
 def _said(request: Request, name: bytes) -> bytes:
-    value = request.one(name)
+    value = request.header(name)
     if value is None:
-        raise Unreadable(400, f"no {name.decode()}")
+        raise InvalidRequestError(400, f"no {name.decode()}")
     return value
 
 
 def _whole(info: dict[bytes, bytes], name: bytes, least: float, most: float) -> int:
     value = info.get(name, b"")
     if not WHOLE.fullmatch(value) or not least <= int(value) <= most:
-        raise Unreadable(400, f"{name.decode()} is {value[:20]!r}")
+        raise InvalidRequestError(400, f"{name.decode()} is {value[:20]!r}")
     return int(value)
 
 
 def read_request(request: Request, naming: Naming) -> RequestFields:
-    """Unreadable for anything missing, doubled, unknown or out of its bounds."""
+    """InvalidRequestError for anything missing, doubled, unknown or out of its bounds."""
     if request.method not in (b"GET", b"PUT"):
-        raise Unreadable(405, "neither GET nor PUT")
+        raise InvalidRequestError(405, "neither GET nor PUT")
     target = TARGET.fullmatch(request.target)
     if target is None:
-        raise Unreadable(404, "no such path")
+        raise InvalidRequestError(404, "no such path")
     profile = naming.profiles.get(target[1])
     if profile is None:
-        raise Unreadable(404, "no such profile")
+        raise InvalidRequestError(404, "no such profile")
     if request.method == b"GET" and request.body:
-        raise Unreadable(400, "a GET with a body")
+        raise InvalidRequestError(400, "a GET with a body")
     id = _said(request, b"req-id")
     if not ID.fullmatch(id):
-        raise Unreadable(400, "no id")
+        raise InvalidRequestError(400, "no id")
     plan = naming.plans.get(_said(request, b"tier"))
     if plan is None:
-        raise Unreadable(400, "no such plan")
+        raise InvalidRequestError(400, "no such plan")
     patience = _said(request, b"req-deadline-ms")
     if not PATIENCE.fullmatch(patience) or int(patience) == 0:
-        raise Unreadable(400, "no cut-off")
+        raise InvalidRequestError(400, "no cut-off")
     told = _said(request, b"io-info")
     if not INFO.fullmatch(told):
-        raise Unreadable(400, "io-info can't be read")
+        raise InvalidRequestError(400, "io-info can't be read")
     parts = [part.split(b"=") for part in told.split(b",")]
     info = dict[bytes, bytes](parts)
     if len(info) < len(parts):
-        raise Unreadable(400, "io-info says one thing twice")
+        raise InvalidRequestError(400, "io-info says one thing twice")
     volume = info.get(b"volume", b"")
     if not ID.fullmatch(volume):
-        raise Unreadable(400, "no volume")
+        raise InvalidRequestError(400, "no volume")
     return RequestFields(
         id,
         profile,
@@ -86,5 +86,5 @@
         float(_whole(info, b"units", 1, naming.most_units)),
         _whole(info, b"shard", -1, naming.shards - 1),
         _whole(info, b"hosts", 1, MOST_HEADS),
-        request.one(b"req-retry") == b"1",
+        request.header(b"req-retry") == b"1",
     )
--- a/gorsethread/standins/web/backend.py
+++ b/gorsethread/standins/web/backend.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from gorsethread.http1.bounds import Unreadable
-from gorsethread.http1.serving import Request, Serving, last_words
+from gorsethread.http1.framing import InvalidRequestError
+from gorsethread.http1.server_codec import Request, ServerCodec, closing_response
 from gorsethread.nvme.command import Command, Completion, Opcode, Status, io_command, told_service
 from gorsethread.nvme.subsystem import BLOCK
 from gorsethread.sitefile import site_pb2 as pb
@@ -39,7 +39,7 @@
 
     def __init__(self, shelf: "WebShelf", stream: Stream, head: int) -> None:
         self.shelf, self.stream, self.head = shelf, stream, head
-        self.codec = Serving()
+        self.codec = ServerCodec()
         self.io: WebIo | None = None
 
     async def serve(self) -> None:
@@ -50,21 +50,21 @@
         except StreamClosed:
             if self.io is not None and not self.io.answered:
                 self.shelf.given_up(self.io)
-        except Unreadable as error:
+        except InvalidRequestError as error:
             self.shelf.recorder.saw("bad request", shelf=self.shelf.number, reason=str(error))
-            self.stream.write(last_words(error.status))
+            self.stream.write(closing_response(error.status))
             self.stream.close()
 
     def proceed(self) -> None:
-        while (request := self.codec.next()) is not None:
+        while (request := self.codec.next_request()) is not None:
             self.shelf.requested(self, request)
 
     def say(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
-        said, goes_on = self.codec.answer(status, headers, body)
+        said, goes_on = self.codec.respond(status, headers, body)
         self.stream.write(said)
         if not goes_on:
             self.stream.close()
-        elif self.codec.begun:
+        elif self.codec.partial:
             self.shelf.transport.soon(self.proceed)
 
     def answer(self, io: WebIo, completion: Completion) -> None:
@@ -75,7 +75,8 @@
             self.say(500, [], b"")
         elif (noise := self.shelf.noise()) is not None:
             if noise in self.shelf.noises[GOOD:]:
-                self.codec.answer(200, [], b"")  # it goes on; else it is of no more use, though it stays open
+                # It goes on; else it is of no more use, though it stays open.
+                self.codec.respond(200, [], b"")
             self.stream.write(noise(io))
             if noise is self.shelf.noises[ENDS]:
                 self.stream.close()
@@ -144,8 +145,8 @@
 
     def requested(self, connection: ShelfConnection, request: Request) -> None:
         try:
-            id = int((request.one(b"req-id") or b"").decode(), 16)
-            info = dict(part.split("=") for part in (request.one(b"io-info") or b"").decode().split(","))
+            id = int((request.header(b"req-id") or b"").decode(), 16)
+            info = dict(part.split("=") for part in (request.header(b"io-info") or b"").decode().split(","))
             volume, units, shard = int(info["volume"], 16), int(info["units"]), int(info["shard"])
             volume, blocks = self.volumes[volume].number, units * self.site.links.unit_bytes // BLOCK
         except (ValueError, KeyError) as error:
--- a/gorsethread/standins/web/clients.py
+++ b/gorsethread/standins/web/clients.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from gorsethread.http1.asking import Answer, Asking
-from gorsethread.http1.bounds import Spoilt
+from gorsethread.http1.client_codec import ClientCodec, Response
+from gorsethread.http1.framing import InvalidResponseError
 from gorsethread.nvme.command import Completion, Opcode, Status
 from gorsethread.nvme.subsystem import BLOCK
 from gorsethread.sitefile import site_pb2 as pb
@@ -24,7 +24,7 @@
 
     def __init__(self, link: "WebLink", stream: Stream) -> None:
         self.link, self.stream = link, stream
-        self.asking = Asking()
+        self.asking = ClientCodec()
         self.one: WebTry | None = None
         self.last: WebTry | None = None
         self.idle_since = 0.0
@@ -40,21 +40,21 @@
                     self._answered(answer)
         except StreamClosed as end:
             self._over(None, str(end) == "closed by peer")
-        except Spoilt as error:
+        except InvalidResponseError as error:
             self._over(str(error))
         finally:
             self.stream.close()
             self.link.open -= 1
 
-    def _answered(self, answer: Answer) -> None:
+    def _answered(self, answer: Response) -> None:
         one, self.one = self.one, None
         assert one is not None
         self.last, self.idle_since, self.used = one, self.link.transport.now(), True
-        if not answer.last:
+        if not answer.closes_connection:
             self.link.idle.append(self)
         else:
             self.stream.close()
-            if answer.one(b"connection") != b"close":
+            if answer.header(b"connection") != b"close":
                 self._more()
         one.answered(answer)
 
@@ -165,7 +165,7 @@
         else:
             client.recorder.saw("sent anew", label=t.label, attempt=self.attempt)
 
-    def answered(self, answer: Answer) -> None:
+    def answered(self, answer: Response) -> None:
         if self.over:
             return
         if answer.status == 200:
@@ -173,7 +173,7 @@
             told = 1 + int(shard) if shard.isdigit() else 0
             self.ended("honoured", Completion(0, dw0=told), answer.body)
         elif answer.status in (429, 503):
-            after = float(answer.one(b"retry-after") or 0.0)
+            after = float(answer.header(b"retry-after") or 0.0)
             self.ended("pushed back", Completion(0, Status.COMMAND_INTERRUPTED, dw1=round(after * 1000)), b"")
         else:
             self.ended("given up", Completion(0, Status.INTERNAL_ERROR, final=True), b"")
--- a/gorsethread/standins/web/discovery.py
+++ b/gorsethread/standins/web/discovery.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
-from gorsethread.http1.bounds import Unreadable
-from gorsethread.http1.serving import Serving
+from gorsethread.http1.framing import InvalidRequestError
+from gorsethread.http1.server_codec import ServerCodec
 from gorsethread.sitefile.reading import split_address
 from gorsethread.standins.nodelist import CHANGES_KEPT, NodeList, Register
 from gorsethread.standins.record import Fault
@@ -54,18 +54,18 @@
             self._numbers += 1
             number = self._numbers
             self._watches[number] = stream
-            codec = Serving()
+            codec = ServerCodec()
             try:
                 while True:
                     codec.feed(await stream.read())
-                    while (request := codec.next()) is not None:
+                    while (request := codec.next_request()) is not None:
                         status, body, told = await self._answer(request.target.decode(), head)
-                        stream.write(codec.answer(status, [], body)[0])
+                        stream.write(codec.respond(status, [], body)[0])
                         for c in told:
                             self.recorder.saw(
                                 "told", head=head, shelf=c.said.number, state=c.state, start=c.said.start
                             )
-            except (StreamClosed, Unreadable):
+            except (StreamClosed, InvalidRequestError):
                 pass
             finally:
                 self._watches.pop(number, None)
--- a/tests/live.py
+++ b/tests/live.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from gorsethread.http1.serving import Request, Serving
+from gorsethread.http1.server_codec import Request, ServerCodec
 from gorsethread.http_gateway.config import read_configuration
 from gorsethread.http_gateway.program import Gateway
 from gorsethread.logs import log_for, start_logs
@@ -77,11 +77,11 @@
 
     async def on_stream(self, stream: Stream) -> None:
         self.connections += 1
-        codec = Serving()
+        codec = ServerCodec()
         try:
             while True:
                 codec.feed(await stream.read())
-                while (request := codec.next()) is not None:
+                while (request := codec.next_request()) is not None:
                     self.seen.append(request)
                     await self.transport.sleep(self.delay)
                     for piece in self.says(request) or []:
@@ -91,7 +91,7 @@
                     if self.later:
                         await self.transport.sleep(0.02)
                         stream.write(self.later)
-                    codec.answer(200, [], b"")
+                    codec.respond(200, [], b"")
         except StreamClosed:
             self.ends += 1
 
@@ -127,19 +127,19 @@
         self._deaf, self._halves = self._numbers + more, halves
 
     async def on_stream(self, stream: Stream) -> None:
-        codec = Serving()
+        codec = ServerCodec()
         self._numbers += 1
         number = self._numbers
         try:
             while True:
                 codec.feed(await stream.read())
-                while (request := codec.next()) is not None:
+                while (request := codec.next_request()) is not None:
                     answer = await self.answer(request.target.decode())
                     if number > self._deaf:
                         stream.write(answer)
                     elif self._halves:
                         stream.write(answer[: len(answer) // 2])
-                    codec.answer(200, [], b"")
+                    codec.respond(200, [], b"")
         except StreamClosed:
             pass
 
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -7,9 +7,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gorsethread.http1.asking import Answer, Asking
-from gorsethread.http1.bounds import MOST_BODY, MOST_HELD, Spoilt, Unreadable
-from gorsethread.http1.serving import Request, Serving, last_words
+from gorsethread.http1.client_codec import ClientCodec, Response
+from gorsethread.http1.framing import (
+    READ_AHEAD_BYTES_MAX,
+    REQUEST_BODY_BYTES_MAX,
+    InvalidRequestError,
+    InvalidResponseError,
+)
+from gorsethread.http1.server_codec import Request, ServerCodec, closing_response
 
 PUT = (
     b"PUT /checkout/7f3a9c21e0b4d655?x=1 HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: 9b1f03aa5c7e2d41\r\n"
@@ -29,27 +34,27 @@
 
 class ServingSide(unittest.TestCase):
     def read(self, data: bytes) -> Request:
-        codec = Serving()
+        codec = ServerCodec()
         codec.feed(data)
-        request = codec.next()
+        request = codec.next_request()
         assert request is not None
         return request
 
     def refused(self, data: bytes, status: int) -> None:
-        codec = Serving()
-        with self.assertRaises(Unreadable) as caught:
+        codec = ServerCodec()
+        with self.assertRaises(InvalidRequestError) as caught:
             codec.feed(data)
-            self.assertIsNone(codec.next())
+            self.assertIsNone(codec.next_request())
         self.assertEqual(status, caught.exception.status, caught.exception)
 
     @given(CUTS)
     def test_requests_are_the_same_however_their_bytes_are_cut(self, cuts: list[int]) -> None:
-        codec, found = Serving(), []
+        codec, found = ServerCodec(), []
         for piece in pieces(PUT + GET + PUT, cuts):
             codec.feed(piece)
-            while (request := codec.next()) is not None:
+            while (request := codec.next_request()) is not None:
                 found.append((request.method, request.target, request.body))
-                said, goes_on = codec.answer(200, [], b"ok")
+                said, goes_on = codec.respond(200, [], b"ok")
                 self.assertTrue(goes_on)
                 self.assertTrue(said.startswith(b"HTTP/1.1 200 OK\r\n") and said.endswith(b"\r\n\r\nok"))
         put = (b"PUT", b"/checkout/7f3a9c21e0b4d655?x=1", b"hello")
@@ -57,13 +62,13 @@
         self.assertEqual([put, get, put], found)
 
     def test_what_is_sent_ahead_waits_its_turn_and_is_bounded(self) -> None:
-        codec = Serving()
+        codec = ServerCodec()
         codec.feed(PUT + GET)
-        self.assertIsNotNone(codec.next())
-        self.assertIsNone(codec.next(), "the first is open")
+        self.assertIsNotNone(codec.next_request())
+        self.assertIsNone(codec.next_request(), "the first is open")
         codec.feed(PUT)
-        with self.assertRaises(Unreadable):
-            codec.feed(b"x" * MOST_HELD)
+        with self.assertRaises(InvalidRequestError):
+            codec.feed(b"x" * READ_AHEAD_BYTES_MAX)
 
     def test_lengths_that_can_be_read_in_two_ways(self) -> None:
         line = b"PUT /a/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: a\r\n"
@@ -83,7 +88,7 @@
 
     def test_a_body_over_the_bound_is_refused_by_its_length_alone(self) -> None:
         self.refused(b"PUT /a/b HTTP/1.1\r\nHost: a\r\nContent-Length: 60000000\r\n\r\n", 413)
-        chunk = b"%x\r\n%s\r\n" % (MOST_BODY // 2, b"x" * (MOST_BODY // 2))
+        chunk = b"%x\r\n%s\r\n" % (REQUEST_BODY_BYTES_MAX // 2, b"x" * (REQUEST_BODY_BYTES_MAX // 2))
         self.refused(b"PUT /a/b HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk * 3, 413)
 
     def test_noise_and_heads_without_end(self) -> None:
@@ -96,34 +101,34 @@
         self.refused(b"CONNECT a:1 HTTP/1.1\r\nHost: a\r\n\r\n", 501)
         self.refused(b"GET /a HTTP/1.1\r\nHost: a\r\nConnection: Upgrade\r\nUpgrade: h2c\r\n\r\n", 501)
 
-    def test_last_words_are_an_answer(self) -> None:
+    def test_a_closing_response_is_one(self) -> None:
         client = h11.Connection(h11.CLIENT)
         client.send(h11.Request(method="GET", target="/", headers=[("Host", "a")]))
         client.send(h11.EndOfMessage())
-        client.receive_data(last_words(413))
+        client.receive_data(closing_response(413))
         answer = client.next_event()
         assert isinstance(answer, h11.Response)
         self.assertEqual(413, answer.status_code)
 
     @given(st.binary(max_size=300))
     def test_any_bytes_give_a_request_nothing_or_unreadable(self, data: bytes) -> None:
-        codec = Serving()
+        codec = ServerCodec()
         try:
             codec.feed(data)
-            codec.next()
-        except Unreadable as error:
+            codec.next_request()
+        except InvalidRequestError as error:
             self.assertTrue(400 <= error.status < 600)
 
 
 class AskingSide(unittest.TestCase):
-    def asked(self) -> Asking:
-        asking = Asking()
+    def asked(self) -> ClientCodec:
+        asking = ClientCodec()
         said = asking.request(b"PUT", b"/a/b", [(b"host", b"s")], b"hello")
         self.assertTrue(said.startswith(b"PUT /a/b HTTP/1.1\r\n") and said.endswith(b"\r\n\r\nhello"), said)
         return asking
 
     def spoilt(self, data: bytes) -> None:
-        with self.assertRaises(Spoilt):
+        with self.assertRaises(InvalidResponseError):
             asking = self.asked()
             for piece in pieces(data, list(range(0, len(data), 4096))):
                 self.assertIsNone(asking.feed(piece))
@@ -131,12 +136,12 @@
     @given(CUTS)
     def test_answers_are_the_same_however_their_bytes_are_cut(self, cuts: list[int]) -> None:
         asking = self.asked()
-        found: list[Answer] = []
+        found: list[Response] = []
         for piece in pieces(b"HTTP/1.1 103 Early\r\nX: y\r\n\r\n" * 2 + ANSWER, cuts):
             if (answer := asking.feed(piece)) is not None:
                 found.append(answer)
-        self.assertEqual([(200, b"data", False)], [(a.status, a.body, a.last) for a in found])
-        self.assertEqual(b"3", found[0].one(b"other-hosts"))
+        self.assertEqual([(200, b"data", False)], [(a.status, a.body, a.closes_connection) for a in found])
+        self.assertEqual(b"3", found[0].header(b"other-hosts"))
         asking.request(b"GET", b"/a/b", [(b"host", b"s")], b"")  # the connection goes on
         self.assertIsNotNone(asking.feed(ANSWER))
 
@@ -144,7 +149,7 @@
         for more in (ANSWER, b"\0\1\2", b"H"):
             answer = self.asked().feed(ANSWER + more)
             assert answer is not None
-            self.assertEqual((b"data", True), (answer.body, answer.last))
+            self.assertEqual((b"data", True), (answer.body, answer.closes_connection))
 
     def test_an_answer_of_hundreds_of_kilobytes_is_whole(self) -> None:
         body, asking = bytes(range(256)) * 1600, self.asked()
@@ -161,7 +166,7 @@
     def test_bytes_that_nobody_asked_for(self) -> None:
         asking = self.asked()
         self.assertIsNotNone(asking.feed(ANSWER))
-        with self.assertRaises(Spoilt):
+        with self.assertRaises(InvalidResponseError):
             asking.feed(b"H")
 
     def test_answers_that_are_none(self) -> None:
@@ -185,7 +190,7 @@
         self.assertIsNone(asking.feed(b" end"))
         answer = asking.ended()
         assert answer is not None
-        self.assertEqual((200, b"to the end", True), (answer.status, answer.body, answer.last))
+        self.assertEqual((200, b"to the end", True), (answer.status, answer.body, answer.closes_connection))
 
     def test_the_end_of_a_connection_makes_no_other_answer_whole(self) -> None:
         for data in (
@@ -202,5 +207,5 @@
 
     @given(st.binary(max_size=300))
     def test_any_bytes_give_an_answer_nothing_or_spoilt(self, data: bytes) -> None:
-        with contextlib.suppress(Spoilt):
+        with contextlib.suppress(InvalidResponseError):
             self.asked().feed(data)
--- a/tests/test_platform_backends.py
+++ b/tests/test_platform_backends.py
@@ -1,6 +1,6 @@
 """Connections to backends on the virtual clock: what is sent, kept, called off and told of each ending."""
 
-from gorsethread.http1.serving import Request
+from gorsethread.http1.server_codec import Request
 from gorsethread.transport.base import Stream
 from gorsethread.transport.virtual import Weather
 from tests.live import LiveRig as Rig
@@ -72,7 +72,7 @@
     def test_a_second_answer_or_noise_behind_one_reaches_nobody_else(self) -> None:
         async def work() -> None:
             self.start()
-            self.shelves[0].says = lambda r: [whole(200, r.one(b"req-id") or b"") * 2]
+            self.shelves[0].says = lambda r: [whole(200, r.header(b"req-id") or b"") * 2]
             for n in range(40, 46):
                 caller = await self.call(wish(str(n)))
                 self.assertEqual(f"{n:0>16}".encode(), caller.body)
--- a/tests/test_platform_clients.py
+++ b/tests/test_platform_clients.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from gorsethread.http1.serving import Request
+from gorsethread.http1.server_codec import Request
 from gorsethread.http_gateway.program import Gateway
 from tests.live import Caller, whole, wish
 from tests.live import LiveRig as Rig
@@ -22,8 +22,8 @@
             self.assertEqual((200, b"got /read/7f3a9c21e0b4d655"), (caller.status, caller.body))
             passed = self.shelves[1].seen[0]
             self.assertEqual((b"PUT", b"/post/7f3a9c21e0b4d655", body), passed[:2] + passed[3:])
-            self.assertEqual(b"00000000000000a1", passed.one(b"req-id"))
-            self.assertTrue(900 <= int(passed.one(b"req-deadline-ms") or 0) <= 1000)
+            self.assertEqual(b"00000000000000a1", passed.header(b"req-id"))
+            self.assertTrue(900 <= int(passed.header(b"req-deadline-ms") or 0) <= 1000)
             self.assertEqual(0.0, caller.ended_at)
 
         self.play(work)
@@ -77,7 +77,7 @@
             self.start()
             caller = await self.call(wish("e1") + wish("e2") + wish("e3"), 0.3)
             self.assertEqual(3, caller.got.count(b"HTTP/1.1 200"))
-            ids = [r.one(b"req-id") for r in self.shelves[0].seen]
+            ids = [r.header(b"req-id") for r in self.shelves[0].seen]
             self.assertEqual([b"00000000000000e1", b"00000000000000e2", b"00000000000000e3"], ids)
 
         self.play(work)
@@ -255,7 +255,7 @@
         honest = head.clients.requested
 
         def requested(connection: object, request: Request) -> None:
-            if request.one(b"x-bomb"):
+            if request.header(b"x-bomb"):
                 raise ZeroDivisionError
             honest(connection, request)  # type: ignore[arg-type]
 
