--- a/gorsethread/http_gateway/backend_connection.py
+++ b/gorsethread/http_gateway/backend_connection.py
@@ -3,8 +3,8 @@
 from typing import NamedTuple, Protocol
 
 from gorsethread.gateway.carrying import Attempt
-from gorsethread.http1.asking import Answer, Asking
-from gorsethread.http1.bounds import Headers
+from gorsethread.http1.client_codec import ClientCodec, Response
+from gorsethread.http1.framing import Headers
 from gorsethread.transport.base import Stream, StreamEnded, Timer
 
 DEADLINE_HEADER = b"req-deadline-ms"  # the operators' name: milliseconds that the client still waits
@@ -47,7 +47,7 @@
         self.link = link
         self.stream = stream
         self.over = False
-        self.codec = Asking()
+        self.codec = ClientCodec()
         self.attempt: Attempt | None = None
         self.idle_since = 0.0
         self.uses = 0
@@ -59,11 +59,11 @@
         headers = [(b"host", host), *outgoing.headers, (DEADLINE_HEADER, b"%d" % left)]
         self.stream.write(self.codec.request(outgoing.method, outgoing.target, headers, outgoing.body))
 
-    async def read(self) -> Answer | None:
+    async def read(self) -> Response | None:
         """Reads once and returns the answer where that completed it.
 
-        Raises StreamClosed where the connection ended without completing an answer, Spoilt where the bytes
-        are no answer.
+        Raises StreamClosed where the connection ended without completing an answer, InvalidResponseError
+        where the bytes are no answer.
         """
         try:
             data = await self.stream.read()
--- a/gorsethread/http_gateway/backend_link.py
+++ b/gorsethread/http_gateway/backend_link.py
@@ -8,8 +8,8 @@
 from collections import deque
 
 from gorsethread.gateway.carrying import NOTHING, Attempt, Told
-from gorsethread.http1.asking import Answer
-from gorsethread.http1.bounds import Spoilt
+from gorsethread.http1.client_codec import Response
+from gorsethread.http1.framing import InvalidResponseError
 from gorsethread.http_gateway.backend_connection import BackendConnection, OutgoingRequest
 from gorsethread.http_gateway.connection_pool import ConnectionPool
 from gorsethread.scheduling.model import AttemptOutcome
@@ -167,7 +167,7 @@
                     self._answered(connection, answer)
         except StreamClosed:
             self._connection_ended(connection)
-        except Spoilt as error:
+        except InvalidResponseError as error:
             self._answer_invalid(connection, str(error))
         self.pool.connection_freed()
 
@@ -202,7 +202,7 @@
             self.pool.invalid_answers[reason[:REASON_LENGTH_MOST]] += 1
             self.end(attempt, AttemptOutcome.ERROR)
 
-    def _answered(self, connection: BackendConnection, answer: Answer) -> None:
+    def _answered(self, connection: BackendConnection, answer: Response) -> None:
         attempt = connection.attempt
         connection.attempt = None
         assert attempt is not None
@@ -211,20 +211,20 @@
         now = self.transport.now()
         if connection.uses > 1:
             self.pool.trust.seen(False, now)
-        if answer.last or not self.pool.trust.holds(now):
+        if answer.closes_connection or not self.pool.trust.holds(now):
             self.lose(connection)
         else:
             self._keep_idle(connection)
         self._end_answered(attempt, answer)
         self.pool.connection_freed()
 
-    def _end_answered(self, attempt: Attempt, answer: Answer) -> None:
+    def _end_answered(self, attempt: Attempt, answer: Response) -> None:
         """Ends the attempt by what the backend answered."""
         if answer.status == 200:
-            elsewhere = parse_figure(answer.one(SERVED_ELSEWHERE_HEADER))
-            usage = parse_figure(answer.one(USAGE_HEADER))
+            elsewhere = parse_figure(answer.header(SERVED_ELSEWHERE_HEADER))
+            usage = parse_figure(answer.header(USAGE_HEADER))
             self.end(attempt, AttemptOutcome.SUCCEEDED, Told(answer.body, elsewhere, usage))
-        elif answer.status in (503, 504) and answer.one(DECLINED_HEADER) == b"1":
+        elif answer.status in (503, 504) and answer.header(DECLINED_HEADER) == b"1":
             self.end(attempt, AttemptOutcome.REJECTED)
         else:
             self.end(attempt, AttemptOutcome.ERROR)
--- a/gorsethread/http_gateway/client_connection.py
+++ b/gorsethread/http_gateway/client_connection.py
@@ -9,13 +9,15 @@
 from typing import Protocol
 
 from gorsethread.gateway.driver import Open
-from gorsethread.http1.bounds import MOST_HELD, Headers, Unreadable
-from gorsethread.http1.serving import Request, Serving, last_words
+from gorsethread.http1.framing import READ_AHEAD_BYTES_MAX, Headers, InvalidRequestError
+from gorsethread.http1.server_codec import Request, ServerCodec, closing_response
 from gorsethread.transport.base import READ_MOST, Stream, StreamClosed, Transport
 
 PAUSE_SECONDS = 0.25  # until a client whose request was invalid has its next one read
 RECHECK_SECONDS = 0.02  # until a client that was too far ahead, or reads no answers, is looked at again
-AHEAD_MOST = MOST_HELD - READ_MOST  # bytes behind an open request, beyond which no more is read for now
+AHEAD_MOST = (
+    READ_AHEAD_BYTES_MAX - READ_MOST
+)  # bytes behind an open request, beyond which no more is read for now
 UNSENT_MOST = 262_144  # bytes of answers that a client has not read, beyond which it gets no further one
 DROPPED_MOST = 262_144  # bytes that are read and dropped behind the end of this side
 REASON_LENGTH_MOST = 40  # characters of a reason that is counted
@@ -68,7 +70,7 @@
     def __init__(self, side: ConnectionOwner, stream: Stream, now: float) -> None:
         self.side = side
         self.stream = stream
-        self.codec = Serving()
+        self.codec = ServerCodec()
         self.open_request: Open | None = None
         self.request_id = b""
         self.since: float = now
@@ -105,25 +107,25 @@
         self.request_id = b""
         if self.over:
             return
-        data, goes_on = self.codec.answer(status, headers, body, last=self._is_last())
+        data, goes_on = self.codec.respond(status, headers, body, last=self._is_last())
         self.stream.write(data)
         self.since = self.side.transport.now()
         self.served = True
         if not goes_on:
             self.end()
-        elif self.codec.begun:
+        elif self.codec.partial:
             self.side.transport.soon(self.proceed)
 
     def _is_last(self) -> bool:
         """What has been read behind the request is owed an answer of its own, while there is time for it."""
         if not self.side.ending:
             return False
-        return self.side.late() or (not self.codec.ahead and self.stream.quiet())
+        return self.side.late() or (not self.codec.bytes_ahead and self.stream.quiet())
 
-    def refuse(self, error: Unreadable) -> None:
+    def refuse(self, error: InvalidRequestError) -> None:
         """Answers what can't be read as a request, or not any more, and ends the connection."""
         self.side.invalid_requests[str(error)[:REASON_LENGTH_MOST]] += 1
-        self.stream.write(last_words(error.status))
+        self.stream.write(closing_response(error.status))
         self.end()
 
     def end(self) -> None:
@@ -155,9 +157,9 @@
             pass
 
     def _received(self, data: bytes) -> None:
-        if not self.codec.ahead:  # else a request held since earlier would get a later deadline
+        if not self.codec.bytes_ahead:  # else a request held since earlier would get a later deadline
             self.arrived = self.side.transport.now()
-        if not self.codec.begun and not self.codec.open and self.served:
+        if not self.codec.partial and not self.codec.open and self.served:
             self.since = self.arrived
         self.codec.feed(data)
 
@@ -167,7 +169,7 @@
             return
         try:
             self._take_requests()
-        except Unreadable as error:
+        except InvalidRequestError as error:
             self.refuse(error)
         except Exception as error:
             # Also called by the loop, where an exception would end the program and all its requests.
@@ -175,14 +177,14 @@
 
     def _take_requests(self) -> None:
         while not self.over and not self.paused:
-            request = self.codec.next()
+            request = self.codec.next_request()
             if request is None:
                 break
             self.side.requested(self, request)
             if self._answers_unread():
                 return
         if not self.over and self.codec.awaits_continue:
-            self.stream.write(self.codec.continued())
+            self.stream.write(self.codec.continue_response())
 
     def _answers_unread(self) -> bool:
         """Whether the client reads no answers: they would add up in memory, so nothing more is taken."""
@@ -218,5 +220,5 @@
             self.proceed()
 
     def _is_ahead(self) -> bool:
-        far_ahead = self.codec.open and self.codec.ahead > AHEAD_MOST
+        far_ahead = self.codec.open and self.codec.bytes_ahead > AHEAD_MOST
         return self.paused or far_ahead or self.stream.unsent > UNSENT_MOST
--- a/gorsethread/http_gateway/client_side.py
+++ b/gorsethread/http_gateway/client_side.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from gorsethread.gateway.driver import Driver
-from gorsethread.http1.bounds import Unreadable
-from gorsethread.http1.serving import Request, last_words
+from gorsethread.http1.framing import InvalidRequestError
+from gorsethread.http1.server_codec import Request, closing_response
 from gorsethread.http_gateway.backend_connection import OutgoingRequest
 from gorsethread.http_gateway.client_connection import REASON_LENGTH_MOST, ClientConnection
 from gorsethread.http_gateway.configuration import RequestNames
@@ -81,7 +81,7 @@
         ended = next((one for one in self.connections if one.over and not one.stream.unsent), None)
         if ended is not None:
             return ended
-        free = [one for one in self.connections if not one.codec.open and not one.codec.begun]
+        free = [one for one in self.connections if not one.codec.open and not one.codec.partial]
         silent = next((one for one in free if not one.served and one.stream.quiet()), None)
         if silent is not None:
             return silent
@@ -115,7 +115,7 @@
         """An unexpected error met by one connection's bytes ends that connection alone."""
         self.log.exception("a connection failed", reason=repr(error))
         if not connection.over:
-            connection.stream.write(last_words(500))
+            connection.stream.write(closing_response(500))
         connection.end()
         self._left(connection)
 
@@ -129,8 +129,8 @@
         try:
             fields = parse_request(request, self.names)
             if fields.id in self.open:
-                raise Unreadable(409, "the id of an open request")
-        except Unreadable as error:
+                raise InvalidRequestError(409, "the id of an open request")
+        except InvalidRequestError as error:
             # The framing is intact, so the connection goes on, but its next request is read late.
             self.invalid_requests[str(error)[:REASON_LENGTH_MOST]] += 1
             connection.paused = True
@@ -171,9 +171,9 @@
                 self._close_ended(one, now)
             elif one.codec.open:
                 continue
-            elif one.codec.begun:
+            elif one.codec.partial:
                 if one.since <= now - COMPLETE_WITHIN_SECONDS:
-                    one.refuse(Unreadable(408, "a request that does not become complete"))
+                    one.refuse(InvalidRequestError(408, "a request that does not become complete"))
             elif (
                 one.since <= now - (idle_most if one.served else COMPLETE_WITHIN_SECONDS)
                 and one.stream.quiet()
@@ -199,9 +199,9 @@
                 self._close_ended(one, now)
             elif one.codec.open:
                 continue
-            elif one.codec.begun:
+            elif one.codec.partial:
                 if late:
-                    one.refuse(Unreadable(503, "a request not complete before the end"))
+                    one.refuse(InvalidRequestError(503, "a request not complete before the end"))
             elif late or (one.stream.quiet() and (one.served or one.since <= now - NEW_WITHIN_SECONDS)):
                 one.end()
 
--- a/gorsethread/http_gateway/discovery.py
+++ b/gorsethread/http_gateway/discovery.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from gorsethread.http1.asking import Answer, Asking
-from gorsethread.http1.bounds import Spoilt
+from gorsethread.http1.client_codec import ClientCodec, Response
+from gorsethread.http1.framing import InvalidResponseError
 from gorsethread.http_gateway.addresses import Address
 from gorsethread.http_gateway.endpoint_list import DiscoveryError, ListAnswer, decode_list
 from gorsethread.http_gateway.endpoint_updates import EndpointUpdates
@@ -24,9 +24,9 @@
 LOGGED_BACKENDS_MOST = 20
 
 
-async def read_answer(stream: Stream, codec: Asking) -> Answer:
+async def read_answer(stream: Stream, codec: ClientCodec) -> Response:
     """The answer to the request written on that stream, also one that ends with its connection."""
-    answer: Answer | None = None
+    answer: Response | None = None
     while answer is None:
         try:
             answer = codec.feed(await stream.read())
@@ -114,7 +114,7 @@
             self._moved = False
             try:
                 await self._watch()
-            except (Unreachable, StreamClosed, Spoilt, DiscoveryError) as error:
+            except (Unreachable, StreamClosed, InvalidResponseError, DiscoveryError) as error:
                 if self._moved:
                     continue
                 self._watch_failed(str(error))
@@ -139,7 +139,7 @@
         stream = await self._connect(address)
         self.log.info("endpoint list watch begins", since=self.version)
         self._answered = False
-        codec = Asking()
+        codec = ClientCodec()
         while not self.stopped and address == self.address:
             answer = await self._call(stream, codec, address)
             if address != self.address:
@@ -148,17 +148,17 @@
                 # A service that answers at once with nothing new must not be asked without a pause.
                 await self.transport.sleep(SPACING_SECONDS)
             self._call_began = self.transport.now()
-            if answer.last:
+            if answer.closes_connection:
                 stream.close()
                 stream = await self._connect(address)
-                codec = Asking()
+                codec = ClientCodec()
 
     async def _connect(self, address: Address) -> Stream:
         stream = await self.transport.connect(*address, CONNECT_TIMEOUT_SECONDS)
         self._stream = stream
         return stream
 
-    async def _call(self, stream: Stream, codec: Asking, address: Address) -> Answer:
+    async def _call(self, stream: Stream, codec: ClientCodec, address: Address) -> Response:
         host = f"{address[0]}:{address[1]}".encode()
         stream.write(codec.request(b"GET", self._target(), [(b"host", host)], b""))
         # A machine that vanished sends no end: the gateway would hear of no drain.
@@ -176,7 +176,7 @@
             return LIST_PATH
         return LIST_PATH + b"?since=%d&timeout_ms=%d" % (self.version, round(wait * 1000))
 
-    def _take(self, answer: Answer) -> bool:
+    def _take(self, answer: Response) -> bool:
         """Believes an answer and applies it; whether it brought a new version.
 
         Raises DiscoveryError where it can't be believed.
