--- a/gorsethread/faults/branchmutants.py
+++ b/gorsethread/faults/branchmutants.py
@@ -24,7 +24,7 @@
 
 def _landing(head: Head, change: Callable[[ReplayReceiver], None]) -> None:
     """Of the main site's heads."""
-    said: Any = head.holding.branch_said if head.holding is not None else None
+    said: Any = head.holding.on_branch_message if head.holding is not None else None
     if said is not None:
         change(said.__self__)
 
@@ -169,13 +169,13 @@
 def _any_stream(head: Head) -> None:
     if head.holding is not None:
         holding: Any = head.holding
-        honest = holding._put
+        honest = holding._on_put
 
         async def put(stream: Any, origin: int, m: Any) -> None:
-            holding.of(origin).by = stream
+            holding.replica_of(origin).stream = stream
             await honest(stream, origin, m)
 
-        holding._put = put
+        holding._on_put = put
 
 
 @mutant("main site: what is in effect is not known")
--- a/gorsethread/faults/branchworld.py
+++ b/gorsethread/faults/branchworld.py
@@ -6,7 +6,7 @@
 from gorsethread.faults.branches import Accepted, BranchClient, judge, on_disks
 from gorsethread.faults.recordsworld import RecordsWorld
 from gorsethread.faults.script import Act
-from gorsethread.nvme_gateway.replica_server import own_of
+from gorsethread.nvme_gateway.log_folders import own_log_folder
 from gorsethread.offline_writes.write_queue import Stage
 
 
@@ -51,7 +51,7 @@
             {
                 path.rpartition("/")[2]: bytes(data)
                 for path, data in self.disk.files.items()
-                if path.startswith(own_of(self.records_of(n), n) + "/")
+                if path.startswith(own_log_folder(self.records_of(n), n) + "/")
             }
             for n in self.heads
         ]
--- a/gorsethread/faults/recordsmutants.py
+++ b/gorsethread/faults/recordsmutants.py
@@ -40,8 +40,8 @@
 @mutant("records: nothing is kept of what is placed")
 def _nothing(head: Head) -> None:
     promises = _promises(head)
-    promises.placed = lambda place, shard, done: promises.transport.soon(  # type: ignore[method-assign]
-        lambda: done(True)
+    promises.placed = lambda extent, shard, on_durable: promises.transport.soon(  # type: ignore[method-assign]
+        lambda: on_durable(True)
     )
 
 
@@ -133,7 +133,7 @@
     async def keep(held: Any, m: replication_messages.Put) -> bool:
         return True
 
-    _holding(head)._keep = keep
+    _holding(head)._store_records = keep
 
 
 @mutant("copies: what is on its way counts as held")
@@ -153,28 +153,28 @@
 @mutant("copies: a holder keeps the first of each piece")
 def _first_only(head: Head) -> None:
     holding = _holding(head)
-    honest = holding._keep
+    honest = holding._store_records
 
     async def keep(held: Any, m: replication_messages.Put) -> bool:
         return bool(
             await honest(held, replication_messages.Put(m.incarnation, m.replaces_all, m.entries[:1], m.last))
         )
 
-    holding._keep = keep
+    holding._store_records = keep
 
 
 @mutant("copies: given back without the last")
 def _gives_less(head: Head) -> None:
     promises = _promises(head)
-    honest = promises._given
+    honest = promises._on_records
 
-    def given(other: int, got: RecordTable) -> None:
-        kept = sorted(got.records.values())[:-3]
+    def given(other: int, records: RecordTable) -> None:
+        kept = sorted(records.records.values())[:-3]
         less = RecordTable(kept)
-        less.last = got.last
+        less.last = records.last
         honest(other, less)
 
-    promises._given = given  # type: ignore[method-assign]
+    promises._on_records = given  # type: ignore[method-assign]
 
 
 @mutant("driver: sends before it is kept")
@@ -182,8 +182,10 @@
     promises = _promises(head)
     honest = promises.placed
 
-    def placed(place: Any, shard: int, done: Callable[[bool], None]) -> None:
-        promises.transport.soon(lambda: done(True))
-        promises.transport.at(promises.transport.now() + 0.5, lambda: honest(place, shard, lambda kept: None))
+    def placed(extent: Any, shard: int, on_durable: Callable[[bool], None]) -> None:
+        promises.transport.soon(lambda: on_durable(True))
+        promises.transport.at(
+            promises.transport.now() + 0.5, lambda: honest(extent, shard, lambda kept: None)
+        )
 
     promises.placed = placed  # type: ignore[method-assign]
--- a/gorsethread/faults/recordsworld.py
+++ b/gorsethread/faults/recordsworld.py
@@ -12,7 +12,7 @@
 from gorsethread.faults.script import Act, Script
 from gorsethread.faults.world import World
 from gorsethread.nvme.subsystem import BLOCK
-from gorsethread.nvme_gateway.replica_server import own_of
+from gorsethread.nvme_gateway.log_folders import own_log_folder
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.standins.client import LoadClient
 
@@ -109,7 +109,7 @@
                 },
             )
         elif act.kind == "rot":
-            own = own_of(self.records_of(head), head) + "/"
+            own = own_log_folder(self.records_of(head), head) + "/"
             names = sorted(
                 path for path in self.disk.files if path.startswith(own) and path.endswith(SEGMENT_SUFFIX)
             )
@@ -138,7 +138,7 @@
         for number, head in self.heads.items():
             p = head.promises
             if self.processes[f"head {number}"].alive and p is not None:
-                if p._waiting or p._unheld or head.driver.unkept:
+                if p.waiting or head.driver.unkept:
                     self._defect(f"left behind: head {number}: promises that nobody was told of")
                 if (after := p.retry_after()) > 0.0:
                     self._defect(
--- a/gorsethread/harness/branches.py
+++ b/gorsethread/harness/branches.py
@@ -9,7 +9,7 @@
 from gorsethread.faults.script import Script
 from gorsethread.harness import kept
 from gorsethread.harness.kept import KeptTrial
-from gorsethread.nvme_gateway.replica_server import own_of
+from gorsethread.nvme_gateway.log_folders import own_log_folder
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.witness.judge import Verdict
 
@@ -63,7 +63,7 @@
     def _disks(self) -> tuple[set[int], set[int]]:
         folders = []
         for h in self.site.head:
-            own = self.folder(h.number) / own_of("", h.number).lstrip("/")
+            own = self.folder(h.number) / own_log_folder("", h.number).lstrip("/")
             files = {}
             for path in own.glob("*") if own.exists() else ():
                 try:
--- a/gorsethread/harness/kept.py
+++ b/gorsethread/harness/kept.py
@@ -17,7 +17,7 @@
 from gorsethread.harness.cast import FOLDERS
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.site import SiteTrial
-from gorsethread.nvme_gateway.replica_server import own_of
+from gorsethread.nvme_gateway.log_folders import own_log_folder
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.standins.client import LoadClient
 from gorsethread.transport.real import RealTransport
@@ -102,7 +102,7 @@
             other.rename(mine)
             aside.rename(other)
         elif act.kind == "rot":
-            names = sorted(Path(own_of(str(mine), head)).glob(f"*{SEGMENT_SUFFIX}"))
+            names = sorted(Path(own_log_folder(str(mine), head)).glob(f"*{SEGMENT_SUFFIX}"))
             for path in names[-1:]:
                 path.write_bytes(rot(path.read_bytes()))
         else:
--- a/gorsethread/head/program.py
+++ b/gorsethread/head/program.py
@@ -114,8 +114,8 @@
             holding = self.holding
 
             def copy(origin: int) -> tuple[int, int]:
-                held = holding.of(origin)
-                return held.store.table.last if held.filled else NO_SEQUENCE
+                held = holding.replica_of(origin)
+                return held.store.table.last if held.up_to_date else NO_SEQUENCE
 
             branch = self.branch = self.clients.branch = OfflineWrites(
                 self.transport,
@@ -127,11 +127,11 @@
                 copy,
                 self.log,
             )
-            self.holding.asked = lambda asked: as_json(branch.answer(asked))
-            self.holding.kept = branch.heard_of
+            self.holding.answer_question = lambda asked: as_json(branch.answer(asked))
+            self.holding.on_records_stored = branch.heard_of
         else:
             side = ReplayReceiver(self.transport, self.site, self.promises, self.driver, placement, self.log)
-            self.holding.branch_said = side.took
+            self.holding.on_branch_message = side.took
 
     def start(self) -> None:
         """OSError where its address can't be had, InUse or Unusable where its records can't be."""
--- a/gorsethread/nvme_gateway/replica_server.py
+++ b/gorsethread/nvme_gateway/replica_server.py
@@ -1,6 +1,8 @@
-"""Carries what a head holds for others: copies of their records on its own disk, given back when asked. Who
-is shut out is decided by `durable_log/replication.py`. What branches' heads and operators say on the same
-port goes to whoever is there for it."""
+"""Holds replicas of other gateways' logs on this gateway's disk, and gives records back when asked.
+
+Which incarnation may write is decided by `durable_log/replication.py`. What branches' gateways and operators
+send to the same port is passed on.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -9,203 +11,250 @@
 from gorsethread.durable_log import replication_messages
 from gorsethread.durable_log.log_store import LogStore
 from gorsethread.durable_log.records import NO_SEQUENCE, Record, RecordTable, SequenceNumber, batches
-from gorsethread.durable_log.replication import BATCH_BYTES, BATCH_RECORDS, CATCH_UP_PAUSE, IncarnationFence
+from gorsethread.durable_log.replication import (
+    BATCH_BYTES,
+    BATCH_RECORDS,
+    CATCH_UP_PAUSE,
+    IncarnationFence,
+)
+from gorsethread.durable_log.replication_messages import ProtocolError
 from gorsethread.durable_log.segment_files import load_misplaced_records
 from gorsethread.errors import GorsethreadError
 from gorsethread.head.peers import fleet_of
+from gorsethread.nvme_gateway.log_folders import own_log_folder, replica_folder
 from gorsethread.offline_writes import messages as offline_messages
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.sitefile.reading import split_address
-from gorsethread.transport.base import Stream, StreamClosed, Transport
+from gorsethread.transport.base import Stream, StreamClosed, Timer, Transport
 
-STREAMS_MOST = 4  # a head: one to hold by, one that asks, and as many that have not ended yet
-HELLO_WITHIN = 3.0  # seconds
+MAX_STREAMS_PER_GATEWAY = 4  # one to replicate, one that polls, and as many that have not ended yet
+GREETING_TIMEOUT = 3.0  # seconds
 LOOPBACK = "127."  # operators ask on this machine only
+NO_GATEWAY = -1
 
 
-def own_of(folder: str, head: int) -> str:
-    """Under the head's name, so that of two heads whose folders were exchanged neither takes the other's."""
-    return f"{folder}/own-{head}"
+class Replica:
+    """One other gateway's log on this gateway's disk.
 
+    Attributes:
+        store: Its records.
+        complete: Nothing is known to be missing; of an incomplete replica everything is requested anew.
+        up_to_date: All that its owner had when it greeted is here.
+        lock: Held while a batch is stored, whatever streams there are.
+        stream: The latest that the owner greeted on; batches are accepted only from this one.
+    """
 
-def copies_of(folder: str, head: int) -> str:
-    return f"{folder}/copies/head-{head}"
+    def __init__(self, store: LogStore, complete: bool) -> None:
+        self.store = store
+        self.complete = complete
+        self.up_to_date = complete
+        self.lock = asyncio.Lock()
+        self.stream: Stream | None = None
 
 
-class Held:
-    """One other head's records here."""
+class _Session:
+    """One stream: who greeted on it, and the timer that ends it where nobody does."""
 
-    def __init__(self, store: LogStore, whole: bool) -> None:
-        self.store = store
-        # Of a copy with holes nobody knows what it lacks: it is asked for everything.
-        self.whole = whole
-        self.filled = whole  # all that its owner had as it greeted is here
-        self.turn = asyncio.Lock()  # one piece at a time, whatever streams there are
-        self.by: Stream | None = None  # the latest that its owner greeted on; only on that are pieces taken
+    def __init__(self, stream: Stream, greeting_timeout: Timer) -> None:
+        self.stream = stream
+        self.greeting_timeout = greeting_timeout
+        self.origin = NO_GATEWAY
+
+    def send(self, message: replication_messages.Message | offline_messages.Message) -> None:
+        self.stream.write(replication_messages.encode(message))
 
 
 class ReplicaServer:
+    """The replicas of other gateways, and the port where gateways and operators connect.
+
+    Its tables have one replica for each other gateway and MAX_STREAMS_PER_GATEWAY streams for each at most;
+    streams leave as they end, replicas with stop().
+
+    Attributes:
+        on_branch_message: At a gateway of the main site: hears what branches' gateways send.
+        answer_question: At a branch's gateway: answers an operator's question.
+        on_records_stored: Hears of another gateway's records as they are on this disk: whose, the records,
+            whether they replace all, and up to which number all is here.
+    """
+
     def __init__(
-        self, transport: Transport, site: pb.Site, head: int, folder: str, log: Any, listen: str = ""
+        self, transport: Transport, site: pb.Site, gateway: int, folder: str, log: Any, listen: str = ""
     ) -> None:
-        self.transport, self.folder, self.log, self.head = transport, folder, log, head
+        """Set up; listen: the address to use instead of the one of the site file."""
+        self.transport = transport
+        self.folder = folder
+        self.log = log
+        self.gateway = gateway
         self.fleet = fleet_of(site)
-        self.heads = {h.number for h in site.head}
-        mine = next((h.peers for h in site.head if h.number == head and site.records.copies), "")
-        self.address = split_address(listen or mine) if mine else None
-        self.keeping = IncarnationFence()
-        self.held: dict[int, Held] = {}  # as many as other heads
+        self.gateways = {one.number for one in site.head}
+        known = {one.number: one.peers for one in site.head} if site.records.copies else {}
+        by_site = known.get(gateway, "")
+        self.address = split_address(listen or by_site) if by_site else None
+        self.fence = IncarnationFence()
+        self.replicas: dict[int, Replica] = {}
         self._streams: set[Stream] = set()
-        self.branch_said: Callable[[Stream, Any], None] | None = None  # at a head of the main site
-        self.asked: Callable[[offline_messages.Question], bytes] | None = None  # at a branch's head
-        # Told of another head's records as they are on this disk: whose, begins anew, all up to that number.
-        self.kept: Callable[[int, list[Record], bool, SequenceNumber], None] = lambda *_: None
+        self.on_branch_message: Callable[[Stream, Any], None] | None = None
+        self.answer_question: Callable[[offline_messages.Question], bytes] | None = None
+        self.on_records_stored: Callable[[int, list[Record], bool, SequenceNumber], None] = lambda *_: None
 
     def start(self) -> None:
-        """OSError where its address can't be had."""
-        if self.address is not None:
-            most = STREAMS_MOST * len(self.heads)
-            self._listener = self.transport.listen(
-                *self.address, self._serve, lambda: len(self._streams) < most
-            )
+        """Listen; OSError where the address can't be had."""
+        if self.address is None:
+            return
+        max_streams = MAX_STREAMS_PER_GATEWAY * len(self.gateways)
+        self._listener = self.transport.listen(
+            *self.address, self._serve, lambda: len(self._streams) < max_streams
+        )
 
     def stop(self) -> None:
+        """Close the port, the replicas and all streams."""
         if self.address is not None:
             self._listener.close()
-        for held in self.held.values():
-            held.store.close()
+        for replica in self.replicas.values():
+            replica.store.close()
         for stream in list(self._streams):
             stream.close()
 
-    def of(self, origin: int) -> Held:
-        """InUse, Unusable, OSError where what is held of that head can't be read."""
-        held = self.held.get(origin)
-        if held is None:
-            store = LogStore(
-                self.transport, copies_of(self.folder, origin), self.fleet, origin, self.log, True
-            )
-            found = store.open()
-            # After an exchange of disks its own records stand here.
-            store.table.merge(
-                load_misplaced_records(self.transport, own_of(self.folder, origin), self.fleet, origin)
-            )
-            held = self.held[origin] = Held(store, found.complete)
-            self.keeping.greet(origin, found.newest[0])
-            self.kept(origin, store.table.in_order(), True, store.table.last)
-        return held
+    def replica_of(self, origin: int) -> Replica:
+        """Return the replica of a gateway's log, opened where it is not yet.
+
+        Raises:
+            FolderInUseError: Another process holds the folder.
+            UnusableSegmentError: The folder is another's, or of a later version.
+            OSError: It can't be read.
+        """
+        known = self.replicas.get(origin)
+        if known is not None:
+            return known
+        folder = replica_folder(self.folder, origin)
+        store = LogStore(self.transport, folder, self.fleet, origin, self.log, True)
+        found = store.open()
+        # After an exchange of disks the gateway's own records are here.
+        misplaced = own_log_folder(self.folder, origin)
+        store.table.merge(load_misplaced_records(self.transport, misplaced, self.fleet, origin))
+        replica = Replica(store, found.complete)
+        self.replicas[origin] = replica
+        self.fence.greet(origin, found.newest.incarnation)
+        self.on_records_stored(origin, store.table.in_order(), True, store.table.last)
+        return replica
+
+    # ---- streams
 
     async def _serve(self, stream: Stream) -> None:
         self._streams.add(stream)
-        reader, origin = replication_messages.MessageReader(offline_messages.DECODER), -1
-        # Guards against whoever connects and says nothing: it would hold a place that a head needs.
-        guard = self.transport.at(self.transport.now() + HELLO_WITHIN, stream.close)
+        reader = replication_messages.MessageReader(offline_messages.DECODER)
+        # Who connects and sends nothing would take up a stream that a gateway needs.
+        timeout = self.transport.at(self.transport.now() + GREETING_TIMEOUT, stream.close)
+        session = _Session(stream, timeout)
         try:
             while True:
-                for m in reader.take(await stream.read()):
-                    if isinstance(m, replication_messages.Hello):
-                        if m.fleet != self.fleet or m.gateway not in self.heads or m.gateway == self.head:
-                            raise replication_messages.ProtocolError(
-                                f"head {m.gateway} of fleet {m.fleet} is none of this fleet"
-                            )
-                        origin = m.gateway
-                        guard.cancel()
-                        self._greeted(stream, origin, m.incarnation)
-                    elif isinstance(m, offline_messages.Greet):
-                        if m.fleet != self.fleet or m.head not in self.heads:
-                            raise replication_messages.ProtocolError(
-                                f"head {m.head} of fleet {m.fleet} is none of this fleet"
-                            )
-                        origin = m.head
-                        guard.cancel()
-                    elif isinstance(m, offline_messages.Question):
-                        self._question(stream, m)
-                    elif origin < 0:
-                        raise replication_messages.ProtocolError("no hello came first")
-                    elif isinstance(m, replication_messages.Fetch):
-                        await self._give(stream, origin, m)
-                    elif isinstance(m, replication_messages.Put):
-                        await self._put(stream, origin, m)
-                    elif isinstance(m, offline_messages.OF_BRANCHES) and self.branch_said is not None:
-                        self.branch_said(stream, m)
+                for message in reader.take(await stream.read()):
+                    await self._on_message(session, message)
         except StreamClosed:
             pass
         except (GorsethreadError, OSError) as error:
-            self.log.error("no copy is held", of=origin, reason=str(error))
+            self.log.error("no replica is held", of=session.origin, reason=str(error))
         finally:
-            guard.cancel()
+            timeout.cancel()
             self._streams.discard(stream)
             stream.close()
 
-    def _question(self, stream: Stream, m: offline_messages.Question) -> None:
-        if not stream.peer.startswith(LOOPBACK) or m.fleet != self.fleet or self.asked is None:
-            raise replication_messages.ProtocolError("an operator's question that is not answered here")
-        stream.write(replication_messages.encode(offline_messages.Shown(self.asked(m))))
-
-    def _greeted(self, stream: Stream, origin: int, life: int) -> None:
-        held = self.of(origin)
-        latest = self.keeping.greet(origin, life)
-        last = held.store.table.last if held.whole else NO_SEQUENCE
-        if life >= latest:
-            held.by = stream
-        stream.write(
-            replication_messages.encode(
-                replication_messages.Over(latest)
-                if 0 < life < latest
-                else replication_messages.Have(latest, last)
-            )
-        )
+    async def _on_message(self, session: _Session, message: Any) -> None:
+        if isinstance(message, replication_messages.Hello):
+            if message.gateway == self.gateway:
+                raise self._foreign(message.gateway, message.fleet)
+            self._identify(session, message.gateway, message.fleet)
+            self._greeted(session, message.incarnation)
+        elif isinstance(message, offline_messages.Greet):
+            self._identify(session, message.head, message.fleet)
+        elif isinstance(message, offline_messages.Question):
+            self._on_question(session, message)
+        elif session.origin == NO_GATEWAY:
+            raise ProtocolError("no greeting came first")
+        elif isinstance(message, replication_messages.Fetch):
+            await self._on_fetch(session, message)
+        elif isinstance(message, replication_messages.Put):
+            await self._on_put(session.stream, session.origin, message)
+        elif isinstance(message, offline_messages.OF_BRANCHES) and self.on_branch_message is not None:
+            self.on_branch_message(session.stream, message)
+
+    def _identify(self, session: _Session, gateway: int, fleet: int) -> None:
+        if fleet != self.fleet or gateway not in self.gateways:
+            raise self._foreign(gateway, fleet)
+        session.origin = gateway
+        session.greeting_timeout.cancel()
+
+    def _foreign(self, gateway: int, fleet: int) -> ProtocolError:
+        return ProtocolError(f"gateway {gateway} of fleet {fleet} is none of this fleet")
+
+    def _on_question(self, session: _Session, question: offline_messages.Question) -> None:
+        is_local = session.stream.peer.startswith(LOOPBACK)
+        if not is_local or question.fleet != self.fleet or self.answer_question is None:
+            raise ProtocolError("an operator's question that is not answered here")
+        session.send(offline_messages.Shown(self.answer_question(question)))
 
-    async def _give(self, stream: Stream, origin: int, asked: replication_messages.Fetch) -> None:
-        later = list(
-            batches(self.of(origin).store.table.later_than(asked.after), BATCH_RECORDS, BATCH_BYTES)
-        ) or [[]]
-        for n, piece in enumerate(later, 1):
-            more = n < len(later)
-            stream.write(
-                replication_messages.encode(
-                    replication_messages.Give(replication_messages.to_entries(piece), more)
-                )
-            )
+    def _greeted(self, session: _Session, incarnation: int) -> None:
+        replica = self.replica_of(session.origin)
+        latest = self.fence.greet(session.origin, incarnation)
+        if incarnation >= latest:
+            replica.stream = session.stream
+        if 0 < incarnation < latest:
+            session.send(replication_messages.Over(latest))
+        else:
+            last = replica.store.table.last if replica.complete else NO_SEQUENCE
+            session.send(replication_messages.Have(latest, last))
+
+    async def _on_fetch(self, session: _Session, message: replication_messages.Fetch) -> None:
+        later = self.replica_of(session.origin).store.table.later_than(message.after)
+        parts = list(batches(later, BATCH_RECORDS, BATCH_BYTES)) or [[]]
+        for number, part in enumerate(parts, 1):
+            more = number < len(parts)
+            session.send(replication_messages.Give(replication_messages.to_entries(part), more))
             if more:
-                await stream.drained()
+                await session.stream.drained()
                 await self.transport.sleep(CATCH_UP_PAUSE)  # live work goes first
 
-    async def _put(self, stream: Stream, origin: int, m: replication_messages.Put) -> None:
-        held = self.of(origin)
-        async with held.turn:
-            # Guards against what a cut held on an earlier stream: a word on what has been taken back since,
-            # which is forgotten by now, would stand again.
-            if held.by is not stream:
+    # ---- storing
+
+    async def _on_put(self, stream: Stream, origin: int, message: replication_messages.Put) -> None:
+        replica = self.replica_of(origin)
+        async with replica.lock:
+            # On an earlier stream a cut may have held back records that were removed since, and whose removal
+            # is forgotten by now.
+            if replica.stream is not stream:
                 raise StreamClosed("greeted anew since")
-            if not self.keeping.accepts(origin, m.incarnation):
-                stream.write(
-                    replication_messages.encode(replication_messages.Over(self.keeping.latest[origin]))
-                )
-                return
-            kept = await self._keep(held, m)
-            if kept:
-                held.store.table.last = max(held.store.table.last, m.last)
-                held.filled = not m.more and (m.replaces_all or held.whole)
-                self.kept(origin, replication_messages.to_records(m.entries), m.replaces_all, m.last)
-            stream.write(
-                replication_messages.encode(
-                    replication_messages.Holds(m.last) if kept else replication_messages.Failed()
-                )
-            )
-
-    async def _keep(self, held: Held, m: replication_messages.Put) -> bool:
-        store, given = held.store, replication_messages.to_records(m.entries)
-        if m.replaces_all:
-            store.replace_contents(RecordTable(given))
-            held.whole = True
-        if m.replaces_all or not store.started or m.incarnation > store.incarnation:
-            await store.start_incarnation(m.incarnation)
-            if m.replaces_all:
+            answer: replication_messages.Message
+            if not self.fence.accepts(origin, message.incarnation):
+                answer = replication_messages.Over(self.fence.latest[origin])
+            elif await self._store_records(replica, message):
+                self._on_stored(replica, origin, message)
+                answer = replication_messages.Holds(message.last)
+            else:
+                answer = replication_messages.Failed()
+            stream.write(replication_messages.encode(answer))
+
+    def _on_stored(self, replica: Replica, origin: int, message: replication_messages.Put) -> None:
+        table = replica.store.table
+        table.last = max(table.last, message.last)
+        replica.up_to_date = not message.more and (message.replaces_all or replica.complete)
+        records = replication_messages.to_records(message.entries)
+        self.on_records_stored(origin, records, message.replaces_all, message.last)
+
+    async def _store_records(self, replica: Replica, message: replication_messages.Put) -> bool:
+        """Store records; return whether they are on the disk."""
+        store = replica.store
+        records = replication_messages.to_records(message.entries)
+        if message.replaces_all:
+            store.replace_contents(RecordTable(records))
+            replica.complete = True
+        if message.replaces_all or not store.started or message.incarnation > store.incarnation:
+            await store.start_incarnation(message.incarnation)
+            if message.replaces_all:
                 return True
-        if not given:
+        if not records:
             return True
-        told: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        for record in given[:-1]:
+        durable: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
+        for record in records[:-1]:
             store.add(record)
-        store.add(given[-1], told.set_result)
-        return await asyncio.shield(told)
+        store.add(records[-1], durable.set_result)
+        return await asyncio.shield(durable)
