--- a/gorsethread/http_gateway/client_connection.py
+++ b/gorsethread/http_gateway/client_connection.py
@@ -15,9 +15,8 @@
 
 PAUSE_SECONDS = 0.25  # until a client whose request was invalid has its next one read
 RECHECK_SECONDS = 0.02  # until a client that was too far ahead, or reads no answers, is looked at again
-AHEAD_MOST = (
-    READ_AHEAD_BYTES_MAX - READ_MOST
-)  # bytes behind an open request, beyond which no more is read for now
+# Bytes behind an open request, beyond which no more is read for now.
+AHEAD_MOST = READ_AHEAD_BYTES_MAX - READ_MOST
 UNSENT_MOST = 262_144  # bytes of answers that a client has not read, beyond which it gets no further one
 DROPPED_MOST = 262_144  # bytes that are read and dropped behind the end of this side
 REASON_LENGTH_MOST = 40  # characters of a reason that is counted
--- a/gorsethread/http_gateway/request_parsing.py
+++ b/gorsethread/http_gateway/request_parsing.py
@@ -46,7 +46,8 @@
 def parse_request(request: Request, names: RequestNames) -> RequestFields:
     """What a valid request says.
 
-    Raises InvalidRequestError, with the status to answer, for anything missing, doubled, unknown or out of bounds.
+    Raises InvalidRequestError, with the status to answer, for anything missing, doubled, unknown or out of
+    bounds.
     """
     request_class, key = _parse_target(request, names)
     request_id = _header(request, ID_HEADER)
