--- a/gorsethread/faults/branchmutants.py
+++ b/gorsethread/faults/branchmutants.py
@@ -7,44 +7,45 @@
 from gorsethread.faults.planting import kept_in
 from gorsethread.head.program import Head
 from gorsethread.nvme.command import Opcode
-from gorsethread.nvme_gateway.branching import OfflineWrites
 from gorsethread.nvme_gateway.replay_receiver import ReplayReceiver
 from gorsethread.nvme_gateway.replicated_log import ReplicatedLog
-from gorsethread.offline_writes.applied_writes import Answer, Landing
-from gorsethread.offline_writes.writes import Context
+from gorsethread.offline_writes.applied_writes import AppliedWrites, ReplayOutcome
+from gorsethread.offline_writes.messages import ReplayWrite
+from gorsethread.offline_writes.writes import ClientContext, WriteNumber
 
 BRANCH_MUTANTS: dict[str, Callable[[Head], None]] = {}
 mutant = kept_in(BRANCH_MUTANTS)
 
 
-def _branch(head: Head) -> Any:
-    """A branch's side, whose methods may be exchanged; a stand-in for other heads, which nobody asks."""
-    return head.branch if head.branch is not None else OfflineWrites.__new__(OfflineWrites)
+def _of_branch(head: Head, change: Callable[[Any], None]) -> None:
+    """Of a branch's heads: its side, whose methods may be exchanged."""
+    if head.branch is not None:
+        change(head.branch)
 
 
-def _landing(head: Head, change: Callable[[ReplayReceiver], None]) -> None:
+def _at_main_site(head: Head, change: Callable[[ReplayReceiver], None]) -> None:
     """Of the main site's heads."""
     said: Any = head.holding.branch_said if head.holding is not None else None
     if said is not None:
         change(said.__self__)
 
 
-def _core(head: Head, change: Callable[[Landing], None]) -> None:
+def _core(head: Head, change: Callable[[AppliedWrites], None]) -> None:
     """Changes what a main site's head knows of branches' writes, as it is made."""
 
     def on(side: ReplayReceiver) -> None:
-        honest = side._known
+        honest = side._known_writes
 
-        def known() -> Landing | None:
-            made = side.landing is None
-            landing = honest()
-            if landing is not None and made:
-                change(landing)
-            return landing
+        def known() -> AppliedWrites | None:
+            made = side._applied_writes is None
+            applied_writes = honest()
+            if applied_writes is not None and made:
+                change(applied_writes)
+            return applied_writes
 
-        side._known = known  # type: ignore[method-assign]
+        side._known_writes = known  # type: ignore[method-assign]
 
-    _landing(head, on)
+    _at_main_site(head, on)
 
 
 def _keeps(head: Head, changed: Callable[[ReplicatedLog, Any], Any]) -> None:
@@ -80,14 +81,12 @@
 
 @mutant("branch: replayed in order of acceptance alone")
 def _no_causes(head: Head) -> None:
-    branch = _branch(head)
-    if head.branch is not None:
-        branch.queue._free = lambda write: True
+    _of_branch(head, lambda branch: setattr(branch.queue, "_dependencies_finished", lambda write: True))
 
 
 @mutant("branch: the queue goes with its process")
 def _forgets(head: Head) -> None:
-    _branch(head)._recover = lambda unsure: None
+    _of_branch(head, lambda branch: setattr(branch._recovery, "recover", lambda in_doubt: None))
 
 
 @mutant("branch: what is given up stays on the disks")
@@ -97,7 +96,7 @@
             if (
                 isinstance(fact, Tombstone)
                 and done is not None
-                and getattr(done, "__name__", "") == "taken_back"
+                and getattr(done, "__name__", "") == "withdrawn"
             ):
                 promises.transport.soon(lambda: done(True))
             else:
@@ -110,51 +109,58 @@
 
 @mutant("branch: reads do not see what is queued")
 def _blind(head: Head) -> None:
-    branch = _branch(head)
-    honest = branch.takes
-    branch.takes = lambda io, waiting, volume, extent, data: io.command.opcode != Opcode.READ and honest(
-        io, waiting, volume, extent, data
-    )
+    def on(branch: Any) -> None:
+        honest = branch.admit
+        branch.admit = lambda io, waiting, extent, data: io.command.opcode != Opcode.READ and honest(
+            io, waiting, extent, data
+        )
+
+    _of_branch(head, on)
 
 
 @mutant("branch: live writes overtake what is queued")
 def _overtakes(head: Head) -> None:
-    branch = _branch(head)
-    honest = branch.takes
-    branch.takes = lambda io, waiting, volume, extent, data: (
-        branch.link.queues or io.command.opcode == Opcode.READ
-    ) and honest(io, waiting, volume, extent, data)
+    def on(branch: Any) -> None:
+        honest = branch.admit
+        branch.admit = lambda io, waiting, extent, data: (
+            branch.link.queueing or io.command.opcode == Opcode.READ
+        ) and honest(io, waiting, extent, data)
+
+    _of_branch(head, on)
 
 
 @mutant("branch: once cut off, always cut off")
 def _never_back(head: Head) -> None:
-    if head.branch is not None:
-        head.branch.link._first = float("inf")
-        link: Any = head.branch.link
-        link.heard = lambda now: None if link.queues else setattr(link, "_heard", now)
+    def on(branch: Any) -> None:
+        link = branch.link
+        link._answers_since = float("inf")
+        link.answer_received = lambda now: None if link.queueing else setattr(link, "_last_answer", now)
+
+    _of_branch(head, on)
 
 
 @mutant("branch: what the other head took is no cause")
 def _own_only(head: Head) -> None:
-    branch = _branch(head)
-    if head.branch is not None:
-        honest = branch._hold
+    def on(branch: Any) -> None:
+        admission = branch._admission
+        honest = admission._enqueue
 
-        def hold(io: Any, waiting: Any, key: str, data: bytes, before: Any) -> None:
-            honest(io, waiting, key, data, {n for n in before if n.branch == branch.head})
+        def enqueue(request: Any, dependencies: Any) -> None:
+            honest(request, {n for n in dependencies if n.gateway == branch.settings.gateway})
 
-        branch._hold = hold
+        admission._enqueue = enqueue
+
+    _of_branch(head, on)
 
 
 @mutant("branch: what the other head has queued is taken for over")
 def _not_waited_for(head: Head) -> None:
-    if head.branch is not None:
-        head.branch.queue.beyond = lambda number: True
+    _of_branch(head, lambda branch: setattr(branch.queue, "_is_other_finished", lambda number: True))
 
 
 @mutant("branch: a client that comes again is not known")
 def _no_context(head: Head) -> None:
-    _branch(head)._context = lambda host: Context()
+    _of_branch(head, lambda branch: setattr(branch._contexts, "current", lambda host: ClientContext()))
 
 
 @mutant("branch: the mark is past what waits")
@@ -162,7 +168,7 @@
     if head.branch is not None:
         queue = head.branch.queue
         kind = type(queue)
-        queue.__class__ = type("Planted", (kind,), {"mark": property(lambda q: q.last)})
+        queue.__class__ = type("Planted", (kind,), {"completed_up_to": property(lambda q: q._last_position)})
 
 
 @mutant("branch: copies come on any stream")
@@ -180,7 +186,7 @@
 
 @mutant("main site: what is in effect is not known")
 def _effects_forgotten(head: Head) -> None:
-    _core(head, lambda landing: setattr(landing, "_over", lambda of, place: False))
+    _core(head, lambda applied: setattr(applied, "_is_applied", lambda known, position: False))
 
 
 @mutant("main site: what was begun is not known after a restart")
@@ -200,13 +206,14 @@
 @mutant("main site: told as in effect as it comes")
 def _told_early(head: Head) -> None:
     def on(side: ReplayReceiver) -> None:
-        honest = side._look
+        honest = side._execute
 
-        def look(m: Any) -> None:
-            for stream, sending in side._waiters.pop(m.number, ()):
-                side._tell(stream, m.number, Answer.IN_EFFECT, sending)
-            honest(m)
+        def execute(message: ReplayWrite) -> None:
+            number = WriteNumber(*message.number)
+            for waiter in side._waiters.pop(number, ()):
+                side._reply(waiter.stream, number, ReplayOutcome.APPLIED, waiter.send_token)
+            honest(message)
 
-        side._look = look  # type: ignore[method-assign]
+        side._execute = execute  # type: ignore[method-assign]
 
-    _landing(head, on)
+    _at_main_site(head, on)
--- a/gorsethread/faults/branchworld.py
+++ b/gorsethread/faults/branchworld.py
@@ -7,7 +7,6 @@
 from gorsethread.faults.recordsworld import RecordsWorld
 from gorsethread.faults.script import Act
 from gorsethread.nvme_gateway.replica_server import own_of
-from gorsethread.offline_writes.write_queue import Stage
 
 
 class BranchWorld(RecordsWorld):
@@ -39,10 +38,10 @@
     def _unsettled(self) -> int:
         """Accepted writes that are neither in effect nor parked."""
         return sum(
-            h.stage is not Stage.PARKED
+            not queued.is_dead_lettered
             for head in self.heads.values()
             if head.branch
-            for h in head.branch.queue.held.values()
+            for queued in head.branch.queue
         )
 
     def _check_rest(self) -> None:
@@ -69,7 +68,8 @@
             b = head.branch
             if b is None or not self.processes[f"head {number}"].alive:
                 continue
-            if b._taking or self._unsettled():
-                self._defect(f"not replayed: head {number}: {len(b.queue.held)} writes, {b.link.state.value}")
-            if set(b.shadow._writes) - set(b.queue.held) - set(b.mate.writes):
+            if b.pending_admissions or self._unsettled():
+                self._defect(f"not replayed: head {number}: {len(b.queue)} writes, {b.link.state.value}")
+            queued = {each.write.number for each in b.queue}
+            if b.block_view.numbers() - queued - set(b.standby_writes.numbers()):
                 self._defect(f"left behind: head {number}: bytes of writes that are over")
--- a/gorsethread/harness/site.py
+++ b/gorsethread/harness/site.py
@@ -50,8 +50,10 @@
     """Who called a head for records, or the list, by its first bytes."""
     with contextlib.suppress(replication_messages.ProtocolError):
         for m in replication_messages.MessageReader(offline_messages.DECODER).take(first):
-            if isinstance(m, replication_messages.Hello | offline_messages.Greet):
+            if isinstance(m, replication_messages.Hello):
                 return f"head {m.head}"
+            if isinstance(m, offline_messages.BranchHello):
+                return f"head {m.gateway}"
     with contextlib.suppress(msgspec.DecodeError):
         ask: Ask = msgspec.json.decode(first.splitlines()[0], type=Ask)
         return f"head {ask.head}"
--- a/gorsethread/head/clients.py
+++ b/gorsethread/head/clients.py
@@ -44,7 +44,9 @@
     def succeeded(self, shard: int, data: bytes) -> None:
         self.taken = None  # see Connection.answer
         if self.side.branch is not None:
-            self.side.branch.saw(self.io.command.nsid, self.io.command.first_block, self.data or data)
+            self.side.branch.blocks_observed(
+                self.io.command.nsid, self.io.command.first_block, self.data or data
+            )
         self.io.answer(Completion(0, dw0=shard + 1), data)
 
     def served(self, shard: int, data: bytes) -> None:
@@ -108,7 +110,7 @@
         self._shards = {s.shard for s in site.shelf}
         self.draining = False
         self.keeper: Keeper | None = None  # where what is placed is to last
-        self.branch: Any = None  # of a branch's head: gorsethread/nvme_gateway/branching.py
+        self.branch: Any = None  # of a branch's head: gorsethread/nvme_gateway/offline/offline_writes.py
 
     def announced(self, io: IoCommand) -> None:
         command = io.command
@@ -137,7 +139,7 @@
         volume = self._volumes[command.nsid]
         extent = command.first_block // volume.extent_blocks
         if self.branch is not None:
-            if self.branch.takes(io, waiting, volume.number, extent, data):
+            if self.branch.admit(io, waiting, extent, data):
                 return
             waiting.data = data
         shard = self.placement.shard_of(volume.number, extent)
@@ -186,4 +188,4 @@
         if waiting.taken is not None:
             self.driver.client_left(waiting.taken)
         elif self.branch is not None:
-            self.branch.left(waiting)
+            self.branch.client_left(waiting)
--- a/gorsethread/head/links.py
+++ b/gorsethread/head/links.py
@@ -90,7 +90,7 @@
                 self.connecting = False
                 return
         if self.signs is not None:
-            self.signs.asked()
+            self.signs.request_sent()
         try:
             association = await dial(
                 self.transport,
@@ -140,7 +140,7 @@
             return
         order: Order = f.payload
         if self.signs is not None:
-            self.signs.asked()
+            self.signs.request_sent()
         f.cid = queue.submit(
             order.command, lambda done, data: self._done(f, done, data), order.data, order.read
         )
@@ -149,7 +149,7 @@
     def _done(self, f: Attempt, completion: Completion, data: bytes) -> None:
         self.out.pop(f.cid, None)
         if self.signs is not None:
-            self.signs.heard()
+            self.signs.answer_received()
         elsewhere, usage, service = told_service(completion)
         if completion.pushed_back:
             how = AttemptOutcome.REJECTED
--- a/gorsethread/head/program.py
+++ b/gorsethread/head/program.py
@@ -16,7 +16,8 @@
 from gorsethread.head.placement import SitePlacement
 from gorsethread.nvme.command import Opcode
 from gorsethread.nvme.subsystem import Subsystem
-from gorsethread.nvme_gateway.branching import OfflineWrites, as_json
+from gorsethread.nvme_gateway.offline.offline_writes import OfflineWrites
+from gorsethread.nvme_gateway.offline.operator_queries import as_json
 from gorsethread.nvme_gateway.replay_receiver import ReplayReceiver
 from gorsethread.nvme_gateway.replica_server import ReplicaServer
 from gorsethread.nvme_gateway.replicated_log import ReplicatedLog
@@ -128,10 +129,10 @@
                 self.log,
             )
             self.holding.asked = lambda asked: as_json(branch.answer(asked))
-            self.holding.kept = branch.heard_of
+            self.holding.kept = branch.records_stored
         else:
             side = ReplayReceiver(self.transport, self.site, self.promises, self.driver, placement, self.log)
-            self.holding.branch_said = side.took
+            self.holding.branch_said = side.message_received
 
     def start(self) -> None:
         """OSError where its address can't be had, InUse or Unusable where its records can't be."""
--- a/gorsethread/lab/asking.py
+++ b/gorsethread/lab/asking.py
@@ -82,10 +82,10 @@
     guard = transport.at(transport.now() + within, stream.close)
     reader = MessageReader(offline_messages.DECODER)
     try:
-        stream.write(encode(offline_messages.Question(fleet, what, number)))
+        stream.write(encode(offline_messages.OperatorQuery(fleet, what, number)))
         while True:
             for m in reader.take(await stream.read()):
-                if isinstance(m, offline_messages.Shown):
+                if isinstance(m, offline_messages.OperatorReply):
                     shown: dict[str, Any] = msgspec.json.decode(m.json)
                     return shown
     except (StreamClosed, ProtocolError) as error:
--- /dev/null
+++ b/gorsethread/nvme_gateway/offline/change_history.py
@@ -0,0 +1,47 @@
+"""What changed at a branch's gateway, for people: the last changes and counters."""
+
+from collections import Counter, deque
+from typing import Any
+
+from gorsethread.offline_writes.writes import WriteNumber
+from gorsethread.transport.base import Transport
+
+MAX_CHANGES = 1000  # remembered; the oldest are dropped first
+WALL_CLOCK_DIGITS = 3
+
+
+class ChangeHistory:
+    """Owns the last MAX_CHANGES changes, and counters, as many as there are kinds of events."""
+
+    def __init__(self, transport: Transport, logger: Any) -> None:
+        self._transport = transport
+        self._logger = logger
+        self._changes: deque[dict[str, Any]] = deque(maxlen=MAX_CHANGES)
+        self._counts: Counter[str] = Counter()
+
+    def note(self, what: str, number: WriteNumber | None, text: str = "") -> None:
+        """Remembers a change; one that concerns no single write is logged too."""
+        if number is None:
+            self._logger.info("branch", what=what, text=text)
+        self._changes.append(
+            {
+                "at": round(self._transport.wall(), WALL_CLOCK_DIGITS),
+                "what": what,
+                "number": list(number) if number is not None else None,
+                "text": text,
+            }
+        )
+
+    def count(self, event: str) -> None:
+        """Counts an event."""
+        self._counts[event] += 1
+
+    @property
+    def changes(self) -> list[dict[str, Any]]:
+        """The changes, the oldest first, as `gorsethread branch history` prints them."""
+        return list(self._changes)
+
+    @property
+    def counts(self) -> Counter[str]:
+        """How often each event was counted."""
+        return Counter(self._counts)
--- /dev/null
+++ b/gorsethread/nvme_gateway/offline/replay.py
@@ -0,0 +1,289 @@
+"""Sends queued writes to the main site's gateways, in causal order, and acts on their answers."""
+
+from collections.abc import Callable
+from typing import Any, NamedTuple
+
+from gorsethread.durable_log.replication_messages import ProtocolError
+from gorsethread.gateway.carrying import Place
+from gorsethread.nvme_gateway.offline.block_view import BlockView
+from gorsethread.nvme_gateway.offline.branch_settings import BranchSettings
+from gorsethread.nvme_gateway.offline.change_history import ChangeHistory
+from gorsethread.nvme_gateway.offline.dead_letters import DeadLetters
+from gorsethread.nvme_gateway.offline.queue_persistence import QueuePersistence
+from gorsethread.nvme_gateway.offline.replay_sources import ReplaySource, ReplaySources
+from gorsethread.nvme_gateway.offline.site_connections import SiteConnections
+from gorsethread.nvme_gateway.offline.standby_writes import StandbyWrites
+from gorsethread.offline_writes.admission import RETRY_AFTER_PENDING
+from gorsethread.offline_writes.applied_writes import ReplayOutcome
+from gorsethread.offline_writes.epoch_fence import EpochFence
+from gorsethread.offline_writes.link_monitor import LinkMonitor
+from gorsethread.offline_writes.messages import ReplayReply, ReplayWrite, StatusQuery
+from gorsethread.offline_writes.queued_write import QueuedWrite, WriteStage
+from gorsethread.offline_writes.replay_window import ReplayWindow
+from gorsethread.offline_writes.writes import Write, WriteNumber
+from gorsethread.transport.base import Transport
+
+
+class ReceivedReply(NamedTuple):
+    """A reply about a write that is queued, and the gateway of the main site that sent it."""
+
+    source: ReplaySource
+    queued: QueuedWrite
+    gateway: int
+    reply: ReplayReply
+
+    @property
+    def number(self) -> WriteNumber:
+        """Of the write."""
+        return self.queued.write.number
+
+
+class Replay:
+    """Drives the replay of the sources' queues; owns the window, and shares the fence with the sources.
+
+    Args:
+        transport: Tells the time.
+        settings: Of this branch.
+        link: Nothing is replayed unless it is connected.
+        fence: Of the own epoch.
+        sources: The queues that this gateway replays.
+        connections: To the main site's gateways.
+        persistence: Records an own write as sent before it goes.
+        standby_writes: Those of the branch's other gateway.
+        block_view: Shows applied writes no more.
+        dead_letters: Where writes that a person must decide on go.
+        history: For people.
+        alive_gateways: Those that the membership does not hold dead.
+        has_open_write: Whether a forwarded write of that place is still open here.
+        logger: Warned as this gateway is fenced.
+    """
+
+    def __init__(
+        self,
+        transport: Transport,
+        settings: BranchSettings,
+        link: LinkMonitor,
+        fence: EpochFence,
+        sources: ReplaySources,
+        connections: SiteConnections,
+        persistence: QueuePersistence,
+        standby_writes: StandbyWrites,
+        block_view: BlockView,
+        dead_letters: DeadLetters,
+        history: ChangeHistory,
+        alive_gateways: Callable[[], list[int]],
+        has_open_write: Callable[[Place], bool],
+        logger: Any,
+    ) -> None:
+        self._transport = transport
+        self._settings = settings
+        self._link = link
+        self._fence = fence
+        self._sources = sources
+        self._connections = connections
+        self._persistence = persistence
+        self._standby_writes = standby_writes
+        self._block_view = block_view
+        self._dead_letters = dead_letters
+        self._history = history
+        self._alive_gateways = alive_gateways
+        self._has_open_write = has_open_write
+        self._logger = logger
+        self._window = ReplayWindow()
+        self._stopped = False
+        self._handlers: dict[ReplayOutcome, Callable[[ReceivedReply], None]] = {
+            ReplayOutcome.APPLIED: self._on_applied,
+            ReplayOutcome.NOT_APPLIED: self._on_not_applied,
+            ReplayOutcome.UNKNOWN: self._on_unknown,
+            ReplayOutcome.RETRY: self._on_retry,
+            ReplayOutcome.STALE_TOKEN: self._on_stale_token,
+            ReplayOutcome.CONFLICT: self._on_conflict,
+            ReplayOutcome.FENCED: self._on_fenced,
+        }
+
+    @property
+    def window_size(self) -> int:
+        """Writes that may be under way at once."""
+        return self._window.size
+
+    def stop(self) -> None:
+        """Sends no more."""
+        self._stopped = True
+
+    # ---- Sending
+
+    def advance(self) -> None:
+        """Sends, or queries, what may go now."""
+        now = self._transport.now()
+        if self._link.queueing or not self._persistence.is_ready or self._stopped:
+            return
+        for source in self._sources.all():
+            if source.gateway == self._settings.gateway and self._fence.is_fenced(now):
+                self._check_fence(now)
+            else:
+                self._advance_source(source, now)
+
+    def _advance_source(self, source: ReplaySource, now: float) -> None:
+        source.queue.window = self._window.size
+        for number, query_first in source.queue.ready(now):
+            queued = source.queue.get(number)
+            if queued is None:
+                continue
+            if query_first:
+                self._query(source, queued, now)
+            elif not self._has_open_write(self._place_of(queued.write)):
+                # A forwarded write of that place that is still open was there first.
+                self._send(source, queued, now)
+
+    def _place_of(self, write: Write) -> Place:
+        return write.volume, write.block // self._settings.volumes[write.volume].extent_blocks
+
+    def _query(self, source: ReplaySource, queued: QueuedWrite, now: float) -> None:
+        """Of all that may have run it one after the other, whoever can be reached first."""
+        number = queued.write.number
+        for gateway in queued.suspects:
+            self._connections.keep_open(gateway, now)
+            if self._connections.is_open(gateway):
+                source.queue.queried(number, now)
+                request_class = self._persistence.record_of(number).profile
+                self._connections.send(gateway, StatusQuery(number, source.epoch, request_class))
+                return
+        source.queue.unanswered(number, now)
+
+    def _send(self, source: ReplaySource, queued: QueuedWrite, now: float) -> None:
+        number = queued.write.number
+        alive = set(self._alive_gateways())
+        primaries = self._settings.volumes[queued.write.volume].primaries
+        for gateway in sorted(primaries, key=lambda primary: primary not in alive):
+            self._connections.keep_open(gateway, now)
+            if self._connections.is_open(gateway):
+                self._send_to(source, queued, gateway, number, now)
+                return
+
+    def _send_to(
+        self, source: ReplaySource, queued: QueuedWrite, gateway: int, number: WriteNumber, now: float
+    ) -> None:
+        source.queue.sent(number, gateway, now)
+        if number.gateway != self._settings.gateway:
+            self._transmit(source, queued, gateway)
+            return
+
+        def persisted(stored: bool) -> None:
+            if not self._is_still_sent(source, queued):
+                return
+            if stored:
+                self._transmit(source, queued, gateway)
+            else:
+                self._defer(source, queued, gateway)
+
+        # On disk before it goes: what is sent and not answered is unknown after a crash.
+        self._persistence.persist_progress_then(number, persisted)
+
+    def _is_still_sent(self, source: ReplaySource, queued: QueuedWrite) -> bool:
+        return queued.stage is WriteStage.SENT and source.queue.get(queued.write.number) is queued
+
+    def _defer(self, source: ReplaySource, queued: QueuedWrite, gateway: int) -> None:
+        not_before = self._transport.now() + RETRY_AFTER_PENDING
+        source.queue.rejected(queued.write.number, queued.send_token(gateway), not_before)
+
+    def _transmit(self, source: ReplaySource, queued: QueuedWrite, gateway: int) -> None:
+        if not self._connections.is_open(gateway):
+            self._defer(source, queued, gateway)
+            return
+        number = queued.write.number
+        record = self._persistence.record_of(number)
+        self._connections.send(
+            gateway,
+            ReplayWrite(
+                number=number,
+                epoch=source.epoch,
+                send_token=queued.send_token(gateway),
+                request_class=record.profile,
+                volume=record.volume,
+                block=record.block,
+                hints=record.hints,
+                idempotency_key=record.label,
+                attempt=record.attempt,
+                base_version=record.base if queued.write.stops_on_conflict else 0,
+                forced=queued.forced,
+                data=record.data,
+            ),
+        )
+
+    # ---- Answers
+
+    def reply_received(self, gateway: int, reply: ReplayReply) -> None:
+        """A gateway of the main site answered; ProtocolError where the outcome is none."""
+        try:
+            outcome = ReplayOutcome(reply.outcome)
+        except ValueError:
+            raise ProtocolError(f"an outcome of {reply.outcome}") from None
+        number = WriteNumber(*reply.number)
+        source = self._sources.of_gateway(number.gateway)
+        queued = source.queue.get(number) if source is not None else None
+        if source is None or queued is None:
+            return
+        handler = self._handlers.get(outcome)
+        if handler is not None:
+            handler(ReceivedReply(source, queued, gateway, reply))
+        self.advance()
+
+    def _on_applied(self, received: ReceivedReply) -> None:
+        number = received.number
+        if received.queued.stage is WriteStage.SENT:
+            request_class = self._settings.request_classes[self._persistence.record_of(number).profile]
+            duration = self._transport.now() - received.queued.pending_since
+            self._window.succeeded(duration, request_class.latency_objective)
+        received.source.queue.applied(number)
+        self._history.count("replayed")
+        self._history.note("in effect", number)
+        self._block_view.remove(number)
+        if number.gateway == self._settings.gateway:
+            self._persistence.remove(number)
+        else:
+            self._standby_writes.applied(number)
+
+    def _on_not_applied(self, received: ReceivedReply) -> None:
+        received.source.queue.not_applied(received.number, received.gateway, received.reply.send_token)
+
+    def _on_stale_token(self, received: ReceivedReply) -> None:
+        received.source.queue.token_refused(received.number, received.reply.send_token)
+
+    def _on_retry(self, received: ReceivedReply) -> None:
+        not_before = self._transport.now() + self._window.rejected(received.reply.retry_after)
+        received.source.queue.rejected(received.number, received.reply.send_token, not_before)
+        received.source.queue.query_deferred(received.number, not_before)
+
+    def _on_unknown(self, received: ReceivedReply) -> None:
+        reason = f"it may have run: head {received.gateway} of the main site can't say"
+        self._dead_letters.add(received.source.queue, received.number, reason)
+
+    def _on_conflict(self, received: ReceivedReply) -> None:
+        queue = received.source.queue
+        if queue.conflict(received.number, "its blocks changed at the main site"):
+            queue.rejected(received.number, received.reply.send_token)
+        else:
+            self._dead_letters.publish(queue)
+
+    # ---- Epochs
+
+    def _on_fenced(self, received: ReceivedReply) -> None:
+        """Whoever else replays goes on; nothing more is sent from here."""
+        received.source.queue.connection_lost()
+        if received.source.gateway != self._settings.gateway:
+            self._sources.give_back()  # the other gateway is back, under a later epoch
+            return
+        later_epoch = received.reply.send_token
+        self._fence.fence(later_epoch, self._transport.now())
+        self._history.note("shut out", None, f"epoch {later_epoch}, own {self._fence.epoch}")
+        self._logger.warning(
+            "another gateway replays this one's queue", epoch=later_epoch, own=self._fence.epoch
+        )
+
+    def _check_fence(self, now: float) -> None:
+        """Goes on under a later epoch once the other gateway is in sight, which then leaves off."""
+        standby = self._settings.standby
+        if self._fence.may_resume(now) and (standby is None or standby in self._alive_gateways()):
+            self._fence.resume()
+            self._history.note("replays again", None, f"epoch {self._fence.epoch}")
+            self._connections.announce_progress()
--- /dev/null
+++ b/gorsethread/nvme_gateway/offline/replay_sources.py
@@ -0,0 +1,71 @@
+"""The queues that this gateway replays: its own, and the other gateway's while that is away."""
+
+from typing import NamedTuple
+
+from gorsethread.offline_writes.epoch_fence import EpochFence
+from gorsethread.offline_writes.messages import ReplayProgress
+from gorsethread.offline_writes.write_queue import WriteQueue
+from gorsethread.offline_writes.writes import WriteNumber
+
+
+class ReplaySource(NamedTuple):
+    """A queue, the gateway that accepted its writes, and the epoch under which they are replayed."""
+
+    queue: WriteQueue
+    gateway: int
+    epoch: int
+
+
+class ReplaySources:
+    """Owns the queue that was taken over, until it is given back."""
+
+    def __init__(self, own_queue: WriteQueue, gateway: int, fence: EpochFence) -> None:
+        self._own_queue = own_queue
+        self._gateway = gateway
+        self._fence = fence
+        self._taken_over: ReplaySource | None = None
+
+    def all(self) -> list[ReplaySource]:
+        """The own queue first."""
+        sources = [ReplaySource(self._own_queue, self._gateway, self._fence.epoch)]
+        if self._taken_over is not None:
+            sources.append(self._taken_over)
+        return sources
+
+    def of_gateway(self, gateway: int) -> ReplaySource | None:
+        """The source whose writes that gateway accepted."""
+        return next((source for source in self.all() if source.gateway == gateway), None)
+
+    def queue_with(self, number: WriteNumber | None) -> WriteQueue | None:
+        """The queue that has that write."""
+        return next((source.queue for source in self.all() if number in source.queue), None)
+
+    @property
+    def taken_over(self) -> WriteQueue | None:
+        """The other gateway's queue, while this one replays it."""
+        return self._taken_over.queue if self._taken_over is not None else None
+
+    def take_over(self, source: ReplaySource) -> None:
+        """Replays the other gateway's queue too."""
+        self._taken_over = source
+
+    def give_back(self) -> None:
+        """Replays the own queue only."""
+        self._taken_over = None
+
+    def connection_lost(self, gateway: int | None = None) -> None:
+        """Of what was under way to that gateway of the main site, or to any, the fate is unknown."""
+        for source in self.all():
+            source.queue.connection_lost(gateway)
+
+    def progress(self) -> list[ReplayProgress]:
+        """What the main site's gateways are told of each queue."""
+        return [
+            ReplayProgress(
+                source.gateway,
+                source.epoch,
+                source.queue.completed_up_to if source.gateway == self._gateway else (0, 0),
+                source.queue.completed_exceptions,
+            )
+            for source in self.all()
+        ]
--- /dev/null
+++ b/gorsethread/nvme_gateway/offline/site_connections.py
@@ -0,0 +1,169 @@
+"""Heartbeats and streams to the main site's gateways."""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+import msgspec
+
+from gorsethread.durable_log.replica_placement import weight
+from gorsethread.durable_log.replication_messages import MessageReader, ProtocolError, encode
+from gorsethread.nvme_gateway.offline.branch_settings import BranchSettings
+from gorsethread.nvme_gateway.replicated_log import CONNECT_WITHIN as CONNECT_TIMEOUT
+from gorsethread.offline_writes import messages
+from gorsethread.offline_writes.link_monitor import LinkMonitor
+from gorsethread.offline_writes.primaries import PROBED_GATEWAYS
+from gorsethread.transport.base import Stream, StreamClosed, Transport, Unreachable
+
+HEARTBEAT_INTERVAL = 0.5  # seconds
+MAX_SILENCE = 2.0  # seconds without any message on a stream, after which it is made anew
+RECONNECT_INTERVAL = 0.5  # seconds between two tries at a stream
+
+
+@dataclass(frozen=True)
+class ConnectionEvents:
+    """Whom the connections notify.
+
+    Attributes:
+        reply_received: A gateway of the main site answered a query or a write; raises ProtocolError.
+        connection_lost: A stream to that gateway ended.
+        progress: The messages that each gateway of the main site is sent at first, and as they change.
+    """
+
+    reply_received: Callable[[int, messages.ReplayReply], None]
+    connection_lost: Callable[[int], None]
+    progress: Callable[[], list[messages.ReplayProgress]]
+
+
+@dataclass
+class SiteConnection:
+    """To one gateway of the main site; times in seconds of the transport's clock."""
+
+    stream: Stream | None = None
+    is_connecting: bool = False
+    last_message_at: float = 0.0
+    last_heartbeat_at: float = 0.0
+    last_try_at: float = float("-inf")
+    heartbeats: int = 0
+
+
+class SiteConnections:
+    """Owns a connection to each gateway of the main site that was needed so far, as many as there are.
+
+    Args:
+        transport: Opens streams, tells the time.
+        settings: Of this branch.
+        link: Told what is sent and what is answered.
+        alive_gateways: Those that the membership does not hold dead.
+        events: Whom the connections notify.
+        logger: For what ends a connection.
+    """
+
+    def __init__(
+        self,
+        transport: Transport,
+        settings: BranchSettings,
+        link: LinkMonitor,
+        alive_gateways: Callable[[], list[int]],
+        events: ConnectionEvents,
+        logger: Any,
+    ) -> None:
+        self._transport = transport
+        self._settings = settings
+        self._link = link
+        self._alive_gateways = alive_gateways
+        self._events = events
+        self._logger = logger
+        self._connections: dict[int, SiteConnection] = {}
+
+    def is_open(self, gateway: int) -> bool:
+        """Messages can be sent to that gateway."""
+        connection = self._connections.get(gateway)
+        return connection is not None and connection.stream is not None
+
+    def send(self, gateway: int, message: msgspec.Struct) -> None:
+        """Sends a message where the connection is open."""
+        connection = self._connections.get(gateway)
+        if connection is not None and connection.stream is not None:
+            connection.stream.write(encode(message))
+
+    def announce_progress(self) -> None:
+        """Tells the gateways that are connected how far the replay has come."""
+        for gateway in self._connections:
+            self._send_progress(gateway)
+
+    def maintain(self, now: float) -> None:
+        """Keeps up the open connections and those to the probed gateways; call it several times a second."""
+        is_open = [gateway for gateway, known in self._connections.items() if known.stream is not None]
+        for gateway in sorted({*self._probed_gateways(), *is_open}):
+            self.keep_open(gateway, now)
+
+    def keep_open(self, gateway: int, now: float) -> None:
+        """Opens the connection, sends a heartbeat, or closes a silent one, as it is due."""
+        connection = self._connections.setdefault(gateway, SiteConnection())
+        if connection.stream is None:
+            if not connection.is_connecting and now >= connection.last_try_at + RECONNECT_INTERVAL:
+                connection.is_connecting = True
+                connection.last_try_at = now
+                self._link.request_sent(now)
+                self._transport.spawn(self._connect(gateway, connection))
+        elif now - connection.last_message_at > MAX_SILENCE:
+            connection.stream.close()
+        elif now - connection.last_heartbeat_at >= HEARTBEAT_INTERVAL:
+            connection.last_heartbeat_at = now
+            connection.heartbeats += 1
+            self._link.request_sent(now)
+            connection.stream.write(encode(messages.Heartbeat(connection.heartbeats)))
+
+    def close(self) -> None:
+        """Closes the open connections."""
+        for connection in self._connections.values():
+            if connection.stream is not None:
+                connection.stream.close()
+
+    def _probed_gateways(self) -> list[int]:
+        """Those that are alive first, so that one that is down shows as no disconnect.
+
+        Not the same for all, as there may be many branches.
+        """
+        alive = set(self._alive_gateways())
+        ranked = sorted(
+            self._settings.main_site,
+            key=lambda gateway: (gateway not in alive, weight(self._settings.gateway, gateway)),
+        )
+        return ranked[:PROBED_GATEWAYS]
+
+    async def _connect(self, gateway: int, connection: SiteConnection) -> None:
+        try:
+            stream = await self._transport.connect(*self._settings.main_site[gateway], CONNECT_TIMEOUT)
+        except Unreachable as error:
+            connection.is_connecting = False
+            self._logger.debug("main site not reached", gateway=gateway, reason=str(error))
+            return
+        connection.stream = stream
+        connection.is_connecting = False
+        connection.last_message_at = self._transport.now()
+        try:
+            await self._converse(gateway, connection, stream)
+        except (StreamClosed, ProtocolError) as error:
+            self._logger.debug("connection to the main site ended", gateway=gateway, reason=str(error))
+        finally:
+            connection.stream = None
+            stream.close()
+            self._events.connection_lost(gateway)
+
+    async def _converse(self, gateway: int, connection: SiteConnection, stream: Stream) -> None:
+        """Until the stream ends: StreamClosed, ProtocolError."""
+        reader = MessageReader(messages.DECODER)
+        stream.write(encode(messages.BranchHello(self._settings.fleet, self._settings.gateway)))
+        self._send_progress(gateway)
+        while True:
+            for message in reader.take(await stream.read()):
+                connection.last_message_at = self._transport.now()
+                self._link.answer_received(connection.last_message_at)
+                if isinstance(message, messages.ReplayReply):
+                    self._events.reply_received(gateway, message)
+
+    def _send_progress(self, gateway: int) -> None:
+        for message in self._events.progress():
+            self.send(gateway, message)
--- /dev/null
+++ b/gorsethread/nvme_gateway/offline/standby_replication.py
@@ -0,0 +1,153 @@
+"""The branch's other gateway: what its records that this gateway holds show, and replay in its place."""
+
+from collections.abc import Callable
+
+from gorsethread.durable_log.records import QUEUED, Record, Tombstone, WriteProgress, WriteQueued
+from gorsethread.nvme_gateway.offline.block_view import BlockView
+from gorsethread.nvme_gateway.offline.branch_settings import BranchSettings
+from gorsethread.nvme_gateway.offline.change_history import ChangeHistory
+from gorsethread.nvme_gateway.offline.dead_letters import DeadLetters
+from gorsethread.nvme_gateway.offline.replay_sources import ReplaySource, ReplaySources
+from gorsethread.nvme_gateway.offline.standby_writes import StandbyWrites
+from gorsethread.nvme_gateway.offline.write_records import position_of, write_of
+from gorsethread.offline_writes.primaries import StandbyTakeover
+from gorsethread.offline_writes.queued_write import WriteStage
+from gorsethread.offline_writes.write_queue import WriteQueue
+from gorsethread.offline_writes.writes import Position, WriteNumber
+
+UNCONFIRMED = "its head's disk was lost before it was known whether its client was told that it is accepted"
+
+
+class StandbyReplication:
+    """Follows the other gateway's records, and takes over its queue while it is away.
+
+    The writes are in `StandbyWrites`, the queue that was taken over in `ReplaySources`.
+
+    Args:
+        settings: Of this branch.
+        queue: This gateway's own.
+        writes: The other gateway's.
+        sources: The queues that this gateway replays.
+        block_view: Shows the other gateway's writes too.
+        dead_letters: Told what is dead-lettered and released by its writes.
+        history: For people.
+        write_finished: Called as a write of the other gateway is finished.
+        announce_progress: Tells the main site how far the replay has come.
+    """
+
+    def __init__(
+        self,
+        settings: BranchSettings,
+        queue: WriteQueue,
+        writes: StandbyWrites,
+        sources: ReplaySources,
+        block_view: BlockView,
+        dead_letters: DeadLetters,
+        history: ChangeHistory,
+        write_finished: Callable[[], None],
+        announce_progress: Callable[[], None],
+    ) -> None:
+        self._settings = settings
+        self._queue = queue
+        self._writes = writes
+        self._sources = sources
+        self._block_view = block_view
+        self._dead_letters = dead_letters
+        self._history = history
+        self._write_finished = write_finished
+        self._announce_progress = announce_progress
+        self._takeover = StandbyTakeover()
+
+    # ---- Its records
+
+    def records_stored(self, records: list[Record], begins_anew: bool, last: Position) -> None:
+        """Records of the other gateway are on this one's disk, and all that holds up to the last."""
+        if begins_anew:
+            self._writes.records_begin_anew()
+        for record in records:
+            if isinstance(record.fact, WriteQueued):
+                self._add(record.fact)
+        # Tombstones are dropped in time: a gateway that begins anew does not name what is finished any more.
+        for number in self._writes.take_unnamed(last):
+            self._finished(number)
+        for record in records:
+            if isinstance(record.fact, Tombstone) and record.fact.thing[0] == QUEUED:
+                _, incarnation, sequence = record.fact.thing
+                self._finished(self._number((incarnation, sequence)))
+            elif isinstance(record.fact, WriteProgress):
+                self._progressed(self._number((record.fact.life, record.fact.place)), record.fact.stage)
+
+    def _number(self, position: Position) -> WriteNumber:
+        assert self._settings.standby is not None
+        return WriteNumber(self._settings.standby, *position)
+
+    def _add(self, record: WriteQueued) -> None:
+        number = self._number(position_of(record))
+        if self._writes.add(number, record):
+            self._block_view.show(number, record)
+
+    def _progressed(self, number: WriteNumber, stage: str) -> None:
+        record = self._writes.get(number)
+        if record is None:
+            return
+        self._writes.confirm(number)
+        if stage == WriteStage.DEAD_LETTERED.value:
+            self._writes.dead_letter(number)
+            self._block_view.hide(number, record)
+            self._queue.dead_letter_dependents_of(number)
+            self._dead_letters.publish(self._queue)
+        elif self._writes.is_dead_lettered(number):
+            self._writes.release(number)
+            self._block_view.show(number, record)
+            self._release_dependents_of(number)
+
+    def _finished(self, number: WriteNumber) -> None:
+        self._writes.remove(number)
+        self._block_view.remove(number)
+        taken_over = self._sources.taken_over
+        if taken_over is not None:
+            taken_over.applied(number)
+        self._release_dependents_of(number)
+        self._write_finished()
+
+    def _release_dependents_of(self, number: WriteNumber) -> None:
+        released = self._queue.release_dependents_of(number, self._writes.is_dead_lettered)
+        self._dead_letters.released_with_dependency(released)
+
+    # ---- Replay in its place
+
+    def check_takeover(self, is_alive: bool, now: float) -> None:
+        """Takes over the other gateway's queue, or gives it back; call it several times a second.
+
+        Args:
+            is_alive: Whether the membership does not hold the other gateway dead.
+            now: Seconds of the transport's clock.
+        """
+        if not self._takeover.should_replay(is_alive, now):
+            if is_alive and self._sources.taken_over is not None:
+                self._sources.give_back()
+                self._history.note("gives back", None, f"head {self._settings.standby} lives")
+        elif self._sources.taken_over is None and len(self._writes) > 0:
+            self._take_over()
+
+    def _take_over(self) -> None:
+        queue = WriteQueue(self._settings.queue_limits, (), self._is_finished_here)
+        numbers = self._writes.numbers()
+        for number in numbers:
+            self._restore(queue, number)
+        epoch = max(number.incarnation for number in numbers) + 1
+        self._sources.take_over(ReplaySource(queue, numbers[0].gateway, epoch))
+        self._history.note("stands in", None, f"for head {self._settings.standby}: {len(queue)} writes")
+        self._announce_progress()
+
+    def _restore(self, queue: WriteQueue, number: WriteNumber) -> None:
+        record = self._writes.record_of(number)
+        write = write_of(number, record, self._settings)
+        if self._writes.is_confirmed(number):
+            primaries = self._settings.volumes[record.volume].primaries
+            queue.restore(write, WriteStage.UNKNOWN, "", primaries)
+        else:
+            queue.restore(write, WriteStage.DEAD_LETTERED, UNCONFIRMED)
+
+    def _is_finished_here(self, number: WriteNumber) -> bool:
+        return number not in self._queue
--- /dev/null
+++ b/gorsethread/nvme_gateway/offline/write_records.py
@@ -0,0 +1,37 @@
+"""Records of queued writes as the write queue's own type."""
+
+from gorsethread.durable_log.records import WriteQueued
+from gorsethread.nvme_gateway.offline.branch_settings import BranchSettings
+from gorsethread.offline_writes.writes import Position, Write, WriteNumber
+
+
+def position_of(record: WriteQueued) -> Position:
+    """Where the write stands among those of its gateway."""
+    return record.life, record.place
+
+
+def dependencies_of(record: WriteQueued) -> list[WriteNumber]:
+    """The writes that come first."""
+    return [WriteNumber(*number) for number in (*record.own, *record.others)]
+
+
+def write_of(
+    number: WriteNumber, record: WriteQueued, settings: BranchSettings, forced: bool = False
+) -> Write:
+    """The write that a record describes; a forced one is applied whatever its blocks hold."""
+    request_class = settings.request_classes[record.profile]
+    return Write(
+        number=number,
+        volume=record.volume,
+        block=record.block,
+        ordering_key=record.key,
+        priority_weight=request_class.priority_weight,
+        size=len(record.data),
+        accepted_at=record.at,
+        own_dependencies=tuple(WriteNumber(*named) for named in record.own),
+        other_dependencies=tuple(WriteNumber(*named) for named in record.others),
+        base_version=record.base,
+        stops_on_conflict=request_class.stops_on_conflict and not forced,
+        idempotent=request_class.idempotent,
+        idempotency_key=record.label,
+    )
--- a/gorsethread/nvme_gateway/replay_receiver.py
+++ b/gorsethread/nvme_gateway/replay_receiver.py
@@ -1,254 +1,205 @@
-"""Carries a main site's head's part of branches' replay: each write that comes is put into effect by this
-head's own decisions, as a transaction like others. What is in effect, under way or not known is kept by
-`offline_writes/applied_writes.py`, and in this head's records where it may not run twice.
+"""The main site's side of branches' replay: takes each write once, and answers what became of it.
+
+What is applied, running or unknown is kept by `offline_writes/applied_writes.py`, and in this gateway's
+durable log where it may not run twice.
 """
 
-from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 from gorsethread.durable_log.records import EFFECT, Tombstone, WriteApplied
 from gorsethread.durable_log.replication_messages import ProtocolError, encode
 from gorsethread.gateway.carrying import Placement
-from gorsethread.gateway.driver import Driver, Open
-from gorsethread.head.facts import Sorter, units_of
-from gorsethread.head.links import Order
-from gorsethread.nvme.command import Opcode, io_command
-from gorsethread.nvme.subsystem import BLOCK
+from gorsethread.gateway.driver import Driver
+from gorsethread.nvme_gateway.replay_execution import ReplayExecutor
 from gorsethread.nvme_gateway.replicated_log import ReplicatedLog
-from gorsethread.offline_writes import messages as offline_messages
-from gorsethread.offline_writes.applied_writes import Answer, Landing
-from gorsethread.offline_writes.base_versions import base_of, digests
+from gorsethread.offline_writes import messages
+from gorsethread.offline_writes.applied_writes import AppliedWrites, ReplayOutcome
 from gorsethread.offline_writes.writes import WriteNumber
-from gorsethread.recovery.stages import AGAIN, Stage
+from gorsethread.recovery.stages import AGAIN as RETRY_AFTER_RECOVERY
+from gorsethread.recovery.stages import Stage as RecoveryStage
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.transport.base import Stream, Transport
 
 
-class Landed:
-    """A branch's write, or the look before it, as the driver's client."""
-
-    def __init__(
-        self, ended: Callable[["Landed", Answer, bytes, float], None], redoable: bool, driver: Driver
-    ) -> None:
-        self.ended, self.redoable, self.driver = ended, redoable, driver
-        self.taken: Open | None = None
-
-    def succeeded(self, shard: int, data: bytes) -> None:
-        self.ended(self, Answer.IN_EFFECT, data, 0.0)
+class Waiter(NamedTuple):
+    """Who queried or sent a running write, and the send token that the answer carries."""
 
-    def rejected(self, return_after: float) -> None:
-        self.ended(self, self._came_to(), b"", return_after)
+    stream: Stream
+    send_token: int
 
-    def failed(self) -> None:
-        self.ended(self, self._came_to(), b"", AGAIN)
 
-    def _came_to(self) -> Answer:
-        """AGAIN where none of its forwards may have run, or that does no harm."""
-        assert self.taken is not None
-        t = self.driver.scheduler.requests.get(self.taken.id)
-        ran = t is None or t.ran_at is not None
-        return Answer.UNKNOWN if ran and not self.redoable else Answer.AGAIN
+class ReplayReceiver:
+    """Owns what is known of branches' writes, and who waits for running ones (emptied as each ends).
 
+    Args:
+        transport: Tells the time.
+        site: The site file.
+        log: This gateway's durable log.
+        driver: Runs the writes.
+        placement: Of extents.
+        logger: For faults.
+    """
 
-class ReplayReceiver:
     def __init__(
         self,
         transport: Transport,
         site: pb.Site,
-        promises: ReplicatedLog,
+        log: ReplicatedLog,
         driver: Driver,
         placement: Placement,
-        log: Any,
+        logger: Any,
     ) -> None:
-        self.transport, self.site, self.promises, self.log = transport, site, promises, log
-        self.driver, self.placement = driver, placement
-        self.volumes = {v.number: v for v in site.volume}
-        self.plans = {p.name: n for n, p in enumerate(site.plan)}
-        self.of_branches = {n for b in site.branch for n in b.head}
-        self.sorter = Sorter(site)
-        self.landing: Landing | None = None
-        self._waiters: dict[
-            WriteNumber, list[tuple[Stream, int]]
-        ] = {}  # who asked or sent; emptied as each ends
-        promises.given_back = self._recover
+        self._log = log
+        self._logger = logger
+        self._branch_gateways = {number for branch in site.branch for number in branch.head}
+        self._executor = ReplayExecutor(transport, site, driver, placement)
+        self._applied_writes: AppliedWrites | None = None
+        self._waiters: dict[WriteNumber, list[Waiter]] = {}
+        log.given_back = self._recover
 
     def _recover(self) -> None:
-        if self.landing is not None:
-            for r in self.promises.store.table.records.values():
-                if isinstance(r.fact, WriteApplied):
-                    self.landing.recovered(WriteNumber(r.fact.branch, r.fact.life, r.fact.place), r.fact.ran)
-
-    def _known(self) -> Landing | None:
-        """None while this head does not know yet what it had begun."""
-        if self.promises.returning.stage is not Stage.FULL or not self.promises.store.begun:
+        if self._applied_writes is None:
+            return
+        for record in self._log.store.table.records.values():
+            fact = record.fact
+            if isinstance(fact, WriteApplied):
+                self._applied_writes.recovered(WriteNumber(fact.branch, fact.life, fact.place), fact.ran)
+
+    def _known_writes(self) -> AppliedWrites | None:
+        """None while this gateway does not know yet what it had begun."""
+        if self._log.returning.stage is not RecoveryStage.FULL or not self._log.store.begun:
             return None
-        if self.landing is None:
-            self.landing = Landing(self.promises.life)
+        if self._applied_writes is None:
+            self._applied_writes = AppliedWrites(self._log.life)
             self._recover()
-        return self.landing
+        return self._applied_writes
+
+    # ---- Messages
 
-    def took(self, stream: Stream, m: Any) -> None:
-        """One message of a branch's head."""
-        if isinstance(m, offline_messages.Here):
-            stream.write(encode(offline_messages.There(m.beat)))
+    def message_received(self, stream: Stream, message: Any) -> None:
+        """A message of a branch's gateway; ProtocolError where none sends it."""
+        if isinstance(message, messages.Heartbeat):
+            stream.write(encode(messages.HeartbeatReply(message.count)))
             return
-        landing = self._known()
-        if isinstance(m, offline_messages.Marked | offline_messages.Ask | offline_messages.Send):
-            branch = m.branch if isinstance(m, offline_messages.Marked) else m.number[0]
-            if branch not in self.of_branches:
-                raise ProtocolError(f"head {branch} is of no branch")
-        if isinstance(m, offline_messages.Marked):
-            over = landing.marked(m.branch, m.epoch, m.mark, frozenset(m.parked)) if landing else []
-            if over is None:
-                self.log.warning("an earlier epoch of a branch is shut out", branch=m.branch, epoch=m.epoch)
-            for place in over or ():
-                if (EFFECT, m.branch, *place) in self.promises.store.table.records:
-                    self.promises.keep(Tombstone([EFFECT, m.branch, *place]))
-        elif isinstance(m, offline_messages.Ask | offline_messages.Send):
-            if (
-                not 0 <= m.profile < len(self.site.profile)
-                or isinstance(m, offline_messages.Send)
-                and not self._fits(m)
-            ):
-                self.log.error(
-                    "a branch's write fits nothing in this head's site file",
-                    number=m.number,
-                    to_do="give all heads of the site the same site file",
-                )
-                landing = None
-            if landing is None:
-                self._tell(stream, WriteNumber(*m.number), Answer.AGAIN, after=AGAIN)
-            elif isinstance(m, offline_messages.Ask):
-                self._asked(stream, landing, m)
+        known = self._known_writes()
+        if isinstance(message, messages.ReplayProgress):
+            self._check_gateway(message.gateway)
+            if known is not None:
+                self._progress_received(known, message)
+        elif isinstance(message, messages.StatusQuery | messages.ReplayWrite):
+            self._check_gateway(message.number[0])
+            if not self._fits_site(message) or known is None:
+                number = WriteNumber(*message.number)
+                self._reply(stream, number, ReplayOutcome.RETRY, retry_after=RETRY_AFTER_RECOVERY)
+            elif isinstance(message, messages.StatusQuery):
+                self._query_received(stream, known, message)
             else:
-                self._sent(stream, landing, m)
-
-    def _fits(self, m: offline_messages.Send) -> bool:
-        v = self.volumes.get(m.volume)
-        return (
-            v is not None
-            and len(m.data) % BLOCK == 0
-            and m.data != b""
-            and (0 <= m.block <= v.blocks - len(m.data) // BLOCK)
-            and 0 <= m.hints <= 0xFF
-            and (0 <= m.label < 1 << 64 and 0 <= m.attempt <= 0x7F)
+                self._write_received(stream, known, message)
+
+    def _check_gateway(self, gateway: int) -> None:
+        if gateway not in self._branch_gateways:
+            raise ProtocolError(f"gateway {gateway} is of no branch")
+
+    def _fits_site(self, message: messages.StatusQuery | messages.ReplayWrite) -> bool:
+        fits = self._executor.has_request_class(message.request_class)
+        if fits and isinstance(message, messages.ReplayWrite):
+            fits = self._executor.fits(message)
+        if not fits:
+            self._logger.error(
+                "a branch's write fits nothing in this gateway's site file",
+                number=message.number,
+                to_do="give all heads of the site the same site file",
+            )
+        return fits
+
+    def _progress_received(self, known: AppliedWrites, message: messages.ReplayProgress) -> None:
+        exceptions = frozenset(message.exceptions)
+        finished = known.progress_reported(
+            message.gateway, message.epoch, message.completed_up_to, exceptions
         )
+        if finished is None:
+            self._logger.warning(
+                "an earlier epoch of a branch is fenced", branch=message.gateway, epoch=message.epoch
+            )
+            return
+        for position in finished:
+            if (EFFECT, message.gateway, *position) in self._log.store.table.records:
+                self._log.keep(Tombstone([EFFECT, message.gateway, *position]))
+
+    def _query_received(self, stream: Stream, known: AppliedWrites, message: messages.StatusQuery) -> None:
+        number = WriteNumber(*message.number)
+        idempotent = self._executor.is_idempotent(message.request_class)
+        answer = known.queried(number, message.epoch, idempotent)
+        if answer.outcome is ReplayOutcome.PENDING:
+            self._waiters.setdefault(number, []).append(Waiter(stream, 0))
+        else:
+            self._reply(stream, number, answer.outcome, answer.detail)
+
+    def _write_received(self, stream: Stream, known: AppliedWrites, message: messages.ReplayWrite) -> None:
+        number = WriteNumber(*message.number)
+        idempotent = self._executor.is_idempotent(message.request_class)
+        if message.forced:
+            known.released(number)
+        outcome = known.received(number, message.send_token, message.epoch, idempotent)
+        if outcome in (ReplayOutcome.START, ReplayOutcome.PENDING):
+            self._waiters.setdefault(number, []).append(Waiter(stream, message.send_token))
+            if outcome is ReplayOutcome.START:
+                self._begin(message, idempotent)
+            return
+        fenced = outcome is ReplayOutcome.FENCED
+        detail = known.epoch_of(number.gateway) if fenced else message.send_token
+        self._reply(stream, number, outcome, detail, RETRY_AFTER_RECOVERY)
 
-    def _tell(
-        self, stream: Stream, number: WriteNumber, answer: Answer, sending: int = 0, after: float = 0.0
+    def _reply(
+        self,
+        stream: Stream,
+        number: WriteNumber,
+        outcome: ReplayOutcome,
+        send_token: int = 0,
+        retry_after: float = 0.0,
     ) -> None:
-        stream.write(encode(offline_messages.Told(number, int(answer), sending, after)))
+        stream.write(encode(messages.ReplayReply(number, int(outcome), send_token, retry_after)))
 
-    def _redoable(self, profile: int) -> bool:
-        return self.site.profile[profile].effect == pb.REDOABLE
+    # ---- Running writes
 
-    def _asked(self, stream: Stream, landing: Landing, m: offline_messages.Ask) -> None:
-        number = WriteNumber(*m.number)
-        answer, sending = landing.asked(number, m.epoch, self._redoable(m.profile))
-        if answer is Answer.WAITS:
-            self._waiters.setdefault(number, []).append((stream, 0))
-        else:
-            self._tell(stream, number, answer, sending)
-
-    def _sent(self, stream: Stream, landing: Landing, m: offline_messages.Send) -> None:
-        number = WriteNumber(*m.number)
-        if m.anyway:
-            landing.released(number)
-        answer = landing.sent(number, m.sending, m.epoch, self._redoable(m.profile))
-        if answer not in (Answer.RUNS, Answer.WAITS):
-            shut = answer is Answer.SHUT_OUT
-            self._tell(stream, number, answer, landing.of[number.branch].epoch if shut else m.sending, AGAIN)
-            return
-        self._waiters.setdefault(number, []).append((stream, m.sending))
-        if answer is Answer.WAITS:
+    def _begin(self, message: messages.ReplayWrite, idempotent: bool) -> None:
+        number = WriteNumber(*message.number)
+        if idempotent:
+            self._execute(message)
             return
-        if self._redoable(m.profile):
-            self._look(m)
-        elif (after := self.promises.refuses()) > 0.0:
-            self._ends(number, Answer.AGAIN, after)
-        else:
-            # Kept by as many as hold a promise: after a loss of this machine nobody takes it for not begun.
-            self.promises.keep(WriteApplied(*number, False), lambda kept: self._begun(m, kept))
-
-    def _begun(self, m: offline_messages.Send, kept: bool) -> None:
-        if kept:
-            self._look(m)
-        else:
-            self._not_run(WriteNumber(*m.number), AGAIN)
-
-    def _look(self, m: offline_messages.Send) -> None:
-        """Where the branch saw what its blocks held, whether they still hold it."""
-        if not m.base:
-            self._write(m)
+        retry_after = self._log.refuses()
+        if retry_after > 0.0:
+            self._finish(number, ReplayOutcome.RETRY, retry_after)
             return
 
-        def looked(one: Landed, answer: Answer, data: bytes, after: float) -> None:
-            there = digests(data, BLOCK)
-            if answer is not Answer.IN_EFFECT:
-                self._not_run(WriteNumber(*m.number), after)
-            elif base_of(there) in (m.base, base_of(digests(m.data, BLOCK))):
-                self._write(m)
+        def recorded(stored: bool) -> None:
+            if stored:
+                self._execute(message)
             else:
-                self._not_run(WriteNumber(*m.number), 0.0, Answer.CHANGED)
-
-        self._take(m, Opcode.READ, Landed(looked, True, self.driver))
-
-    def _write(self, m: offline_messages.Send) -> None:
-        self._take(
-            m,
-            Opcode.WRITE,
-            Landed(
-                lambda one, answer, data, after: self._wrote(WriteNumber(*m.number), answer, after),
-                self._redoable(m.profile),
-                self.driver,
-            ),
-        )
+                self._executed(number, ReplayOutcome.RETRY, RETRY_AFTER_RECOVERY)
 
-    def _take(self, m: offline_messages.Send, operation: Opcode, landed: Landed) -> None:
-        v, blocks = self.volumes[m.volume], len(m.data) // BLOCK
-        reads = operation == Opcode.READ
-        profile = self.sorter.profile(v.plan, operation, len(m.data), 0) if reads else m.profile
-        known, extent, now = self.site.profile[profile], m.block // v.extent_blocks, self.transport.now()
-        command = io_command(
-            operation,
-            m.volume,
-            m.block,
-            blocks,
-            hints=0 if reads else m.hints,
-            attempt=0 if reads else m.attempt,
-            label=0 if reads else m.label,
-        )
-        landed.taken = self.driver.take(
-            landed,
-            Order(command, b"" if reads else m.data, len(m.data) if reads else 0),
-            profile=profile,
-            plan=self.plans[v.plan],
-            key=f"{m.volume}/{extent}" if known.in_order else None,
-            deadline=now + max(0.001, known.cut_off - self.site.rules.answer_slack),
-            volume=m.volume,
-            units=float(units_of(len(m.data), self.site.links.unit_bytes)),
-            shard=self.placement.shard_of(m.volume, extent),
-            heads=len(v.head),
-            repeat=m.attempt > 0,
-            arrived=now,
-            place=(m.volume, extent),
+        # With as many copies as any promise: after a loss of this machine nobody takes it for not begun.
+        self._log.keep(WriteApplied(*number, False), recorded)
+
+    def _execute(self, message: messages.ReplayWrite) -> None:
+        number = WriteNumber(*message.number)
+        self._executor.execute(
+            message, lambda outcome, retry_after: self._executed(number, outcome, retry_after)
         )
 
-    def _wrote(self, number: WriteNumber, answer: Answer, after: float) -> None:
-        if answer is Answer.IN_EFFECT:
-            self.promises.keep(WriteApplied(*number, True))
-            self._ends(number, answer, 0.0)
-        elif answer is Answer.UNKNOWN:
-            self._ends(number, answer, 0.0)
+    def _executed(self, number: WriteNumber, outcome: ReplayOutcome, retry_after: float) -> None:
+        if outcome is ReplayOutcome.APPLIED:
+            self._log.keep(WriteApplied(*number, True))
+            self._finish(number, outcome, 0.0)
+        elif outcome is ReplayOutcome.UNKNOWN:
+            self._finish(number, outcome, 0.0)
         else:
-            self._not_run(number, after)
-
-    def _not_run(self, number: WriteNumber, after: float, answer: Answer = Answer.AGAIN) -> None:
-        self.promises.keep(Tombstone([EFFECT, *number]))
-        self._ends(number, answer, after)
-
-    def _ends(self, number: WriteNumber, answer: Answer, after: float) -> None:
-        assert self.landing is not None
-        self.landing.ended(number, answer)
-        for stream, sending in self._waiters.pop(number, ()):
-            self._tell(stream, number, answer, sending, after)
+            # It has not run: what was recorded as begun is taken back.
+            self._log.keep(Tombstone([EFFECT, *number]))
+            self._finish(number, outcome, retry_after)
+
+    def _finish(self, number: WriteNumber, outcome: ReplayOutcome, retry_after: float) -> None:
+        assert self._applied_writes is not None
+        self._applied_writes.finished(number, outcome)
+        for waiter in self._waiters.pop(number, ()):
+            self._reply(waiter.stream, number, outcome, waiter.send_token, retry_after)
--- a/gorsethread/nvme_gateway/replica_server.py
+++ b/gorsethread/nvme_gateway/replica_server.py
@@ -56,7 +56,7 @@
         self.held: dict[int, Held] = {}  # as many as other heads
         self._streams: set[Stream] = set()
         self.branch_said: Callable[[Stream, Any], None] | None = None  # at a head of the main site
-        self.asked: Callable[[offline_messages.Question], bytes] | None = None  # at a branch's head
+        self.asked: Callable[[offline_messages.OperatorQuery], bytes] | None = None  # at a branch's head
         # Told of another head's records as they are on this disk: whose, begins anew, all up to that number.
         self.kept: Callable[[int, list[Record], bool, SequenceNumber], None] = lambda *_: None
 
@@ -105,14 +105,14 @@
                         origin = m.head
                         guard.cancel()
                         self._greeted(stream, origin, m.life)
-                    elif isinstance(m, offline_messages.Greet):
-                        if m.fleet != self.fleet or m.head not in self.heads:
+                    elif isinstance(m, offline_messages.BranchHello):
+                        if m.fleet != self.fleet or m.gateway not in self.heads:
                             raise replication_messages.ProtocolError(
-                                f"head {m.head} of fleet {m.fleet} is none of this fleet"
+                                f"head {m.gateway} of fleet {m.fleet} is none of this fleet"
                             )
-                        origin = m.head
+                        origin = m.gateway
                         guard.cancel()
-                    elif isinstance(m, offline_messages.Question):
+                    elif isinstance(m, offline_messages.OperatorQuery):
                         self._question(stream, m)
                     elif origin < 0:
                         raise replication_messages.ProtocolError("no hello came first")
@@ -120,7 +120,7 @@
                         await self._give(stream, origin, m)
                     elif isinstance(m, replication_messages.Put):
                         await self._put(stream, origin, m)
-                    elif isinstance(m, offline_messages.OF_BRANCHES) and self.branch_said is not None:
+                    elif isinstance(m, offline_messages.BRANCH_MESSAGES) and self.branch_said is not None:
                         self.branch_said(stream, m)
         except StreamClosed:
             pass
@@ -131,10 +131,10 @@
             self._streams.discard(stream)
             stream.close()
 
-    def _question(self, stream: Stream, m: offline_messages.Question) -> None:
+    def _question(self, stream: Stream, m: offline_messages.OperatorQuery) -> None:
         if not stream.peer.startswith(LOOPBACK) or m.fleet != self.fleet or self.asked is None:
             raise replication_messages.ProtocolError("an operator's question that is not answered here")
-        stream.write(replication_messages.encode(offline_messages.Shown(self.asked(m))))
+        stream.write(replication_messages.encode(offline_messages.OperatorReply(self.asked(m))))
 
     def _greeted(self, stream: Stream, origin: int, life: int) -> None:
         held = self.of(origin)
--- a/gorsethread/offline_writes/__init__.py
+++ b/gorsethread/offline_writes/__init__.py
@@ -1,2 +1,4 @@
-"""A branch whose shelves lie beyond a link: when it is cut off, its queue of writes, their order and replay.
-Pure: no I/O, no clock, no chance."""
+"""A branch site that is disconnected from the main site: its write queue, causal order and replay.
+
+Pure: no I/O, no clock, no chance. `gorsethread/nvme_gateway/offline/` connects it to a gateway.
+"""
--- a/gorsethread/offline_writes/admission.py
+++ b/gorsethread/offline_writes/admission.py
@@ -1,33 +1,45 @@
-"""What a branch's head does with a command: sends it on as ever, holds it, answers it from what is queued, or
-pushes it back. Pure."""
+"""What a branch's gateway does with a client's command: forward, enqueue, serve from the queue, or reject."""
 
 from collections.abc import Sequence
 from enum import Enum
 
 from gorsethread.offline_writes.writes import WriteNumber
 
-RETURN_CUT = 1.0  # seconds after which what can't be had while the link is gone may be asked for again
-RETURN_SOON = 0.2  # and what waits for queued writes only
+RETRY_AFTER_DISCONNECTED = 1.0  # seconds; for what can't be had while the link is down
+RETRY_AFTER_PENDING = 0.2  # seconds; for what waits only for queued writes
 
 
-class Say(Enum):
-    THROUGH = "through"
-    HOLD = "hold"
-    SERVE = "serve"
-    BACK = "push back"
-
-
-def of_read(queues: bool, last: Sequence[WriteNumber | None]) -> Say:
-    """last: of each block the queued write that it would see."""
-    if all(n is None for n in last):
-        return Say.BACK if queues else Say.THROUGH
-    return Say.SERVE if all(n is not None for n in last) else Say.BACK
+class Admission(Enum):
+    """What becomes of a command."""
 
-
-def of_write(queues: bool, may_hold: bool, pending: bool) -> Say:
-    """pending: of what it must come after, something is queued: it may not overtake that."""
-    if not queues and not pending:
-        return Say.THROUGH
-    if may_hold:
-        return Say.HOLD
-    return Say.BACK if pending else Say.THROUGH
+    FORWARD = "through"
+    ENQUEUE = "hold"
+    SERVE = "serve"
+    REJECT = "push back"
+
+
+def admit_read(queueing: bool, latest_writes: Sequence[WriteNumber | None]) -> Admission:
+    """Decides on a read.
+
+    Args:
+        queueing: Whether the link is not connected.
+        latest_writes: For each block the queued write whose bytes the read would see.
+    """
+    if all(number is None for number in latest_writes):
+        return Admission.REJECT if queueing else Admission.FORWARD
+    return Admission.SERVE if all(number is not None for number in latest_writes) else Admission.REJECT
+
+
+def admit_write(queueing: bool, may_enqueue: bool, has_dependencies: bool) -> Admission:
+    """Decides on a write.
+
+    Args:
+        queueing: Whether the link is not connected.
+        may_enqueue: Whether the write's request class may be queued.
+        has_dependencies: Whether a queued write must come first; this one may not overtake it.
+    """
+    if not queueing and not has_dependencies:
+        return Admission.FORWARD
+    if may_enqueue:
+        return Admission.ENQUEUE
+    return Admission.REJECT if has_dependencies else Admission.FORWARD
--- a/gorsethread/offline_writes/base_versions.py
+++ b/gorsethread/offline_writes/base_versions.py
@@ -1,40 +1,49 @@
-"""What blocks held as the branch last saw them: by that the main site tells whether they changed since."""
+"""What blocks held as the branch last saw them: the main site tells by it whether they changed since."""
 
 from collections import OrderedDict
 
 import xxhash
 
-BLOCKS_MOST = 1 << 16  # remembered; those seen longest ago are forgotten first
+MAX_BLOCKS = 1 << 16  # remembered; those seen longest ago are forgotten first
+DIGEST_BYTES = 8
 
 
-def digests(data: bytes, block_bytes: int) -> list[int]:
-    return [xxhash.xxh3_64_intdigest(data[at : at + block_bytes]) for at in range(0, len(data), block_bytes)]
+def block_digests(data: bytes, block_bytes: int) -> list[int]:
+    """A digest of each block."""
+    return [
+        xxhash.xxh3_64_intdigest(data[start : start + block_bytes])
+        for start in range(0, len(data), block_bytes)
+    ]
 
 
-def base_of(parts: list[int]) -> int:
-    """Of several blocks in a row; never 0."""
-    return xxhash.xxh3_64_intdigest(b"".join(p.to_bytes(8, "little") for p in parts)) or 1
+def combined_version(digests: list[int]) -> int:
+    """The version of several blocks in a row; never 0."""
+    joined = b"".join(digest.to_bytes(DIGEST_BYTES, "little") for digest in digests)
+    return xxhash.xxh3_64_intdigest(joined) or 1
 
 
-class Bases:
+class BaseVersions:
+    """Owns the digests of the blocks that this gateway saw last; MAX_BLOCKS bounds them."""
+
     def __init__(self, block_bytes: int) -> None:
-        self.block_bytes = block_bytes
+        self._block_bytes = block_bytes
         self._seen: OrderedDict[tuple[int, int], int] = OrderedDict()
 
-    def saw(self, volume: int, block: int, data: bytes) -> None:
-        for n, digest in enumerate(digests(data, self.block_bytes), block):
-            self._seen[volume, n] = digest
-            self._seen.move_to_end((volume, n))
-        while len(self._seen) > BLOCKS_MOST:
+    def observed(self, volume: int, block: int, data: bytes) -> None:
+        """The blocks from that one on hold the data."""
+        for number, digest in enumerate(block_digests(data, self._block_bytes), block):
+            self._seen[volume, number] = digest
+            self._seen.move_to_end((volume, number))
+        while len(self._seen) > MAX_BLOCKS:
             self._seen.popitem(last=False)
 
     def forget(self, volume: int, block: int, blocks: int) -> None:
-        """What was taken for their bytes is not there, and may never be."""
-        for n in range(block, block + blocks):
-            self._seen.pop((volume, n), None)
-
-    def of(self, volume: int, block: int, blocks: int) -> int:
-        """0: not all of them were seen."""
-        parts = [self._seen.get((volume, n)) for n in range(block, block + blocks)]
-        known = [p for p in parts if p is not None]
-        return base_of(known) if len(known) == blocks else 0
+        """The bytes that were taken for theirs are not there, and may never be."""
+        for number in range(block, block + blocks):
+            self._seen.pop((volume, number), None)
+
+    def version_of(self, volume: int, block: int, blocks: int) -> int:
+        """The version of a range; 0 where not all of its blocks were seen."""
+        digests = [self._seen.get((volume, number)) for number in range(block, block + blocks)]
+        known = [digest for digest in digests if digest is not None]
+        return combined_version(known) if len(known) == blocks else 0
--- a/gorsethread/offline_writes/link_monitor.py
+++ b/gorsethread/offline_writes/link_monitor.py
@@ -1,76 +1,85 @@
-"""When a branch is cut off, and when it is back. Pure: told what was seen, asked for the state.
+"""Whether a branch's link to the main site is up. Pure: told what was seen, asked for the state.
 
-A link is known by what gets through it both ways: answers of far shelves and words of far heads. Nothing
-else counts: a connection that stands, or a datagram that left, says nothing of a way that is cut in one
-direction. One that is slow still answers, so it is not cut off: its writes take their usual way, and end as
-they do today.
+A link is known by what gets through it both ways: answers of remote backends and replies of remote
+gateways. A connection that stands, or a datagram that left, shows nothing of a path that is cut in one
+direction. A slow link still answers, so it counts as connected and its writes are forwarded as usual.
 """
 
 from collections import deque
 from enum import Enum
 
-CUT_AFTER = 2.0  # seconds without any sign while something was asked all along
-TRIES_LEAST = 3  # questions without an answer in that time: an idle branch is not cut off
-BACK_AFTER = 2.0  # seconds of signs, no gap among them longer than GAP
-GAP = 1.0  # seconds
-FLAPS = 60.0  # seconds for which a cut is remembered
-BACK_MOST = 32.0  # seconds of signs that are wanted at most, doubling with each cut remembered
+DISCONNECT_AFTER = 2.0  # seconds without any answer while requests were sent all along
+MIN_UNANSWERED = 3  # requests without an answer in that time, so that an idle link is not disconnected
+STABLE_FOR = 2.0  # seconds of answers, no gap among them longer than MAX_GAP
+MAX_GAP = 1.0  # seconds
+DISCONNECT_MEMORY = 60.0  # seconds for which a disconnect is remembered
+MAX_STABLE_FOR = 32.0  # seconds; the required time doubles with each remembered disconnect up to this
 
 
-class State(Enum):
-    JOINED = "joined"
-    CUT_OFF = "cut off"
-    RETURNING = "returning"  # signs come again, for not long enough yet
+class LinkState(Enum):
+    """The values are what `gorsethread branch show` prints."""
 
+    CONNECTED = "joined"
+    DISCONNECTED = "cut off"
+    RECOVERING = "returning"  # answers come again, for not long enough yet
 
-class Link:
-    """since: of the state. asked() and heard() as things happen; tick() several times a second."""
+
+class LinkMonitor:
+    """Owns the state of the link; `since` is when it began.
+
+    Tell `request_sent` and `answer_received` as they happen, and call `tick` several times a second.
+    Remembered disconnects are dropped after DISCONNECT_MEMORY.
+    """
 
     def __init__(self, now: float) -> None:
-        self.state, self.since = State.JOINED, now
-        self.cuts: deque[float] = deque()  # when each of the last began; emptied as FLAPS pass
-        self._heard = now
-        self._tries: deque[float] = deque(maxlen=TRIES_LEAST)  # without an answer since
-        self._first = now  # of the signs that came without a gap
+        self.state = LinkState.CONNECTED
+        self.since = now
+        self._disconnects: deque[float] = deque()  # when each began
+        self._last_answer = now
+        self._unanswered: deque[float] = deque(maxlen=MIN_UNANSWERED)
+        self._answers_since = now  # the first of the answers that came without a gap
 
     @property
-    def queues(self) -> bool:
-        """Writes are held here and not sent: the link is not to be trusted with one."""
-        return self.state is not State.JOINED
-
-    def asked(self, now: float) -> None:
-        """Something went out that is answered where the link is whole."""
-        self._tries.append(now)
-
-    def heard(self, now: float) -> None:
-        """An answer, or a word that was said since this side was heard there."""
-        if now - self._heard > GAP or self.state is State.CUT_OFF:
-            self._first = now
-        self._heard = now
-        self._tries.clear()
-        if self.state is State.CUT_OFF:
-            self._to(State.RETURNING, now)
+    def queueing(self) -> bool:
+        """Writes are queued and not forwarded: the link is not trusted with one."""
+        return self.state is not LinkState.CONNECTED
+
+    def request_sent(self, now: float) -> None:
+        """Something went out that is answered where the link is up."""
+        self._unanswered.append(now)
+
+    def answer_received(self, now: float) -> None:
+        """An answer came, or a message that was sent since this side was heard there."""
+        if now - self._last_answer > MAX_GAP or self.state is LinkState.DISCONNECTED:
+            self._answers_since = now
+        self._last_answer = now
+        self._unanswered.clear()
+        if self.state is LinkState.DISCONNECTED:
+            self._change_to(LinkState.RECOVERING, now)
         self.tick(now)
 
     def tick(self, now: float) -> None:
-        while self.cuts and now - self.cuts[0] > FLAPS:
-            self.cuts.popleft()
-        silent = now - self._heard
-        if self.state is State.JOINED:
-            tried = len(self._tries) == TRIES_LEAST
-            if silent >= CUT_AFTER and tried:
-                self.cuts.append(now)
-                self._to(State.CUT_OFF, now)
-        elif self.state is State.RETURNING:
-            if silent > GAP:
-                self._to(State.CUT_OFF, now)
-            elif now - self._first >= self.wanted:
-                self._to(State.JOINED, now)
+        """Changes the state where its time has come."""
+        while self._disconnects and now - self._disconnects[0] > DISCONNECT_MEMORY:
+            self._disconnects.popleft()
+        silence = now - self._last_answer
+        if self.state is LinkState.CONNECTED:
+            asked_enough = len(self._unanswered) == MIN_UNANSWERED
+            if silence >= DISCONNECT_AFTER and asked_enough:
+                self._disconnects.append(now)
+                self._change_to(LinkState.DISCONNECTED, now)
+        elif self.state is LinkState.RECOVERING:
+            if silence > MAX_GAP:
+                self._change_to(LinkState.DISCONNECTED, now)
+            elif now - self._answers_since >= self.required_stability:
+                self._change_to(LinkState.CONNECTED, now)
 
     @property
-    def wanted(self) -> float:
-        """Seconds of signs without a gap until it counts as back: longer the more often it was cut lately."""
-        return float(min(BACK_MOST, BACK_AFTER * 2 ** max(0, len(self.cuts) - 1)))
+    def required_stability(self) -> float:
+        """Seconds of answers without a gap until the link counts as connected again."""
+        earlier = max(0, len(self._disconnects) - 1)
+        return float(min(MAX_STABLE_FOR, STABLE_FOR * 2**earlier))
 
-    def _to(self, state: State, now: float) -> None:
-        self.state, self.since = state, now
+    def _change_to(self, state: LinkState, now: float) -> None:
+        self.state = state
+        self.since = now
--- a/gorsethread/offline_writes/messages.py
+++ b/gorsethread/offline_writes/messages.py
@@ -1,92 +1,151 @@
-"""What a branch's heads, the main site's heads and operators say to each other of queued writes, as messages
-of the heads' own streams (records/replication_messages.py)."""
+"""What a branch's gateways, the main site's gateways and operators send each other about queued writes.
+
+They travel as messages of the gateways' own streams (`durable_log/replication_messages.py`). Tags and the
+order of the fields are the wire format and stay; the names of classes and fields are not on the wire.
+"""
 
 from typing import Any
 
 import msgspec
 
 from gorsethread.durable_log import replication_messages
+from gorsethread.offline_writes.writes import Position
 
-Triple = tuple[int, int, int]  # branch, life, place
+NumberOnWire = tuple[int, int, int]  # gateway, incarnation, sequence
 
 
-class Greet(msgspec.Struct, frozen=True, tag="greet", array_like=True):
-    """From a branch's head, first. fleet: of its site."""
+class BranchHello(msgspec.Struct, frozen=True, tag="greet", array_like=True):
+    """The first message of a branch's gateway, with the fleet of its site."""
 
     fleet: int
-    head: int
-
+    gateway: int
 
-class Here(msgspec.Struct, frozen=True, tag="here", array_like=True):
-    """Answered by the same as There: a sign that both ways are open."""
 
-    beat: int
+class Heartbeat(msgspec.Struct, frozen=True, tag="here", array_like=True):
+    """Answered by a HeartbeatReply of the same count: a sign that both directions are open."""
 
+    count: int
 
-class There(msgspec.Struct, frozen=True, tag="there", array_like=True):
-    beat: int
 
+class HeartbeatReply(msgspec.Struct, frozen=True, tag="there", array_like=True):
+    """The answer to a Heartbeat."""
 
-class Marked(msgspec.Struct, frozen=True, tag="marked", array_like=True):
-    """Whose writes are replayed, under which epoch; all up to mark (life, place) is over, but what is
-    parked or once was."""
+    count: int
 
-    branch: int
-    epoch: int
-    mark: tuple[int, int]
-    parked: list[tuple[int, int]]
 
+class ReplayProgress(msgspec.Struct, frozen=True, tag="marked", array_like=True):
+    """How far the replay of a gateway's writes has come.
 
-class Ask(msgspec.Struct, frozen=True, tag="ask", array_like=True):
-    """Is it in effect?"""
+    Attributes:
+        gateway: Whose writes are replayed.
+        epoch: Under which they are.
+        completed_up_to: All up to there is finished, but the exceptions.
+        exceptions: Writes that are or once were dead-lettered.
+    """
 
-    number: Triple
+    gateway: int
     epoch: int
-    profile: int
+    completed_up_to: Position
+    exceptions: list[Position]
 
 
-class Send(msgspec.Struct, frozen=True, tag="send", array_like=True):
-    """Put it into effect. anyway: a person said so, though it may have run. base: see records' Queued; 0
-    where it is to be applied whatever its blocks hold."""
+class StatusQuery(msgspec.Struct, frozen=True, tag="ask", array_like=True):
+    """Is that write applied?"""
 
-    number: Triple
+    number: NumberOnWire
     epoch: int
-    sending: int
-    profile: int
+    request_class: int
+
+
+class ReplayWrite(msgspec.Struct, frozen=True, tag="send", array_like=True):
+    """Apply that write.
+
+    Attributes:
+        number: Of the write.
+        epoch: Under which it is replayed.
+        send_token: That the last StatusQuery gave; 0 where there was none.
+        request_class: Its index in the site file.
+        volume: Number of the volume.
+        block: First block.
+        hints: The command's data set management byte.
+        idempotency_key: The client's; 0 for none.
+        attempt: The client's count of its attempts.
+        base_version: Of the blocks as the branch saw them; 0 where it is applied whatever they hold.
+        forced: A person said so, though it may have run.
+        data: The blocks' new bytes.
+    """
+
+    number: NumberOnWire
+    epoch: int
+    send_token: int
+    request_class: int
     volume: int
     block: int
     hints: int
-    label: int
+    idempotency_key: int
     attempt: int
-    base: int
-    anyway: bool
+    base_version: int
+    forced: bool
     data: bytes
 
 
-class Told(msgspec.Struct, frozen=True, tag="told", array_like=True):
-    """answer: of applied_writes.py. sending: which is taken from now on, with NOT; which it answers, else; an
-    epoch with SHUT_OUT. after: seconds, with AGAIN."""
+class ReplayReply(msgspec.Struct, frozen=True, tag="told", array_like=True):
+    """The answer to a StatusQuery or a ReplayWrite.
+
+    Attributes:
+        number: Of the write.
+        outcome: A ReplayOutcome of `applied_writes.py`.
+        send_token: With NOT_APPLIED the only one that is accepted from now on; with FENCED the later epoch;
+            else the token that it answers.
+        retry_after: Seconds, with RETRY.
+    """
+
+    number: NumberOnWire
+    outcome: int
+    send_token: int = 0
+    retry_after: float = 0.0
 
-    number: Triple
-    answer: int
-    sending: int = 0
-    after: float = 0.0
 
+class OperatorQuery(msgspec.Struct, frozen=True, tag="question", array_like=True):
+    """The first message of an operator's command on this machine.
 
-class Question(msgspec.Struct, frozen=True, tag="question", array_like=True):
-    """From an operator on this machine, first. what: show, history, parked, release or discard."""
+    Attributes:
+        fleet: Of the site file that the operator named.
+        command: show, history, parked, release or discard.
+        number: The write that is released or discarded.
+    """
 
     fleet: int
-    what: str
-    number: Triple | None = None
+    command: str
+    number: NumberOnWire | None = None
 
 
-class Shown(msgspec.Struct, frozen=True, tag="shown", array_like=True):
-    """json: an object; with `error` where it could not be done."""
+class OperatorReply(msgspec.Struct, frozen=True, tag="shown", array_like=True):
+    """The answer to an OperatorQuery: a JSON object; with `error` where it could not be done."""
 
     json: bytes
 
 
-Message = Greet | Here | There | Marked | Ask | Send | Told | Question | Shown
-OF_BRANCHES = (Greet, Here, There, Marked, Ask, Send, Told, Question, Shown)
+Message = (
+    BranchHello
+    | Heartbeat
+    | HeartbeatReply
+    | ReplayProgress
+    | StatusQuery
+    | ReplayWrite
+    | ReplayReply
+    | OperatorQuery
+    | OperatorReply
+)
+BRANCH_MESSAGES = (
+    BranchHello,
+    Heartbeat,
+    HeartbeatReply,
+    ReplayProgress,
+    StatusQuery,
+    ReplayWrite,
+    ReplayReply,
+    OperatorQuery,
+    OperatorReply,
+)
 DECODER: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(replication_messages.Message | Message)
--- a/gorsethread/offline_writes/pending_overlay.py
+++ b/gorsethread/offline_writes/pending_overlay.py
@@ -1,4 +1,4 @@
-"""What queued writes hold, block by block: whose bytes a read at the branch sees. Pure."""
+"""What queued writes hold, block by block: whose bytes a read at the branch sees."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -6,56 +6,70 @@
 from gorsethread.offline_writes.writes import WriteNumber
 
 
-class Bytes(NamedTuple):
+class PendingData(NamedTuple):
+    """The data of one queued write, and the writes that come before it."""
+
     volume: int
     block: int
     blocks: int
     data: bytes
-    after: frozenset[WriteNumber]
+    dependencies: frozenset[WriteNumber]
 
 
-class Shadow:
-    """block_bytes: of one block. As large as the queues it shows."""
+class PendingWriteOverlay:
+    """Owns the data of the writes that were added; `remove` empties it. The queues bound it."""
 
     def __init__(self, block_bytes: int) -> None:
-        self.block_bytes = block_bytes
-        self._writes: dict[WriteNumber, Bytes] = {}
-        self._blocks: dict[tuple[int, int], list[WriteNumber]] = {}  # in order; emptied as writes go
+        self._block_bytes = block_bytes
+        self._writes: dict[WriteNumber, PendingData] = {}
+        self._blocks: dict[tuple[int, int], list[WriteNumber]] = {}  # in order
 
     def add(
-        self, number: WriteNumber, volume: int, block: int, data: bytes, after: Iterable[WriteNumber]
+        self,
+        number: WriteNumber,
+        volume: int,
+        block: int,
+        data: bytes,
+        dependencies: Iterable[WriteNumber],
     ) -> None:
-        """after: writes that come before it; one of these that is heard of late is put before it."""
+        """Shows a write; one that is heard of late is put before those that depend on it."""
         if number in self._writes:
             return
-        blocks = len(data) // self.block_bytes
-        self._writes[number] = Bytes(volume, block, blocks, data, frozenset(after))
-        for n in range(block, block + blocks):
-            line = self._blocks.setdefault((volume, n), [])
-            at = next((k for k, other in enumerate(line) if number in self._writes[other].after), len(line))
-            line.insert(at, number)
+        blocks = len(data) // self._block_bytes
+        self._writes[number] = PendingData(volume, block, blocks, data, frozenset(dependencies))
+        for block_number in range(block, block + blocks):
+            order = self._blocks.setdefault((volume, block_number), [])
+            index = next(
+                (index for index, other in enumerate(order) if number in self._writes[other].dependencies),
+                len(order),
+            )
+            order.insert(index, number)
 
     def remove(self, number: WriteNumber) -> None:
-        gone = self._writes.pop(number, None)
-        if gone is None:
+        """Shows a write no more."""
+        removed = self._writes.pop(number, None)
+        if removed is None:
             return
-        for n in range(gone.block, gone.block + gone.blocks):
-            line = self._blocks[gone.volume, n]
-            line.remove(number)
-            if not line:
-                del self._blocks[gone.volume, n]
-
-    def last(self, volume: int, block: int, blocks: int) -> list[WriteNumber | None]:
-        """Of each block the last write of it."""
-        return [
-            line[-1] if (line := self._blocks.get((volume, n))) else None
-            for n in range(block, block + blocks)
-        ]
-
-    def data(self, number: WriteNumber, block: int) -> bytes:
-        w = self._writes[number]
-        at = (block - w.block) * self.block_bytes
-        return w.data[at : at + self.block_bytes]
+        for block_number in range(removed.block, removed.block + removed.blocks):
+            order = self._blocks[removed.volume, block_number]
+            order.remove(number)
+            if not order:
+                del self._blocks[removed.volume, block_number]
+
+    def latest_writes(self, volume: int, block: int, blocks: int) -> list[WriteNumber | None]:
+        """For each block the last queued write of it."""
+        orders = (self._blocks.get((volume, number)) for number in range(block, block + blocks))
+        return [order[-1] if order else None for order in orders]
+
+    def block_data(self, number: WriteNumber, block: int) -> bytes:
+        """The bytes that a write holds for one of its blocks."""
+        pending = self._writes[number]
+        start = (block - pending.block) * self._block_bytes
+        return pending.data[start : start + self._block_bytes]
+
+    def numbers(self) -> set[WriteNumber]:
+        """The writes that are shown."""
+        return set(self._writes)
 
     def __contains__(self, number: WriteNumber) -> bool:
         return number in self._writes
--- a/gorsethread/offline_writes/primaries.py
+++ b/gorsethread/offline_writes/primaries.py
@@ -1,30 +1,36 @@
-"""Which head of the main site takes a branch's writes, and when one head of a branch replays for the other.
-Pure."""
+"""Which main-site gateway applies a branch's writes, and when a branch's gateway replays for the other."""
 
 from collections.abc import Iterable
 
 from gorsethread.durable_log.replica_placement import weight
 
-TAKES_OVER = 10.0  # seconds that the other head of the branch has been held dead
-PARKS_AFTER = 60.0  # seconds that a head which may have run a write gives no answer
-FENCED = 5.0  # seconds from being shut out to the next look at whether the other still replays
-PROBED = 2  # heads of the main site that are asked for signs
+TAKEOVER_AFTER = 10.0  # seconds that the branch's other gateway has been held dead
+DEAD_LETTER_AFTER = 60.0  # seconds that a gateway which may have run a write gives no answer
+PROBED_GATEWAYS = 2  # of the main site, to which heartbeats go
 
 
-def homes(volume: int, heads: Iterable[int]) -> list[int]:
-    """All heads order them alike, so that one write has one home as long as it lives."""
-    return sorted(heads, key=lambda head: weight(volume, head), reverse=True)
+def primary_order(volume: int, gateways: Iterable[int]) -> list[int]:
+    """The primary first, then its standbys.
 
+    All gateways order them alike, so that one write has one primary as long as that lives.
+    """
+    return sorted(gateways, key=lambda gateway: weight(volume, gateway), reverse=True)
 
-class StandIn:
-    """For the other head of a branch. Safe where it is wrong: each write is in effect once, whoever sends."""
 
-    def __init__(self) -> None:
-        self._dead_since = -1.0
+class StandbyTakeover:
+    """When to replay for the branch's other gateway; owns since when that has been held dead.
+
+    Safe where it is wrong: each write is applied once, whoever sends it.
+    """
 
-    def stands_in(self, mate_lives: bool, now: float) -> bool:
-        if mate_lives:
-            self._dead_since = -1.0
-        elif self._dead_since < 0.0:
+    def __init__(self) -> None:
+        self._dead_since: float | None = None
+
+    def should_replay(self, other_is_alive: bool, now: float) -> bool:
+        """Whether to replay for the other gateway now."""
+        if other_is_alive:
+            self._dead_since = None
+            return False
+        if self._dead_since is None:
             self._dead_since = now
-        return self._dead_since >= 0.0 and now - self._dead_since >= TAKES_OVER
+        return now - self._dead_since >= TAKEOVER_AFTER
--- a/gorsethread/offline_writes/replay_window.py
+++ b/gorsethread/offline_writes/replay_window.py
@@ -1,27 +1,46 @@
-"""How many queued writes are on their way to the main site at once. Pure. Replay yields to live work there:
-it grows while answers come well within the promised time, and halves with one that does not, or is turned
-away.
+"""How many queued writes are on their way to the main site at once.
+
+Replay yields to live work there: the window grows while answers come well within the latency objective, and
+halves with one that does not, or is rejected.
 """
 
-WINDOW = 16  # at most
-QUICK_PART = 0.5  # of the promised time, within which an answer shows room
-AGAIN_LEAST, AGAIN_MOST = 0.1, 3.0  # seconds until what was turned away comes again, doubling
+MAX_WINDOW = 16  # writes
+FAST_FRACTION = 0.5  # of the latency objective, within which an answer shows capacity
+MIN_RETRY_DELAY = 0.1  # seconds until a rejected write is sent again, doubling with each rejection in a row
+MAX_RETRY_DELAY = 3.0  # seconds
+MAX_COUNTED_REJECTIONS = 10
+
 
+class ReplayWindow:
+    """Owns the size of the window and the number of rejections in a row."""
 
-class Pace:
     def __init__(self) -> None:
-        self.window = 1.0
-        self._turned = 0  # turned away in turn
-
-    def answered(self, took: float, promised: float) -> None:
-        self._turned = 0
-        if took <= QUICK_PART * promised:
-            self.window = min(float(WINDOW), self.window + 1.0 / self.window)
-        elif took > promised:
-            self.window = max(1.0, 0.5 * self.window)
-
-    def turned_away(self, after: float) -> float:
-        """Seconds until it may come again; after: what the main site said, 0 for nothing."""
-        self.window = max(1.0, 0.5 * self.window)
-        self._turned = min(self._turned + 1, 10)
-        return max(after, min(AGAIN_MOST, AGAIN_LEAST * 2.0 ** (self._turned - 1)))
+        self._size = 1.0
+        self._rejections = 0
+
+    @property
+    def size(self) -> int:
+        """Writes that may be under way at once."""
+        return int(self._size)
+
+    def succeeded(self, duration: float, latency_objective: float) -> None:
+        """A write was applied that many seconds after it was sent."""
+        self._rejections = 0
+        if duration <= FAST_FRACTION * latency_objective:
+            self._size = min(float(MAX_WINDOW), self._size + 1.0 / self._size)
+        elif duration > latency_objective:
+            self._halve()
+
+    def rejected(self, retry_after: float) -> float:
+        """A write was rejected with that Retry-After, 0 for none.
+
+        Returns:
+            Seconds until it may be sent again.
+        """
+        self._halve()
+        self._rejections = min(self._rejections + 1, MAX_COUNTED_REJECTIONS)
+        backoff = min(MAX_RETRY_DELAY, MIN_RETRY_DELAY * 2.0 ** (self._rejections - 1))
+        return max(retry_after, backoff)
+
+    def _halve(self) -> None:
+        self._size = max(1.0, 0.5 * self._size)
--- a/gorsethread/offline_writes/write_queue.py
+++ b/gorsethread/offline_writes/write_queue.py
@@ -1,310 +1,369 @@
-"""A branch's queue: what it takes, in what order it is replayed, what is parked. A pure core: told what
-happened, asked what to do; whoever carries it keeps each accepted write on disk before its answer.
+"""A branch's queue: what it takes, in what order it is replayed, what is dead-lettered.
 
-What was accepted is never thrown out. It ends in effect, or parked with a reason; what depends on a parked
-write is parked with it. A write whose fate was unknown as the link went is asked about, never sent again
-blindly.
+A pure core: told what happened, asked what to do. Whoever drives it persists each write before it is
+acknowledged. What was accepted is never dropped: it ends applied, or dead-lettered with a reason, and what
+depends on a dead-lettered write is dead-lettered with it. A write whose fate was unknown as the link went is
+queried, never sent again blindly.
 """
 
-from collections.abc import Callable
-from dataclasses import dataclass, field, replace
-from enum import Enum
+from collections.abc import Callable, Iterator
+from dataclasses import replace
 
-from gorsethread.offline_writes.replay_window import WINDOW
-from gorsethread.offline_writes.writes import Write, WriteNumber
+from gorsethread.offline_writes.queued_write import QueuedWrite, QueueLimits, ReadyWrite, Refusal, WriteStage
+from gorsethread.offline_writes.replay_window import MAX_WINDOW
+from gorsethread.offline_writes.writes import Position, Write, WriteNumber
 
-DEAREST_ONLY = 0.9  # of the room: beyond it only the dearest value is taken
-RELEASED, DEPENDS = "released by a person", "depends on"  # reasons, the latter as it begins
-RISES_FROM = 0.5  # of the room: from here on the least value that is taken rises
+HIGHEST_PRIORITY_ONLY_ABOVE = 0.9  # part of the capacity that is filled
+MINIMUM_RISES_ABOVE = 0.5  # part of the capacity; from here on the least priority weight that is taken rises
+RELEASED = "released by a person"
+DEPENDS_ON = "depends on"  # how a reason begins that lies in another write
 
 
-class Stage(Enum):
-    TAKING = "being kept"  # on its way to the disks; not accepted yet
-    WAITS = "waits"
-    ASKED = "asked"  # whether it is in effect, before it is sent
-    SENT = "sent"
-    UNKNOWN = "unknown"  # was sent, and what came of it is not known: is asked about first
-    PARKED = "parked"
+def _always(_number: WriteNumber) -> bool:
+    return True
 
 
-class Refused(Enum):
-    FULL = "the queue is full"
-    CHEAP = "room is kept for dearer writes"
-    TOO_LARGE = "larger than the queue may be"
-    STALE = "what is queued is too old"
+def _never(_number: WriteNumber) -> bool:
+    return False
 
 
-@dataclass(frozen=True)
-class Bounds:
-    """bytes, writes, seconds that the oldest may have waited."""
+class WriteQueue:
+    """Owns the queued writes of one gateway, in the order of their acceptance; emptied as they finish.
 
-    size: int
-    number: int
-    age: float
-
-
-@dataclass
-class Held:
-    """sendings: by head of the main site, which sending it takes; each asking closes the ones before. via:
-    the head it went to last, -1 none. suspects: heads that may have run it, all are asked. anyway: a person
-    said that it is to be applied whatever is known. not_before, since (when it was sent or first asked
-    about): by the clock of whoever asks."""
-
-    write: Write
-    stage: Stage = Stage.WAITS
-    reason: str = ""
-    via: int = -1
-    sendings: dict[int, int] = field(default_factory=dict)
-    suspects: list[int] = field(default_factory=list)
-    anyway: bool = False
-    not_before: float = 0.0
-    since: float = 0.0
-
-    def sending(self, via: int) -> int:
-        return self.sendings.get(via, 0)
-
-
-class Queue:
-    """values: of all profiles that may be queued, for what is refused first. beyond: told of a write of the
-    branch's other head whether it is known to be over."""
+    Args:
+        limits: What the queue may hold.
+        priority_weights: Of all request classes that may be queued; the lowest are refused first.
+        is_other_finished: Whether a write of the branch's standby gateway is known to be finished.
+    """
 
     def __init__(
         self,
-        bounds: Bounds,
-        values: tuple[float, ...],
-        beyond: Callable[[WriteNumber], bool] = lambda number: True,
+        limits: QueueLimits,
+        priority_weights: tuple[float, ...],
+        is_other_finished: Callable[[WriteNumber], bool] = _always,
     ) -> None:
-        self.bounds, self.values, self.beyond = bounds, sorted(values), beyond
-        self.held: dict[WriteNumber, Held] = {}  # in order of acceptance; emptied by what is in effect
-        self.size = 0
-        self.window = WINDOW
-        self.last = (0, 0)  # life and place of the highest number met
-        self._key_last: dict[str, WriteNumber] = {}  # of keys that have a write here
-
-    # ---- taking
-
-    def refuses(self, value: float, size: int, now: float) -> Refused | None:
-        """None: it is taken. The lowest values are refused first as room goes."""
-        if size > self.bounds.size:
-            return Refused.TOO_LARGE
-        filled = max((self.size + size) / self.bounds.size, (len(self.held) + 1) / self.bounds.number)
+        self._limits = limits
+        self._priority_weights = sorted(priority_weights)
+        self._is_other_finished = is_other_finished
+        self._writes: dict[WriteNumber, QueuedWrite] = {}
+        self._last_of_key: dict[str, WriteNumber] = {}  # of keys that have a write here
+        self._last_position: Position = (0, 0)  # the highest that was met
+        self.size = 0  # bytes
+        self.window = MAX_WINDOW
+
+    def __len__(self) -> int:
+        return len(self._writes)
+
+    def __contains__(self, number: WriteNumber | None) -> bool:
+        return number in self._writes
+
+    def __iter__(self) -> Iterator[QueuedWrite]:
+        return iter(self._writes.values())
+
+    def get(self, number: WriteNumber) -> QueuedWrite | None:
+        """The write of that number, if it is queued."""
+        return self._writes.get(number)
+
+    # ---- Admission
+
+    def refusal(self, priority_weight: float, size: int, now: float) -> Refusal | None:
+        """Why a write of that size in bytes is not taken; None where it is."""
+        if size > self._limits.max_bytes:
+            return Refusal.TOO_LARGE
+        filled = max(
+            (self.size + size) / self._limits.max_bytes, (len(self._writes) + 1) / self._limits.max_writes
+        )
         if filled > 1.0:
-            return Refused.FULL
-        oldest = next((h.write.at for h in self.held.values() if h.stage is not Stage.PARKED), now)
-        if now - oldest > self.bounds.age:
-            return Refused.STALE
-        return Refused.CHEAP if value < self.least(filled) else None
-
-    def least(self, filled: float) -> float:
-        """The least value that is taken: rises by the ranks of the values there are."""
-        if filled <= RISES_FROM or not self.values:
+            return Refusal.FULL
+        oldest = next((queued.write.accepted_at for queued in self if not queued.is_dead_lettered), now)
+        if now - oldest > self._limits.max_age:
+            return Refusal.STALE
+        return Refusal.LOW_PRIORITY if priority_weight < self._minimum_weight(filled) else None
+
+    def _minimum_weight(self, filled: float) -> float:
+        """The least priority weight that is taken: it rises by the ranks of the weights there are."""
+        if filled <= MINIMUM_RISES_ABOVE or not self._priority_weights:
             return 0.0
-        part = min(1.0, (filled - RISES_FROM) / (DEAREST_ONLY - RISES_FROM))
-        return self.values[min(len(self.values) - 1, int(part * len(self.values)))]
-
-    def taking(self, write: Write) -> None:
-        """It goes to the disks; its place in the order is this."""
-        self.held[write.number] = Held(write, Stage.TAKING)
-        self.last = max(self.last, write.number[1:])
+        span = HIGHEST_PRIORITY_ONLY_ABOVE - MINIMUM_RISES_ABOVE
+        part = min(1.0, (filled - MINIMUM_RISES_ABOVE) / span)
+        rank = int(part * len(self._priority_weights))
+        return self._priority_weights[min(len(self._priority_weights) - 1, rank)]
+
+    def persisting(self, write: Write) -> None:
+        """A write goes to the disks; its place in the order is this."""
+        self._writes[write.number] = QueuedWrite(write, WriteStage.PERSISTING)
+        self._last_position = max(self._last_position, write.number.position)
         self.size += write.size
-        self._key_last[write.key] = write.number
+        self._last_of_key[write.ordering_key] = write.number
 
-    def kept(self, number: WriteNumber) -> None:
-        """It is there: it was accepted."""
-        h = self.held[number]
-        h.stage = Stage.WAITS
-        self._falls_with(h)
+    def persisted(self, number: WriteNumber) -> None:
+        """A write is on the disks: it is accepted."""
+        queued = self._writes[number]
+        queued.stage = WriteStage.WAITING
+        self._dead_letter_with_dependencies(queued)
 
-    def accepted(
+    def restore(
         self,
         write: Write,
-        stage: Stage = Stage.WAITS,
+        stage: WriteStage = WriteStage.WAITING,
         reason: str = "",
         suspects: tuple[int, ...] = (),
-        anyway: bool = False,
+        forced: bool = False,
     ) -> None:
-        """It is on disk, by what was read there: stage and reason as they were told last."""
-        self.taking(write)
-        h = self.held[write.number]
-        h.stage, h.reason, h.suspects, h.anyway = stage, reason, list(suspects), anyway
-        if stage is not Stage.PARKED:
-            self._falls_with(h)
-
-    def _falls_with(self, h: Held) -> None:
-        if any(o.stage is Stage.PARKED for n in h.write.own if (o := self.held.get(n)) is not None):
-            self.park(h.write.number, f"{DEPENDS} a parked write")
-
-    def last_of(self, key: str) -> WriteNumber | None:
-        return self._key_last.get(key)
-
-    def again(self, label: int, volume: int, block: int) -> WriteNumber | None:
-        """The write that a client's repeat is one of, where it was accepted."""
-        return (
-            next(
-                (
-                    n
-                    for n, h in self.held.items()
-                    if h.stage is not Stage.TAKING
-                    and h.write.label == label
-                    and (h.write.volume, h.write.block) == (volume, block)
-                ),
-                None,
-            )
-            if label
-            else None
-        )
-
-    # ---- replay
-
-    def ready(self, now: float = float("inf")) -> list[tuple[WriteNumber, bool]]:
-        """What may go to the main site now: (number, whether to ask about it first). In order of acceptance,
-        at most as many under way as the window has."""
-        out = sum(h.stage in (Stage.ASKED, Stage.SENT) for h in self.held.values())
-        found: list[tuple[WriteNumber, bool]] = []
-        for number, h in self.held.items():
-            if out + len(found) >= self.window:
+        """A write is on the disks, by what was read there, with the progress that was recorded last."""
+        self.persisting(write)
+        queued = self._writes[write.number]
+        queued.stage = stage
+        queued.reason = reason
+        queued.suspects = list(suspects)
+        queued.forced = forced
+        if not queued.is_dead_lettered:
+            self._dead_letter_with_dependencies(queued)
+
+    def withdrawn(self, number: WriteNumber) -> None:
+        """A write could not be persisted for sure: it is not accepted, and its client was told so."""
+        self._remove(number)
+
+    def _dead_letter_with_dependencies(self, queued: QueuedWrite) -> None:
+        if any(self._holds_dead_letter(number) for number in queued.write.own_dependencies):
+            self.dead_letter(queued.write.number, f"{DEPENDS_ON} a parked write")
+
+    def _holds_dead_letter(self, number: WriteNumber) -> bool:
+        queued = self._writes.get(number)
+        return queued is not None and queued.is_dead_lettered
+
+    def last_of_key(self, ordering_key: str) -> WriteNumber | None:
+        """The last write of that key, if it is queued."""
+        return self._last_of_key.get(ordering_key)
+
+    def duplicate_of(self, idempotency_key: int, volume: int, block: int) -> WriteNumber | None:
+        """The accepted write that a client's retry repeats."""
+        if not idempotency_key:
+            return None
+        for number, queued in self._writes.items():
+            write = queued.write
+            same_place = (write.volume, write.block) == (volume, block)
+            accepted = queued.stage is not WriteStage.PERSISTING
+            if accepted and same_place and write.idempotency_key == idempotency_key:
+                return number
+        return None
+
+    # ---- Replay
+
+    def ready(self, now: float = float("inf")) -> list[ReadyWrite]:
+        """What may go to the main site now, in the order of acceptance, as far as the window allows."""
+        capacity = self.window - sum(queued.is_under_way for queued in self)
+        found: list[ReadyWrite] = []
+        for number, queued in self._writes.items():
+            if len(found) >= capacity:
                 break
-            if h.stage in (Stage.WAITS, Stage.UNKNOWN) and h.not_before <= now and self._free(h.write):
-                found.append((number, h.stage is Stage.UNKNOWN))
+            due = queued.may_be_dead_lettered and queued.not_before <= now
+            if due and self._dependencies_finished(queued.write):
+                found.append(ReadyWrite(number, queued.stage is WriteStage.UNKNOWN))
         return found
 
-    def _free(self, write: Write) -> bool:
-        return all(n not in self.held for n in write.own) and all(self.beyond(n) for n in write.others)
-
-    def asks(self, number: WriteNumber, now: float = 0.0) -> None:
-        h = self.held[number]
-        h.stage, h.since = Stage.ASKED, h.since or now
-
-    def sends(self, number: WriteNumber, via: int = 0, now: float = 0.0) -> None:
-        """Told, and on disk, before it goes: what is sent and not answered is unknown after a crash."""
-        h = self.held[number]
-        h.stage, h.via, h.suspects, h.since = Stage.SENT, via, [via], now
-
-    def not_there(self, number: WriteNumber, via: int, sending: int) -> None:
-        """Asked, that head has it not in effect; it takes that sending from now on, and none before it."""
-        h = self.held.get(number)
-        if h is not None and h.stage is Stage.ASKED and sending > h.sending(via):
-            h.sendings[via] = sending
-            h.suspects = [n for n in h.suspects if n != via]
-            h.stage = Stage.UNKNOWN if h.suspects else Stage.WAITS
-            h.since = 0.0
-
-    def in_effect(self, number: WriteNumber) -> None:
-        self._end(number)
-
-    def broke(self, via: int | None = None) -> None:
-        """The link went, or the way to that head, or this process did: of what was under way nothing is
-        known."""
-        for h in self.held.values():
-            if h.stage in (Stage.SENT, Stage.ASKED) and (via is None or via in h.suspects):
-                h.stage = Stage.UNKNOWN
-
-    def closed(self, number: WriteNumber, sending: int) -> None:
-        """That sending is not taken: somebody asked since. Of an earlier one it says nothing of the last."""
-        h = self.held.get(number)
-        if h is not None and h.stage is Stage.SENT and h.sending(h.via) == sending:
-            h.stage, h.since = Stage.UNKNOWN, 0.0
-
-    def turned_away(self, number: WriteNumber, sending: int, not_before: float = 0.0) -> None:
-        """It has not run: it waits again."""
-        h = self.held.get(number)
-        if h is not None and h.stage is Stage.SENT and h.sending(h.via) == sending:
-            h.stage, h.not_before, h.suspects = Stage.WAITS, not_before, []
-
-    def conflicts(self, number: WriteNumber, why: str) -> bool:
-        """Its place has changed since the branch last saw it. True: apply it all the same."""
-        h = self.held.get(number)
-        if h is None:
+    def _dependencies_finished(self, write: Write) -> bool:
+        own = all(number not in self._writes for number in write.own_dependencies)
+        return own and all(self._is_other_finished(number) for number in write.other_dependencies)
+
+    def queried(self, number: WriteNumber, now: float = 0.0) -> None:
+        """The main site is asked whether a write is applied."""
+        queued = self._writes[number]
+        queued.stage = WriteStage.QUERIED
+        queued.pending_since = queued.pending_since or now
+
+    def sent(self, number: WriteNumber, gateway: int = 0, now: float = 0.0) -> None:
+        """A write goes to a gateway of the main site.
+
+        Call it, and persist the progress, before the write goes: what is sent and not answered is unknown
+        after a crash.
+        """
+        queued = self._writes[number]
+        queued.stage = WriteStage.SENT
+        queued.sent_to = gateway
+        queued.suspects = [gateway]
+        queued.pending_since = now
+
+    def not_applied(self, number: WriteNumber, gateway: int, send_token: int) -> None:
+        """A gateway that was queried has not applied a write; it accepts that token from now on."""
+        queued = self._writes.get(number)
+        if queued is None or queued.stage is not WriteStage.QUERIED:
+            return
+        if send_token <= queued.send_token(gateway):
+            return
+        queued.send_tokens[gateway] = send_token
+        queued.suspects = [suspect for suspect in queued.suspects if suspect != gateway]
+        queued.stage = WriteStage.UNKNOWN if queued.suspects else WriteStage.WAITING
+        queued.pending_since = 0.0
+
+    def applied(self, number: WriteNumber) -> None:
+        """A write is in effect at the main site."""
+        self._remove(number)
+
+    def connection_lost(self, gateway: int | None = None) -> None:
+        """Of what was under way to that gateway, or to any, the fate is not known any more."""
+        for queued in self:
+            if queued.is_under_way and (gateway is None or gateway in queued.suspects):
+                queued.stage = WriteStage.UNKNOWN
+
+    def token_refused(self, number: WriteNumber, send_token: int) -> None:
+        """A sending was refused since somebody queried; an earlier one says nothing of the last."""
+        queued = self._writes.get(number)
+        if queued is not None and queued.is_answered_by(send_token):
+            queued.stage = WriteStage.UNKNOWN
+            queued.pending_since = 0.0
+
+    def rejected(self, number: WriteNumber, send_token: int, not_before: float = 0.0) -> None:
+        """A sending has not run: the write waits again."""
+        queued = self._writes.get(number)
+        if queued is not None and queued.is_answered_by(send_token):
+            queued.stage = WriteStage.WAITING
+            queued.not_before = not_before
+            queued.suspects = []
+
+    def query_deferred(self, number: WriteNumber, not_before: float) -> None:
+        """A query about a write got no answer yet: it is asked again then."""
+        queued = self._writes.get(number)
+        if queued is not None and queued.stage is WriteStage.QUERIED:
+            queued.stage = WriteStage.UNKNOWN
+            queued.not_before = not_before
+
+    def unanswered(self, number: WriteNumber, now: float) -> None:
+        """No gateway that might know of a write can be reached; since when counts from the first time."""
+        queued = self._writes[number]
+        queued.pending_since = queued.pending_since or now
+
+    def conflict(self, number: WriteNumber, reason: str) -> bool:
+        """Blocks of a write changed at the main site since the branch saw them.
+
+        Returns:
+            Whether to apply it all the same.
+        """
+        queued = self._writes.get(number)
+        if queued is None:
             return False
-        if not h.write.parks:
+        if not queued.write.stops_on_conflict:
             return True
-        self.park(number, why)
+        self.dead_letter(number, reason)
         return False
 
-    def park(self, number: WriteNumber, why: str) -> None:
-        """For a person; and what depends on it."""
-        h = self.held.get(number)
-        if h is None or h.stage is Stage.PARKED:
-            return
-        h.stage, h.reason = Stage.PARKED, why
-        for other, o in list(self.held.items()):
-            if number in o.write.own and o.stage in (Stage.WAITS, Stage.UNKNOWN):
-                self.park(other, f"{DEPENDS} {number.place}, which is parked")
+    # ---- Dead letters
 
-    # ---- by a person
+    def dead_letter(self, number: WriteNumber, reason: str) -> None:
+        """Leaves a write to a person, and what depends on it."""
+        queued = self._writes.get(number)
+        if queued is None or queued.is_dead_lettered:
+            return
+        queued.stage = WriteStage.DEAD_LETTERED
+        queued.reason = reason
+        for other, dependent in list(self._writes.items()):
+            if number in dependent.write.own_dependencies and dependent.may_be_dead_lettered:
+                self.dead_letter(other, f"{DEPENDS_ON} {number.sequence}, which is parked")
+
+    def dead_letter_dependents_of(self, number: WriteNumber) -> None:
+        """The standby gateway dead-lettered that write of its own.
+
+        What depends on it here is dead-lettered too, so that nothing new waits behind these for as long as a
+        person takes.
+        """
+        for other, dependent in list(self._writes.items()):
+            if number in dependent.write.other_dependencies and dependent.may_be_dead_lettered:
+                self.dead_letter(other, f"{DEPENDS_ON} one of head {number.gateway}, which is parked")
 
     def release(self, number: WriteNumber) -> list[WriteNumber]:
-        """It is to be applied after all, with what was parked for its sake alone; of these what may have run
-        is asked about first."""
-        h = self.held.get(number)
-        if h is None or h.stage is not Stage.PARKED:
+        """A person wants a write applied after all, with what was dead-lettered for its sake alone.
+
+        Returns:
+            All that is released; of these what may have run is queried first. Empty where the write is not
+            dead-lettered.
+        """
+        queued = self._writes.get(number)
+        if queued is None or not queued.is_dead_lettered:
             return []
-        h.write, h.anyway, h.suspects = replace(h.write, parks=False), True, []
-        h.stage, h.reason = Stage.WAITS, RELEASED
-        return [number, *self.freed(number)]
-
-    def parked_elsewhere(self, number: WriteNumber) -> None:
-        """A write of the other head: what comes after it here is parked with it, so that nothing new waits
-        behind these for as long as a person takes."""
-        for other, o in list(self.held.items()):
-            if number in o.write.others and o.stage in (Stage.WAITS, Stage.UNKNOWN):
-                self.park(other, f"{DEPENDS} one of head {number.branch}, which is parked")
-
-    def freed(
-        self, number: WriteNumber, elsewhere: Callable[[WriteNumber], bool] = lambda number: False
+        queued.write = replace(queued.write, stops_on_conflict=False)
+        queued.forced = True
+        queued.suspects = []
+        queued.stage = WriteStage.WAITING
+        queued.reason = RELEASED
+        return [number, *self.release_dependents_of(number)]
+
+    def release_dependents_of(
+        self, number: WriteNumber, is_other_dead_lettered: Callable[[WriteNumber], bool] = _never
     ) -> list[WriteNumber]:
-        """That write, of either head, is parked no more, or over: with it goes what was parked for its sake
-        alone. elsewhere: whether one of the other head is parked."""
-        found = [number]
-        for n in found:
-            for other, o in self.held.items():
-                held_up = any(c in self.held and self.held[c].stage is Stage.PARKED for c in o.write.own)
-                held_up = held_up or any(elsewhere(c) for c in o.write.others)
-                if (
-                    o.stage is Stage.PARKED
-                    and n in o.write.causes
-                    and o.reason.startswith(DEPENDS)
-                    and (not held_up)
+        """A write of either gateway is released or finished.
+
+        Args:
+            number: Of that write.
+            is_other_dead_lettered: Whether a write of the standby gateway is dead-lettered.
+
+        Returns:
+            What was dead-lettered for its sake alone, and is released with it.
+        """
+        released = [number]
+        for cause in released:
+            for other, dependent in self._writes.items():
+                if cause in dependent.write.dependencies and self._may_release(
+                    dependent, is_other_dead_lettered
                 ):
-                    o.stage, o.reason = Stage.UNKNOWN if o.suspects else Stage.WAITS, RELEASED
-                    found.append(other)
-        return found[1:]
+                    dependent.stage = WriteStage.UNKNOWN if dependent.suspects else WriteStage.WAITING
+                    dependent.reason = RELEASED
+                    released.append(other)
+        return released[1:]
+
+    def _may_release(
+        self, queued: QueuedWrite, is_other_dead_lettered: Callable[[WriteNumber], bool]
+    ) -> bool:
+        """It is dead-lettered for the sake of others alone, and none of these is any more."""
+        if not queued.is_dead_lettered or not queued.reason.startswith(DEPENDS_ON):
+            return False
+        if any(self._holds_dead_letter(number) for number in queued.write.own_dependencies):
+            return False
+        return not any(is_other_dead_lettered(number) for number in queued.write.other_dependencies)
 
     def discard(self, number: WriteNumber) -> bool:
-        """It is given up, by a person. False: it is not parked, or another depends on it."""
-        h = self.held.get(number)
-        if h is None or h.stage is not Stage.PARKED or any(number in o.write.own for o in self.held.values()):
+        """A person gives a write up.
+
+        Returns:
+            False where it is not dead-lettered, or another depends on it.
+        """
+        if not self._holds_dead_letter(number):
             return False
-        self._end(number)
+        if any(number in queued.write.own_dependencies for queued in self):
+            return False
+        self._remove(number)
         return True
 
-    def dropped(self, number: WriteNumber) -> None:
-        """It could not be kept for sure: it is not accepted, and its client was told so."""
-        self._end(number)
-
     @property
-    def mark(self) -> tuple[int, int]:
-        """Life and place up to which everything is over but what is parked."""
-        first = min((n[1:] for n, h in self.held.items() if h.stage is not Stage.PARKED), default=None)
-        return self.last if first is None else (first[0], first[1] - 1)
+    def dead_letters(self) -> list[QueuedWrite]:
+        """What waits for a person."""
+        return [queued for queued in self if queued.is_dead_lettered]
+
+    # ---- Progress
 
     @property
-    def passed(self) -> list[tuple[int, int]]:
-        """Life and place of what the mark may have passed though it is held: parked, or once so."""
-        return [n[1:] for n, h in self.held.items() if h.reason]
+    def completed_up_to(self) -> Position:
+        """Up to there everything is finished but what is dead-lettered."""
+        unfinished = (queued.write.number.position for queued in self if not queued.is_dead_lettered)
+        first = min(unfinished, default=None)
+        if first is None:
+            return self._last_position
+        incarnation, sequence = first
+        return incarnation, sequence - 1
 
     @property
-    def parked(self) -> list[Held]:
-        return [h for h in self.held.values() if h.stage is Stage.PARKED]
+    def completed_exceptions(self) -> list[Position]:
+        """What `completed_up_to` may have passed though it is queued: dead-lettered, or once so."""
+        return [queued.write.number.position for queued in self if queued.reason]
 
     @property
-    def empty(self) -> bool:
-        """All that was accepted is in effect or parked."""
-        return all(h.stage is Stage.PARKED for h in self.held.values())
-
-    def _end(self, number: WriteNumber) -> None:
-        h = self.held.pop(number, None)
-        if h is not None:
-            self.size -= h.write.size
-            if self._key_last.get(h.write.key) == number:
-                del self._key_last[h.write.key]
+    def is_drained(self) -> bool:
+        """All that was accepted is applied or dead-lettered."""
+        return all(queued.is_dead_lettered for queued in self)
+
+    def _remove(self, number: WriteNumber) -> None:
+        queued = self._writes.pop(number, None)
+        if queued is None:
+            return
+        self.size -= queued.write.size
+        if self._last_of_key.get(queued.write.ordering_key) == number:
+            del self._last_of_key[queued.write.ordering_key]
--- a/tests/test_branching.py
+++ b/tests/test_branching.py
@@ -25,7 +25,7 @@
 from gorsethread.head.peers import fleet_of
 from gorsethread.logs import log_for, start_logs
 from gorsethread.offline_writes import messages as offline_messages
-from gorsethread.offline_writes.messages import Question
+from gorsethread.offline_writes.messages import OperatorQuery
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.sitefile.reading import BadSite, parse_site, read_site
 from gorsethread.transport.base import StreamClosed
@@ -205,19 +205,19 @@
             except StreamClosed as error:
                 ended.append(str(error))
 
-        greet = offline_messages.Greet(fleet, 3)
+        greet = offline_messages.BranchHello(fleet, 3)
         for words in (
-            (offline_messages.Greet(fleet + 1, 3),),
-            (greet, offline_messages.Marked(0, 9, (1, 1), [])),
-            (offline_messages.Here(1),),
-            (greet, offline_messages.Ask((99, 1, 1), 1, 0)),
-            (offline_messages.Question(fleet, "show"),),
+            (offline_messages.BranchHello(fleet + 1, 3),),
+            (greet, offline_messages.ReplayProgress(0, 9, (1, 1), [])),
+            (offline_messages.Heartbeat(1),),
+            (greet, offline_messages.StatusQuery((99, 1, 1), 1, 0)),
+            (offline_messages.OperatorQuery(fleet, "show"),),
         ):
             w.loop.call_at(w.zero + 1.0, lambda words=words: process.spawn(say(*words)))
         for odd in (
-            offline_messages.Send((3, 1, 1), 1, 0, -1, 8, 0, 0, 0, 0, 0, False, bytes(4096)),
-            offline_messages.Send((3, 1, 2), 1, 0, 2, 8, -5, 0, 0, 0, 0, False, bytes(4096)),
-            offline_messages.Send((3, 1, 3), 1, 0, 2, 77, 0, 0, 0, 0, 0, False, b"x"),
+            offline_messages.ReplayWrite((3, 1, 1), 1, 0, -1, 8, 0, 0, 0, 0, 0, False, bytes(4096)),
+            offline_messages.ReplayWrite((3, 1, 2), 1, 0, 2, 8, -5, 0, 0, 0, 0, False, bytes(4096)),
+            offline_messages.ReplayWrite((3, 1, 3), 1, 0, 2, 77, 0, 0, 0, 0, 0, False, b"x"),
         ):
             w.loop.call_at(w.zero + 1.5, lambda odd=odd: process.spawn(say(greet, odd)))
         o = w.play()
@@ -236,14 +236,16 @@
             def decide(w: BranchWorld = w, answers: list[Any] = answers) -> None:
                 for n in (3, 4):
                     side = w.heads[n].branch
-                    parked = side.answer(Question(0, "parked"))["parked"] if side else []
+                    parked = side.answer(OperatorQuery(0, "parked"))["parked"] if side else []
                     if parked and w.processes[f"head {n}"].alive and not answers:
                         first, last = parked[0], parked[-1]
                         answers += [
                             first,
                             last,
                             side.answer(
-                                Question(0, what, tuple((first if what == "release" else last)["number"]))
+                                OperatorQuery(
+                                    0, what, tuple((first if what == "release" else last)["number"])
+                                )
                             ),
                         ]
                 if not answers:
@@ -260,7 +262,9 @@
         self.assertEqual(first["number"], answer["released"][0])
         self.assertEqual(([], []), (o.reasons, o.defects))
         parked = {
-            tuple(n) for head in (3, 4) for n in [h.write.number for h in w.heads[head].branch.queue.parked]
+            tuple(n)
+            for head in (3, 4)
+            for n in [h.write.number for h in w.heads[head].branch.queue.dead_letters]
         }
         self.assertNotIn(tuple(first["number"]), parked)
 
@@ -276,8 +280,8 @@
         w = BranchWorld(SITE, read_script(ODD_ONES))
         w.play()
         side = w.heads[3].branch
-        self.assertIn("no parked write", side.answer(Question(0, "release", (3, 1, 1)))["error"])
-        self.assertIn("no parked write", side.answer(Question(0, "discard"))["error"])
+        self.assertIn("no parked write", side.answer(OperatorQuery(0, "release", (3, 1, 1)))["error"])
+        self.assertIn("no parked write", side.answer(OperatorQuery(0, "discard"))["error"])
 
 
 class Commands(unittest.TestCase):
@@ -355,8 +359,8 @@
         text = "".join(line + "\n" for line in REAL.splitlines() if not line.startswith(("14", "17.5")))
         r, _ = self.played(
             text.replace("seconds 30", "seconds 14"),
-            "from gorsethread.offline_writes.write_queue import Queue\n"
-            "Queue._free = lambda q, write: True\n",
+            "from gorsethread.offline_writes.write_queue import WriteQueue\n"
+            "WriteQueue._dependencies_finished = lambda q, write: True\n",
         )
         self.assertGreater(r.causal_breaks, 0, r)
         self.assertFalse(r.good)
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -305,8 +305,8 @@
             "import sys, gorsethread.http_gateway.program\n"
             "print([m for m in sys.modules if m.startswith(('gorsethread.durable_log', 'google_crc32c',"
             " 'gorsethread.recovery', 'concurrent.futures.thread', 'gorsethread.nvme_gateway.replicated_log',"
-            " 'gorsethread.offline_writes', 'gorsethread.nvme_gateway.branching',"
-            " 'gorsethread.nvme_gateway.replay_receiver'))])"
+            " 'gorsethread.offline_writes', 'gorsethread.nvme_gateway.offline',"
+            " 'gorsethread.nvme_gateway.replay_'))])"
         )
         done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
         self.assertEqual("[]", done.stdout.strip(), done.stderr)
