--- /dev/null
+++ b/tests/offline_writes/test_epoch_fence.py
@@ -0,0 +1,25 @@
+"""When a gateway holds off its replay as another one replays its queue."""
+
+from gorsethread.offline_writes.epoch_fence import FENCED_FOR, EpochFence
+
+
+def test_a_fenced_gateway_sends_nothing_until_it_resumes_under_a_later_epoch() -> None:
+    fence = EpochFence()
+    fence.start(7)
+    assert not fence.is_fenced(0.0)
+    fence.fence(9, 10.0)
+    assert fence.is_fenced(10.0)
+    assert not fence.may_resume(10.0 + FENCED_FOR / 2)
+    assert fence.may_resume(10.0 + FENCED_FOR)
+    assert fence.is_fenced(10.0 + FENCED_FOR)  # its own epoch is still the earlier one
+    fence.resume()
+    assert fence.epoch == 10
+    assert not fence.is_fenced(10.0 + FENCED_FOR)
+
+
+def test_an_epoch_that_is_not_later_holds_it_off_for_the_time_alone() -> None:
+    fence = EpochFence()
+    fence.start(7)
+    fence.fence(7, 10.0)
+    assert fence.is_fenced(10.0)
+    assert not fence.is_fenced(10.0 + FENCED_FOR)
