--- a/gorsethread/harness/site.py
+++ b/gorsethread/harness/site.py
@@ -52,8 +52,8 @@
         for m in replication_messages.MessageReader(offline_messages.DECODER).take(first):
             if isinstance(m, replication_messages.Hello):
                 return f"head {m.gateway}"
-            if isinstance(m, offline_messages.Greet):
-                return f"head {m.head}"
+            if isinstance(m, offline_messages.BranchHello):
+                return f"head {m.gateway}"
     with contextlib.suppress(msgspec.DecodeError):
         ask: Ask = msgspec.json.decode(first.splitlines()[0], type=Ask)
         return f"head {ask.head}"
--- a/gorsethread/nvme_gateway/replica_server.py
+++ b/gorsethread/nvme_gateway/replica_server.py
@@ -94,7 +94,7 @@
         self.replicas: dict[int, Replica] = {}
         self._streams: set[Stream] = set()
         self.on_branch_message: Callable[[Stream, Any], None] | None = None
-        self.answer_question: Callable[[offline_messages.Question], bytes] | None = None
+        self.answer_question: Callable[[offline_messages.OperatorQuery], bytes] | None = None
         self.on_records_stored: Callable[[int, list[Record], bool, SequenceNumber], None] = lambda *_: None
 
     def start(self) -> None:
@@ -165,9 +165,9 @@
                 raise self._foreign(message.gateway, message.fleet)
             self._identify(session, message.gateway, message.fleet)
             self._greeted(session, message.incarnation)
-        elif isinstance(message, offline_messages.Greet):
-            self._identify(session, message.head, message.fleet)
-        elif isinstance(message, offline_messages.Question):
+        elif isinstance(message, offline_messages.BranchHello):
+            self._identify(session, message.gateway, message.fleet)
+        elif isinstance(message, offline_messages.OperatorQuery):
             self._on_question(session, message)
         elif session.origin == NO_GATEWAY:
             raise ProtocolError("no greeting came first")
@@ -175,7 +175,7 @@
             await self._on_fetch(session, message)
         elif isinstance(message, replication_messages.Put):
             await self._on_put(session.stream, session.origin, message)
-        elif isinstance(message, offline_messages.OF_BRANCHES) and self.on_branch_message is not None:
+        elif isinstance(message, offline_messages.BRANCH_MESSAGES) and self.on_branch_message is not None:
             self.on_branch_message(session.stream, message)
 
     def _identify(self, session: _Session, gateway: int, fleet: int) -> None:
@@ -187,11 +187,11 @@
     def _foreign(self, gateway: int, fleet: int) -> ProtocolError:
         return ProtocolError(f"gateway {gateway} of fleet {fleet} is none of this fleet")
 
-    def _on_question(self, session: _Session, question: offline_messages.Question) -> None:
+    def _on_question(self, session: _Session, question: offline_messages.OperatorQuery) -> None:
         is_local = session.stream.peer.startswith(LOOPBACK)
         if not is_local or question.fleet != self.fleet or self.answer_question is None:
             raise ProtocolError("an operator's question that is not answered here")
-        session.send(offline_messages.Shown(self.answer_question(question)))
+        session.send(offline_messages.OperatorReply(self.answer_question(question)))
 
     def _greeted(self, session: _Session, incarnation: int) -> None:
         replica = self.replica_of(session.origin)
