--- a/gorsethread/nvme_gateway/offline/write_admission.py
+++ b/gorsethread/nvme_gateway/offline/write_admission.py
@@ -11,7 +11,7 @@
 from gorsethread.nvme_gateway.offline.change_history import ChangeHistory
 from gorsethread.nvme_gateway.offline.client_contexts import ClientContexts
 from gorsethread.nvme_gateway.offline.dead_letters import DeadLetters
-from gorsethread.nvme_gateway.offline.queue_persistence import RETRY_AFTER_RECOVERY, QueuePersistence
+from gorsethread.nvme_gateway.offline.queue_persistence import QueuePersistence
 from gorsethread.nvme_gateway.offline.standby_writes import StandbyWrites
 from gorsethread.nvme_gateway.offline.write_records import write_of
 from gorsethread.offline_writes.admission import (
@@ -27,6 +27,7 @@
 from gorsethread.offline_writes.write_queue import DEPENDS_ON, WriteQueue
 from gorsethread.offline_writes.writes import Dependencies, WriteNumber, collect_dependencies
 from gorsethread.recovery.spacing import spread_retry_after
+from gorsethread.recovery.stages import RETRY_AFTER as RETRY_AFTER_RECOVERY
 from gorsethread.transport.base import Timer, Transport
 
 
