--- a/gorsethread/__init__.py
+++ b/gorsethread/__init__.py
@@ -1,1 +1,1 @@
-"""gorsethread: a storage gateway that keeps volumes to their reservations, shares and limits."""
+"""A storage gateway that keeps volumes to their reservations, shares and limits."""
--- a/gorsethread/__main__.py
+++ b/gorsethread/__main__.py
@@ -1,4 +1,4 @@
-"""python -m gorsethread"""
+"""The command line as a module: ``python -m gorsethread``."""
 
 from gorsethread.cli.main import app
 
--- a/gorsethread/errors.py
+++ b/gorsethread/errors.py
@@ -1,11 +1,18 @@
-"""The one family of this program's errors. Each says in its text what happened and where, and by its type
-what an operator can do, which commands print and logs carry."""
+"""The one family of this program's errors.
+
+An error says in its text what happened and where, and by its type what an operator can do; commands print
+both and logs carry them.
+"""
 
 from typing import ClassVar
 
 
 class GorsethreadError(Exception):
-    """action: what an operator can do, a sentence of its own for each type."""
+    """Base of all errors of this program.
+
+    Attributes:
+        action: What an operator can do, a sentence of its own for each type.
+    """
 
     action: ClassVar[str] = ""
 
@@ -16,7 +23,11 @@
 
 
 class InvalidInputError(GorsethreadError):
-    """Something given by a person is wrong in one place or several. faults: a line each."""
+    """Something given by a person is wrong in one place or several.
+
+    Attributes:
+        faults: A line for each place.
+    """
 
     action = "Mend the lines that are named and try again; nothing was changed."
 
