--- /dev/null
+++ b/tests/durable_log/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the durable log."""
--- /dev/null
+++ b/tests/recovery/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of a gateway's recovery."""
--- a/tests/test_spacing.py
+++ b/tests/recovery/test_spacing.py
@@ -23,7 +23,7 @@
 )
 from gorsethread.sitefile.reading import BadSite, parse_site, read_site
 
-PATH = Path(__file__).parent.parent / "deploy" / "site.txtpb"
+PATH = Path(__file__).parent.parent.parent / "deploy" / "site.txtpb"
 SITE = read_site(PATH)
 
 
