--- a/gorsethread/scheduling/scheduler.py
+++ b/gorsethread/scheduling/scheduler.py
@@ -129,8 +129,7 @@
         """Tells the mechanisms what the outcome says of the backend."""
         if not backend.ready and outcome.never_ran:
             # It takes nothing new already, or is gone: no sign of overload, and the end of its drain.
-            backend.last_send = 0.0
-            self.shards.next_drain_end = 0.0
+            self.shards.end_drain(backend)
             return
         if not self.outliers.attempt_ended(backend, outcome, sent_at):
             return
--- a/gorsethread/scheduling/shard_assignment.py
+++ b/gorsethread/scheduling/shard_assignment.py
@@ -37,6 +37,11 @@
         backend.ready, backend.last_send = False, 0.0
         self._not_ready[backend.id] = backend
 
+    def end_drain(self, backend: Backend) -> None:
+        """The backend takes no new attempt any more: update() is due at once."""
+        backend.last_send = 0.0
+        self.next_drain_end = 0.0
+
     def update(self, now: float) -> None:
         """Ends the drains whose time is over and assigns each shard that something changed for."""
         self.next_drain_end = NEVER
--- a/gorsethread/scheduling/slow_start.py
+++ b/gorsethread/scheduling/slow_start.py
@@ -73,7 +73,7 @@
 
     def spend(self, request: Request, backend: Backend) -> None:
         """The request is sent to a backend that is warming up."""
-        backend.lease.units -= request.units
+        self.leases.spend(backend, request.units)
         if not self.leases.enabled:
             self.leases.log.add(backend.shard, self._timers.now, request.units)
 
--- a/gorsethread/scheduling/slow_start_leases.py
+++ b/gorsethread/scheduling/slow_start_leases.py
@@ -86,6 +86,10 @@
         lease = backend.lease
         return lease.units if self._timers.now < lease.valid_until else 0.0
 
+    def spend(self, backend: Backend, units: float) -> None:
+        """Units of the lease are sent."""
+        backend.lease.units -= units
+
     def acquire(self, request: Request, backend: Backend) -> bool:
         """Asks for a lease for the request, one at a time a backend; whether it is granted at once."""
         lease = backend.lease
--- a/gorsethread/simulator_adapter/__main__.py
+++ b/gorsethread/simulator_adapter/__main__.py
@@ -1,177 +1,20 @@
-"""The wire adapter: batches in, calls on the scheduler, replies out. It decides nothing."""
+"""The operators' simulator on standard input and output: a batch a line, a reply a line. Decides nothing."""
 
 import json
 import sys
-import traceback
-from typing import Any
 
-from gorsethread.gateway.startfacts import Fields, Malformed, start_facts, word
-from gorsethread.scheduling.model import AttemptEnded, AttemptOutcome, RequestTaken
-from gorsethread.scheduling.scheduler import Scheduler
-
-ENDINGS = {
-    "S": AttemptOutcome.SUCCEEDED,
-    "E": AttemptOutcome.ERROR,
-    "F": AttemptOutcome.REJECTED,
-    "T": AttemptOutcome.TIMED_OUT,
-    "C": AttemptOutcome.UNREACHABLE,
-    "R": AttemptOutcome.CONNECTION_LOST,
-    "X": AttemptOutcome.CANCELLED,
-    "N": AttemptOutcome.NOT_SENT,
-}
-CLIENT_REPEAT = 2
-
-
-class BenchHost:
-    """The host of one instance: every act becomes a line of the reply."""
-
-    def __init__(self, link: "Link") -> None:
-        self.link = link
-        self.said: list[dict[str, Any]] = []
-
-    def clock(self) -> float:
-        return self.link.wall
-
-    def send_attempt(self, request: int, backend: int, wait: float) -> None:
-        self.said.append({"verb": "forward", "corr": request, "tryFor": wait, "shelf": backend})
-
-    def cancel_attempt(self, request: int, number: int) -> None:
-        self.said.append({"verb": "recall", "corr": request, "shot": number})
-
-    def reject(self, request: int, return_after: float) -> None:
-        self.said.append({"verb": "deny", "corr": request, "coolDown": return_after})
-
-    def fail(self, request: int) -> None:
-        self.said.append({"verb": "dropRequest", "corr": request})
-
-    def set_timer(self, delay: float, name: str) -> None:
-        self.said.append({"verb": "arm", "delay": delay, "keyBack": name})
-
-    def send_peer_message(self, head: int, words: str) -> None:
-        self.said.append({"verb": "notify", "addressee": head, "raw": words})
-
-    def poll_endpoints(self) -> None:
-        self.said.append({"verb": "subscribe", "active": True})
-
-
-class Link:
-    """The instances of this process, and the lists that travel once for all of them."""
-
-    def __init__(self) -> None:
-        self.wall = 0.0
-        self.pages: dict[int, list[Fields]] = {}
-        self.heads: dict[str, tuple[Scheduler, BenchHost]] = {}
-
-    def batch(self, line: str) -> dict[str, Any]:
-        try:
-            message = json.loads(line, object_hook=Fields)
-        except ValueError as error:
-            raise Malformed(f"not JSON: {error}") from None
-        if not isinstance(message, Fields):
-            raise Malformed("a batch is an object")
-        if message.get("verb") == "page":
-            self.page(message)
-            return {}
-        self.wall = message["wall"]
-        replies = []
-        for part in message["heads"]:
-            name, said = part["i"], []
-            try:
-                for event in part["happened"]:
-                    self.event(name, event)
-                if name in self.heads:
-                    scheduler, host = self.heads[name]
-                    scheduler.batch_ended()
-                    said, host.said = host.said, []
-            except Malformed:
-                raise
-            except Exception as error:
-                traceback.print_exc()
-                said = [{"verb": "bug", "message": f"{type(error).__name__}: {error}"}]
-            if said:
-                replies.append({"i": name, "output": said})
-        return {"heads": replies}
-
-    def page(self, message: Fields) -> None:
-        self.pages[message["page"]] = message["membersList"]
-
-    def event(self, name: str, e: Fields) -> None:
-        verb = e["verb"]
-        if verb == "up":
-            host = BenchHost(self)
-            self.heads[name] = (Scheduler(host, start_facts(e["setup"]), e["salt"]), host)
-            return
-        if verb == "kill":
-            self.heads.pop(name, None)
-            return
-        if verb == "page":
-            self.page(e)
-            return
-        if name not in self.heads:
-            raise Malformed(f"{verb} for {name}, which is not up")
-        scheduler = self.heads[name][0]
-        if verb == "order":
-            scheduler.request_taken(
-                RequestTaken(
-                    e["corr"],
-                    e["tierClass"],
-                    e["contract"],
-                    e.get("item"),
-                    e["dropDead"],
-                    e["vol"],
-                    e["quotaUnits"],
-                    e["slotNo"],
-                    e["setSize"],
-                    bool(e.get("stateBits", 0) & CLIENT_REPEAT),
-                )
-            )
-        elif verb == "done":
-            scheduler.attempt_ended(
-                AttemptEnded(
-                    e["corr"],
-                    e["shot"],
-                    word(ENDINGS, e["how"]),
-                    e["shelf"],
-                    e["elapsed"],
-                    bool(e.get("doneFlag")),
-                    e.get("delta", 0),
-                    e.get("usage", 0),
-                )
-            )
-        elif verb == "due":
-            scheduler.timer_fired(e["keyBack"])
-        elif verb == "cancelledByClient":
-            scheduler.client_left(e["corr"])
-        elif verb == "sync":
-            if e["form"] == "refused":
-                scheduler.endpoint_poll_failed()
-                return
-            entries = self.pages.get(e["page"])
-            if entries is None:
-                raise Malformed(f"page {e['page']} was never sent")
-            scheduler.endpoint_list_begins(e["form"] != "changes", e["form"] == "remembered")
-            for s in entries:
-                scheduler.endpoint_listed(
-                    s["shelf"],
-                    s["rackZone"],
-                    s.get("pod", -1),
-                    s["condition"] == "Ready",
-                    s.get("since", 0.0),
-                )
-            scheduler.endpoint_list_ended()
-        elif verb == "peer":
-            scheduler.peer_message_received(e["originPeer"], e["raw"])
-        elif verb not in ("ackFirst", "probeResult"):
-            raise Malformed(f"unknown verb {verb!r}")
+from gorsethread.gateway.startfacts import Malformed
+from gorsethread.simulator_adapter.instances import Instances
 
 
 def main() -> int:
-    link = Link()
+    """Serves the simulator until its input ends; returns the exit status, 2 after a malformed line."""
+    instances = Instances()
     for line in sys.stdin:
         if not line.strip():
             continue
         try:
-            reply = link.batch(line)
+            reply = instances.batch(line)
         except Malformed as error:
             print(f"gorsethread: malformed line: {error}", file=sys.stderr)
             return 2
--- /dev/null
+++ b/gorsethread/simulator_adapter/events.py
@@ -0,0 +1,117 @@
+"""The simulator's events as calls of the scheduler's event methods; the themed names are the simulator's."""
+
+from collections.abc import Callable, Mapping
+
+from gorsethread.gateway.startfacts import Fields, Malformed, word
+from gorsethread.scheduling.model import AttemptEnded, AttemptOutcome, RequestTaken
+from gorsethread.scheduling.scheduler import Scheduler
+
+ATTEMPT_OUTCOMES = {
+    "S": AttemptOutcome.SUCCEEDED,
+    "E": AttemptOutcome.ERROR,
+    "F": AttemptOutcome.REJECTED,
+    "T": AttemptOutcome.TIMED_OUT,
+    "C": AttemptOutcome.UNREACHABLE,
+    "R": AttemptOutcome.CONNECTION_LOST,
+    "X": AttemptOutcome.CANCELLED,
+    "N": AttemptOutcome.NOT_SENT,
+}
+CLIENT_RETRY = 2  # bit of stateBits
+NO_SHARD = -1
+IGNORED_VERBS = ("ackFirst", "probeResult")
+
+EndpointLists = Mapping[int, list[Fields]]
+
+
+def notify(scheduler: Scheduler, event: Fields, lists: EndpointLists) -> None:
+    """Calls the scheduler's method for an event.
+
+    Args:
+        scheduler: The instance's scheduler.
+        event: One object of the batch.
+        lists: The endpoint lists sent so far, by number.
+
+    Raises:
+        Malformed: The event is of no known kind, or lacks a field.
+    """
+    verb = event["verb"]
+    handler = _NOTIFY.get(verb) if isinstance(verb, str) else None
+    if handler is not None:
+        handler(scheduler, event)
+    elif verb == "sync":
+        _endpoint_list(scheduler, event, lists)
+    elif verb not in IGNORED_VERBS:
+        raise Malformed(f"unknown verb {verb!r}")
+
+
+def _request_taken(scheduler: Scheduler, event: Fields) -> None:
+    scheduler.request_taken(
+        RequestTaken(
+            event["corr"],
+            event["tierClass"],
+            event["contract"],
+            event.get("item"),
+            event["dropDead"],
+            event["vol"],
+            event["quotaUnits"],
+            event["slotNo"],
+            event["setSize"],
+            bool(event.get("stateBits", 0) & CLIENT_RETRY),
+        )
+    )
+
+
+def _attempt_ended(scheduler: Scheduler, event: Fields) -> None:
+    scheduler.attempt_ended(
+        AttemptEnded(
+            event["corr"],
+            event["shot"],
+            word(ATTEMPT_OUTCOMES, event["how"]),
+            event["shelf"],
+            event["elapsed"],
+            bool(event.get("doneFlag")),
+            event.get("delta", 0),
+            event.get("usage", 0),
+        )
+    )
+
+
+def _timer_fired(scheduler: Scheduler, event: Fields) -> None:
+    scheduler.timer_fired(event["keyBack"])
+
+
+def _client_left(scheduler: Scheduler, event: Fields) -> None:
+    scheduler.client_left(event["corr"])
+
+
+def _peer_message_received(scheduler: Scheduler, event: Fields) -> None:
+    scheduler.peer_message_received(event["originPeer"], event["raw"])
+
+
+def _endpoint_list(scheduler: Scheduler, event: Fields, lists: EndpointLists) -> None:
+    form = event["form"]
+    if form == "refused":
+        scheduler.endpoint_poll_failed()
+        return
+    entries = lists.get(event["page"])
+    if entries is None:
+        raise Malformed(f"page {event['page']} was never sent")
+    scheduler.endpoint_list_begins(form != "changes", form == "remembered")
+    for entry in entries:
+        scheduler.endpoint_listed(
+            entry["shelf"],
+            entry["rackZone"],
+            entry.get("pod", NO_SHARD),
+            entry["condition"] == "Ready",
+            entry.get("since", 0.0),
+        )
+    scheduler.endpoint_list_ended()
+
+
+_NOTIFY: dict[str, Callable[[Scheduler, Fields], None]] = {
+    "order": _request_taken,
+    "done": _attempt_ended,
+    "due": _timer_fired,
+    "cancelledByClient": _client_left,
+    "peer": _peer_message_received,
+}
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -38,7 +38,7 @@
     Volume,
 )
 from gorsethread.scheduling.scheduler import Scheduler
-from gorsethread.simulator_adapter.__main__ import Link
+from gorsethread.simulator_adapter.instances import Instances
 from gorsethread.sitefile.reading import read_site
 from gorsethread.transport.real import RealTransport
 from gorsethread.transport.virtual import Disk, Network, VirtualLoop, VirtualTransport, Weather
@@ -513,7 +513,7 @@
         )
 
     def test_the_benchs_link_carries_both_ways(self) -> None:
-        link = Link()
+        link = Instances()
         facts = SchedulerSettings(**{**FACTS, "slow_start": COLD, "gateways": 60})
         setup = json.loads(json.dumps(setup_of(facts)))
         setup["permissions"]["peerMessages"] = True
--- a/tests/test_same_decisions.py
+++ b/tests/test_same_decisions.py
@@ -17,7 +17,8 @@
 from gorsethread.logs import log_for, start_logs
 from gorsethread.nvme.command import Opcode, io_command
 from gorsethread.scheduling.model import AttemptOutcome, SchedulerSettings
-from gorsethread.simulator_adapter.__main__ import ENDINGS, Link
+from gorsethread.simulator_adapter.events import ATTEMPT_OUTCOMES
+from gorsethread.simulator_adapter.instances import Instances
 from gorsethread.sitefile.reading import parse_site
 from tests.rig import SITE
 from tests.virtual import Clockwork
@@ -115,7 +116,7 @@
     if method == "attempt_ended":
         names = ("corr", "shot", "how", "shelf", "elapsed", "doneFlag", "delta", "usage")
         event = dict(zip(names, facts[0], strict=True))
-        return [{"verb": "done", **event, "how": _word(ENDINGS, event["how"])}]
+        return [{"verb": "done", **event, "how": _word(ATTEMPT_OUTCOMES, event["how"])}]
     if method == "timer_fired":
         return [{"verb": "due", "keyBack": facts[0]}]
     if method == "client_left":
@@ -262,7 +263,7 @@
         )
 
     def through_bench(self, told: list[tuple[Any, ...]], seed: int) -> list[tuple[Any, ...]]:
-        link = Link()
+        link = Instances()
         up = {"verb": "up", "salt": seed, "setup": setup_of(start_facts(parse_site(SITE)))}
         decided: list[tuple[Any, ...]] = []
         happened: list[dict[str, Any]] = [up]
