--- a/gorsethread/http_gateway/__main__.py
+++ b/gorsethread/http_gateway/__main__.py
@@ -43,7 +43,7 @@
 
 async def run_gateway(transport: RealTransport, configuration: Configuration, path: str) -> int:
     """Serves until the program is terminated and returns the exit status."""
-    log = log_for(head=configuration.name)
+    log = log_for(gateway=configuration.name)
     gateway = Gateway(transport, configuration, path, log)
     transport.on_reload(gateway.reload)
     transport.on_terminate(transport.finish)
--- /dev/null
+++ b/tests/http_gateway/__init__.py
@@ -0,0 +1,1 @@
+"""The gateway in service, package gorsethread.http_gateway."""
--- a/tests/test_platform_program.py
+++ b/tests/http_gateway/test_program.py
@@ -137,14 +137,14 @@
         self.assertIn("REFUSED socket.bind", said)
 
     def test_run_is_one_program_in_the_place_of_the_shell(self) -> None:
-        deploy = tomllib.loads((Path(__file__).parent.parent / "deploy" / "balancer.toml").read_text())
+        deploy = tomllib.loads((Path(__file__).parents[2] / "deploy" / "balancer.toml").read_text())
         self.assertRegex(deploy["run"], r"^exec [^;&|<>$`]+$")
         self.assertEqual(
             [],
             [
                 path
                 for path in deploy["policy"] + deploy["node"]
-                if not Path(__file__).parent.parent.joinpath(path).exists()
+                if not Path(__file__).parents[2].joinpath(path).exists()
             ],
         )
 
