--- a/gorsethread/http_gateway/configuration.py
+++ b/gorsethread/http_gateway/configuration.py
@@ -1,7 +1,7 @@
 """What a gateway is given at its start and again at SIGHUP: the file that GW_CONFIG names.
 
 The operators' names of fields end here, as aliases of the types below; those of the scheduler's settings end
-in `gorsethread.gateway.startfacts`. Unknown fields are ignored.
+in `gorsethread.gateway.scheduler_settings`. Unknown fields are ignored.
 """
 
 import json
@@ -12,7 +12,11 @@
 
 import msgspec
 
-from gorsethread.gateway.startfacts import Fields, Malformed, start_facts
+from gorsethread.gateway.scheduler_settings import (
+    JsonObject,
+    MalformedInputError,
+    read_scheduler_settings,
+)
 from gorsethread.http_gateway.addresses import Address, UnusableConfigurationError, parse_address
 from gorsethread.http_gateway.endpoint_list import ListAnswer
 from gorsethread.scheduling.model import SchedulerSettings
@@ -117,7 +121,7 @@
         raise UnusableConfigurationError(f"{path}: can't be read")
     try:
         # The standard library's decoder: msgspec's refuses NaN without naming its place.
-        given = json.loads(raw, object_hook=Fields)
+        given = json.loads(raw, object_hook=JsonObject)
     except ValueError as error:
         raise UnusableConfigurationError(f"{path}: is not JSON: {error}") from None
     try:
@@ -143,10 +147,10 @@
     return f"{place}: {reason}" if place else reason
 
 
-def _scheduler_settings(given: Fields) -> SchedulerSettings:
+def _scheduler_settings(given: JsonObject) -> SchedulerSettings:
     try:
-        settings = start_facts(given)
-    except Malformed as error:
+        settings = read_scheduler_settings(given)
+    except MalformedInputError as error:
         raise UnusableConfigurationError(f"settings: {error}") from None
     except (TypeError, AttributeError, KeyError, ValueError) as error:
         raise UnusableConfigurationError(f"settings: something is of the wrong kind: {error}") from None
--- a/gorsethread/simulator_adapter/__main__.py
+++ b/gorsethread/simulator_adapter/__main__.py
@@ -5,7 +5,12 @@
 import traceback
 from typing import Any
 
-from gorsethread.gateway.startfacts import Fields, Malformed, start_facts, word
+from gorsethread.gateway.scheduler_settings import (
+    JsonObject,
+    MalformedInputError,
+    named_value,
+    read_scheduler_settings,
+)
 from gorsethread.scheduling.model import AttemptEnded, AttemptOutcome, RequestTaken
 from gorsethread.scheduling.scheduler import Scheduler
 
@@ -59,16 +64,16 @@
 
     def __init__(self) -> None:
         self.wall = 0.0
-        self.pages: dict[int, list[Fields]] = {}
+        self.pages: dict[int, list[JsonObject]] = {}
         self.heads: dict[str, tuple[Scheduler, BenchHost]] = {}
 
     def batch(self, line: str) -> dict[str, Any]:
         try:
-            message = json.loads(line, object_hook=Fields)
+            message = json.loads(line, object_hook=JsonObject)
         except ValueError as error:
-            raise Malformed(f"not JSON: {error}") from None
-        if not isinstance(message, Fields):
-            raise Malformed("a batch is an object")
+            raise MalformedInputError(f"not JSON: {error}") from None
+        if not isinstance(message, JsonObject):
+            raise MalformedInputError("a batch is an object")
         if message.get("verb") == "page":
             self.page(message)
             return {}
@@ -83,7 +88,7 @@
                     scheduler, host = self.heads[name]
                     scheduler.batch_ended()
                     said, host.said = host.said, []
-            except Malformed:
+            except MalformedInputError:
                 raise
             except Exception as error:
                 traceback.print_exc()
@@ -92,14 +97,14 @@
                 replies.append({"i": name, "output": said})
         return {"heads": replies}
 
-    def page(self, message: Fields) -> None:
+    def page(self, message: JsonObject) -> None:
         self.pages[message["page"]] = message["membersList"]
 
-    def event(self, name: str, e: Fields) -> None:
+    def event(self, name: str, e: JsonObject) -> None:
         verb = e["verb"]
         if verb == "up":
             host = BenchHost(self)
-            self.heads[name] = (Scheduler(host, start_facts(e["setup"]), e["salt"]), host)
+            self.heads[name] = (Scheduler(host, read_scheduler_settings(e["setup"]), e["salt"]), host)
             return
         if verb == "kill":
             self.heads.pop(name, None)
@@ -108,7 +113,7 @@
             self.page(e)
             return
         if name not in self.heads:
-            raise Malformed(f"{verb} for {name}, which is not up")
+            raise MalformedInputError(f"{verb} for {name}, which is not up")
         scheduler = self.heads[name][0]
         if verb == "order":
             scheduler.request_taken(
@@ -130,7 +135,7 @@
                 AttemptEnded(
                     e["corr"],
                     e["shot"],
-                    word(ENDINGS, e["how"]),
+                    named_value(ENDINGS, e["how"]),
                     e["shelf"],
                     e["elapsed"],
                     bool(e.get("doneFlag")),
@@ -148,7 +153,7 @@
                 return
             entries = self.pages.get(e["page"])
             if entries is None:
-                raise Malformed(f"page {e['page']} was never sent")
+                raise MalformedInputError(f"page {e['page']} was never sent")
             scheduler.list_begins(e["form"] != "changes", e["form"] == "remembered")
             for s in entries:
                 scheduler.backend_listed(
@@ -162,7 +167,7 @@
         elif verb == "peer":
             scheduler.peer_told(e["originPeer"], e["raw"])
         elif verb not in ("ackFirst", "probeResult"):
-            raise Malformed(f"unknown verb {verb!r}")
+            raise MalformedInputError(f"unknown verb {verb!r}")
 
 
 def main() -> int:
@@ -172,7 +177,7 @@
             continue
         try:
             reply = link.batch(line)
-        except Malformed as error:
+        except MalformedInputError as error:
             print(f"gorsethread: malformed line: {error}", file=sys.stderr)
             return 2
         if reply:
--- a/tests/test_same_decisions.py
+++ b/tests/test_same_decisions.py
@@ -10,7 +10,7 @@
 from gorsethread.gateway.carrying import NOTHING, Attempt, Told
 from gorsethread.gateway.driver import Driver
 from gorsethread.gateway.held_reasons import why_held
-from gorsethread.gateway.startfacts import EFFECTS, GROUPS
+from gorsethread.gateway.scheduler_settings import EFFECTS, IDEMPOTENCY_SCOPES
 from gorsethread.head.facts import start_facts
 from gorsethread.head.links import Order
 from gorsethread.head.placement import SitePlacement
@@ -76,7 +76,7 @@
             {
                 "aim": p.promised,
                 "effect": _word(EFFECTS, p.effect),
-                "group": _word(GROUPS, p.group),
+                "group": _word(IDEMPOTENCY_SCOPES, p.group),
                 "window": p.remembered,
                 "keepOrder": p.in_order,
                 "worth": p.value,
