--- a/gorsethread/gateway/attempts.py
+++ b/gorsethread/gateway/attempts.py
@@ -9,7 +9,8 @@
 
 class Told(NamedTuple):
     """What a backend's answer brought: data of a read, units served elsewhere, usage, its own service
-    time."""
+    time.
+    """
 
     data: bytes = b""
     elsewhere: float = 0
--- a/gorsethread/gateway/interfaces.py
+++ b/gorsethread/gateway/interfaces.py
@@ -75,7 +75,7 @@
     """Makes durable where extents are placed, before a first write is sent."""
 
     def placed(self, place: tuple[int, int], shard: int, done: Callable[[bool], None]) -> None:
-        """done is called once, in a turn of its own: whether the placement is durable."""
+        """Done is called once, in a turn of its own: whether the placement is durable."""
 
     def freed(self, place: tuple[int, int]) -> None:
         """No first write of the extent has run."""
--- a/gorsethread/simulator_adapter/__main__.py
+++ b/gorsethread/simulator_adapter/__main__.py
@@ -3,7 +3,7 @@
 import json
 import sys
 
-from gorsethread.gateway.startfacts import Malformed
+from gorsethread.gateway.scheduler_settings import MalformedInputError
 from gorsethread.simulator_adapter.instances import Instances
 
 
@@ -15,7 +15,7 @@
             continue
         try:
             reply = instances.batch(line)
-        except Malformed as error:
+        except MalformedInputError as error:
             print(f"gorsethread: malformed line: {error}", file=sys.stderr)
             return 2
         if reply:
--- a/gorsethread/simulator_adapter/events.py
+++ b/gorsethread/simulator_adapter/events.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Mapping
 
-from gorsethread.gateway.startfacts import Fields, Malformed, word
+from gorsethread.gateway.scheduler_settings import JsonObject, MalformedInputError, named_value
 from gorsethread.scheduling.model import AttemptEnded, AttemptOutcome, RequestTaken
 from gorsethread.scheduling.scheduler import Scheduler
 
@@ -20,10 +20,10 @@
 NO_SHARD = -1
 IGNORED_VERBS = ("ackFirst", "probeResult")
 
-EndpointLists = Mapping[int, list[Fields]]
+EndpointLists = Mapping[int, list[JsonObject]]
 
 
-def notify(scheduler: Scheduler, event: Fields, lists: EndpointLists) -> None:
+def notify(scheduler: Scheduler, event: JsonObject, lists: EndpointLists) -> None:
     """Calls the scheduler's method for an event.
 
     Args:
@@ -32,7 +32,7 @@
         lists: The endpoint lists sent so far, by number.
 
     Raises:
-        Malformed: The event is of no known kind, or lacks a field.
+        MalformedInputError: The event is of no known kind, or lacks a field.
     """
     verb = event["verb"]
     handler = _NOTIFY.get(verb) if isinstance(verb, str) else None
@@ -41,10 +41,10 @@
     elif verb == "sync":
         _endpoint_list(scheduler, event, lists)
     elif verb not in IGNORED_VERBS:
-        raise Malformed(f"unknown verb {verb!r}")
+        raise MalformedInputError(f"unknown verb {verb!r}")
 
 
-def _request_taken(scheduler: Scheduler, event: Fields) -> None:
+def _request_taken(scheduler: Scheduler, event: JsonObject) -> None:
     scheduler.request_taken(
         RequestTaken(
             event["corr"],
@@ -61,12 +61,12 @@
     )
 
 
-def _attempt_ended(scheduler: Scheduler, event: Fields) -> None:
+def _attempt_ended(scheduler: Scheduler, event: JsonObject) -> None:
     scheduler.attempt_ended(
         AttemptEnded(
             event["corr"],
             event["shot"],
-            word(ATTEMPT_OUTCOMES, event["how"]),
+            named_value(ATTEMPT_OUTCOMES, event["how"]),
             event["shelf"],
             event["elapsed"],
             bool(event.get("doneFlag")),
@@ -76,26 +76,26 @@
     )
 
 
-def _timer_fired(scheduler: Scheduler, event: Fields) -> None:
+def _timer_fired(scheduler: Scheduler, event: JsonObject) -> None:
     scheduler.timer_fired(event["keyBack"])
 
 
-def _client_left(scheduler: Scheduler, event: Fields) -> None:
+def _client_left(scheduler: Scheduler, event: JsonObject) -> None:
     scheduler.client_left(event["corr"])
 
 
-def _peer_message_received(scheduler: Scheduler, event: Fields) -> None:
+def _peer_message_received(scheduler: Scheduler, event: JsonObject) -> None:
     scheduler.peer_message_received(event["originPeer"], event["raw"])
 
 
-def _endpoint_list(scheduler: Scheduler, event: Fields, lists: EndpointLists) -> None:
+def _endpoint_list(scheduler: Scheduler, event: JsonObject, lists: EndpointLists) -> None:
     form = event["form"]
     if form == "refused":
         scheduler.endpoint_poll_failed()
         return
     entries = lists.get(event["page"])
     if entries is None:
-        raise Malformed(f"page {event['page']} was never sent")
+        raise MalformedInputError(f"page {event['page']} was never sent")
     scheduler.endpoint_list_begins(form != "changes", form == "remembered")
     for entry in entries:
         scheduler.endpoint_listed(
@@ -108,7 +108,7 @@
     scheduler.endpoint_list_ended()
 
 
-_NOTIFY: dict[str, Callable[[Scheduler, Fields], None]] = {
+_NOTIFY: dict[str, Callable[[Scheduler, JsonObject], None]] = {
     "order": _request_taken,
     "done": _attempt_ended,
     "due": _timer_fired,
--- a/gorsethread/simulator_adapter/instances.py
+++ b/gorsethread/simulator_adapter/instances.py
@@ -4,7 +4,7 @@
 import traceback
 from typing import Any, NamedTuple
 
-from gorsethread.gateway.startfacts import Fields, Malformed, start_facts
+from gorsethread.gateway.scheduler_settings import JsonObject, MalformedInputError, read_scheduler_settings
 from gorsethread.scheduling.scheduler import Scheduler
 from gorsethread.simulator_adapter.events import notify
 from gorsethread.simulator_adapter.replies import ReplyActions
@@ -25,14 +25,14 @@
 
     def __init__(self) -> None:
         self._now = 0.0
-        self._lists: dict[int, list[Fields]] = {}
+        self._lists: dict[int, list[JsonObject]] = {}
         self._instances: dict[str, Instance] = {}
 
     def batch(self, line: str) -> dict[str, Any]:
         """Works on one line of the simulator; returns the reply, empty if it expects none.
 
         Raises:
-            Malformed: The line is not as the protocol has it.
+            MalformedInputError: The line is not as the protocol has it.
         """
         message = self._read(line)
         if message.get("verb") == "page":
@@ -46,16 +46,16 @@
                 replies.append({"i": part["i"], "output": actions})
         return {"heads": replies}
 
-    def _read(self, line: str) -> Fields:
+    def _read(self, line: str) -> JsonObject:
         try:
-            message = json.loads(line, object_hook=Fields)
+            message = json.loads(line, object_hook=JsonObject)
         except ValueError as error:
-            raise Malformed(f"not JSON: {error}") from None
-        if not isinstance(message, Fields):
-            raise Malformed("a batch is an object")
+            raise MalformedInputError(f"not JSON: {error}") from None
+        if not isinstance(message, JsonObject):
+            raise MalformedInputError("a batch is an object")
         return message
 
-    def _work(self, name: str, events: list[Fields]) -> list[dict[str, Any]]:
+    def _work(self, name: str, events: list[JsonObject]) -> list[dict[str, Any]]:
         """Passes an instance its events; an unexpected error is the simulator's to count."""
         try:
             for event in events:
@@ -65,29 +65,29 @@
                 return []
             instance.scheduler.batch_ended()
             return instance.actions.take()
-        except Malformed:
+        except MalformedInputError:
             raise
         except Exception as error:
             traceback.print_exc()
             return [{"verb": "bug", "message": f"{type(error).__name__}: {error}"}]
 
-    def _event(self, name: str, event: Fields) -> None:
+    def _event(self, name: str, event: JsonObject) -> None:
         verb = event["verb"]
         if verb == "up":
             actions = ReplyActions(self._clock)
-            scheduler = Scheduler(actions, start_facts(event["setup"]), event["salt"])
+            scheduler = Scheduler(actions, read_scheduler_settings(event["setup"]), event["salt"])
             self._instances[name] = Instance(scheduler, actions)
         elif verb == "kill":
             self._instances.pop(name, None)
         elif verb == "page":
             self._keep_list(event)
         elif name not in self._instances:
-            raise Malformed(f"{verb} for {name}, which is not up")
+            raise MalformedInputError(f"{verb} for {name}, which is not up")
         else:
             notify(self._instances[name].scheduler, event, self._lists)
 
     def _clock(self) -> float:
         return self._now
 
-    def _keep_list(self, message: Fields) -> None:
+    def _keep_list(self, message: JsonObject) -> None:
         self._lists[message["page"]] = message["membersList"]
--- a/tests/test_same_decisions.py
+++ b/tests/test_same_decisions.py
@@ -10,7 +10,7 @@
 from gorsethread.gateway.carrying import NOTHING, Attempt, Told
 from gorsethread.gateway.driver import Driver
 from gorsethread.gateway.held_reasons import why_held
-from gorsethread.gateway.startfacts import EFFECTS, GROUPS
+from gorsethread.gateway.scheduler_settings import EFFECTS, IDEMPOTENCY_SCOPES
 from gorsethread.head.facts import start_facts
 from gorsethread.head.links import Order
 from gorsethread.head.placement import SitePlacement
@@ -77,7 +77,7 @@
             {
                 "aim": p.latency_objective,
                 "effect": _word(EFFECTS, p.effect),
-                "group": _word(GROUPS, p.idempotency_scope),
+                "group": _word(IDEMPOTENCY_SCOPES, p.idempotency_scope),
                 "window": p.idempotency_window,
                 "keepOrder": p.keyed_order,
                 "worth": p.priority_weight,
