--- a/gorsethread/faults/mutants.py
+++ b/gorsethread/faults/mutants.py
@@ -7,9 +7,9 @@
 from gorsethread.faults.planted import plant
 from gorsethread.faults.planting import kept_in, sometimes, told_as
 from gorsethread.gateway.attempts import Attempt
-from gorsethread.gateway.driver import EndpointEntry, Open
 from gorsethread.gateway.first_writes import PlacementCheck
 from gorsethread.gateway.interfaces import Extent
+from gorsethread.gateway.open_requests import EndpointEntry, OpenRequest
 from gorsethread.head.links import BackendLink
 from gorsethread.head.program import Head
 from gorsethread.nvme.command import Completion, Status
@@ -55,8 +55,8 @@
 
 @mutant("driver: the cut-off comes a second late")
 def _late_deadline(head: Head) -> None:
-    honest = head.driver.take
-    head.driver.take = lambda *a, deadline, **n: honest(*a, deadline=deadline + 1.0, **n)  # type: ignore
+    honest = head.driver.admit
+    head.driver.admit = lambda *a, deadline, **n: honest(*a, deadline=deadline + 1.0, **n)  # type: ignore
 
 
 @mutant("driver: a client that left is not noticed")
@@ -137,14 +137,14 @@
 
 @mutant("driver: takes are counted twice, one in a hundred")
 def _miscounts(head: Head) -> None:
-    honest, now = head.driver.take, sometimes(100)
+    honest, now = head.driver.admit, sometimes(100)
 
-    def take(*arguments: Any, **named: Any) -> Open:
+    def take(*arguments: Any, **named: Any) -> OpenRequest:
         if now():
             head.driver.counts["taken"] += 1
         return honest(*arguments, **named)
 
-    head.driver.take = take  # type: ignore[method-assign]
+    head.driver.admit = take  # type: ignore[method-assign]
 
 
 @mutant("driver: first writes of an extent may part it")
@@ -305,14 +305,14 @@
 
 @mutant("codec: a write's first block is off by one, one in twenty")
 def _shifts_writes(head: Head) -> None:
-    honest, now = head.driver.take, sometimes(20)
+    honest, now = head.driver.admit, sometimes(20)
 
-    def take(client: Any, order: Any, **named: Any) -> Open:
+    def take(client: Any, order: Any, **named: Any) -> OpenRequest:
         if order.data and now() and order.command.cdw10 % 64 > 1:
             order = order._replace(command=order.command._replace(cdw10=order.command.cdw10 - 1))
         return honest(client, order, **named)
 
-    head.driver.take = take  # type: ignore[method-assign,assignment]
+    head.driver.admit = take  # type: ignore[method-assign,assignment]
 
 
 @mutant("clients: a client's own patience is not heeded")
@@ -339,7 +339,7 @@
         if asked[0] == 1:
             honest()
 
-    head.driver._follow_list = follow
+    head.driver._poll_list = follow
 
 
 @mutant("list: drains are not heard")
@@ -349,12 +349,12 @@
 
 @mutant("list: a shelf's restart is not noticed")
 def _deaf_to_restarts(head: Head) -> None:
-    honest = head.driver.listed
+    honest = head.driver.endpoints_listed
 
     def listed(entries: Iterable[EndpointEntry], complete: bool, remembered: bool) -> None:
         honest([e._replace(since=0.0) for e in entries], complete, remembered)
 
-    head.driver.listed = listed  # type: ignore[method-assign]
+    head.driver.endpoints_listed = listed  # type: ignore[method-assign]
 
 
 # ---- the module
@@ -377,8 +377,8 @@
 
 @mutant("module: each head takes the whole limit for its own")
 def _whole_limit(head: Head) -> None:
-    honest = head.driver.take
-    head.driver.take = lambda *a, heads, **n: honest(*a, heads=1, **n)  # type: ignore
+    honest = head.driver.admit
+    head.driver.admit = lambda *a, heads, **n: honest(*a, heads=1, **n)  # type: ignore
 
 
 @mutant("module: each head takes all that a cold shelf bears for its own")
--- a/gorsethread/faults/planted.py
+++ b/gorsethread/faults/planted.py
@@ -3,8 +3,9 @@
 from collections.abc import Iterable
 from typing import Any
 
-from gorsethread.gateway.attempts import Attempt, Told
-from gorsethread.gateway.driver import Driver, EndpointEntry, Open
+from gorsethread.gateway.attempts import Attempt, AttemptResult
+from gorsethread.gateway.driver import Driver
+from gorsethread.gateway.open_requests import EndpointEntry, OpenRequest
 from gorsethread.head.program import Head
 from gorsethread.scheduling.model import AttemptOutcome, Effect
 
@@ -22,11 +23,11 @@
     driver = head.driver
     honest = driver._ended
 
-    def ended(attempt: Attempt, outcome: AttemptOutcome, told: Told) -> None:
+    def ended(attempt: Attempt, outcome: AttemptOutcome, result: AttemptResult) -> None:
         request = driver.open.get(attempt.request)
         if request is not None and request.id % 10 == 0:
             request.answered = True
-        honest(attempt, outcome, told)
+        honest(attempt, outcome, result)
 
     driver._ended = ended  # type: ignore[method-assign]
 
@@ -54,7 +55,7 @@
 def _twice(head: Head) -> None:
     profiles = head.driver.scheduler.settings.request_classes
 
-    def act(t: Open, f: Attempt) -> None:
+    def act(t: OpenRequest, f: Attempt) -> None:
         if profiles[t.client.profile].effect is Effect.NON_IDEMPOTENT:  # type: ignore[attr-defined]
             _again(head.driver, f)
 
@@ -62,16 +63,16 @@
 
 
 def _deaf_to_drains(head: Head) -> None:
-    honest = head.driver.listed
+    honest = head.driver.endpoints_listed
 
     def listed(entries: Iterable[EndpointEntry], complete: bool, remembered: bool) -> None:
         honest([e._replace(ready=True) for e in entries], False, remembered)
 
-    head.driver.listed = listed  # type: ignore[method-assign]
+    head.driver.endpoints_listed = listed  # type: ignore[method-assign]
 
 
 def _push_over(head: Head) -> None:
-    honest = head.driver.listed
+    honest = head.driver.endpoints_listed
     cold: set[int] = set()
 
     def listed(entries: Iterable[EndpointEntry], complete: bool, remembered: bool) -> None:
@@ -79,25 +80,25 @@
         cold.update(e.backend for e in listed_now if e.since)
         honest([e._replace(since=0.0) for e in listed_now], complete, remembered)
 
-    def act(t: Open, f: Attempt) -> None:
+    def act(t: OpenRequest, f: Attempt) -> None:
         if f.backend in cold:
             _again(head.driver, f, MANY)
 
-    head.driver.listed = listed  # type: ignore[method-assign]
+    head.driver.endpoints_listed = listed  # type: ignore[method-assign]
     _after_forward(head.driver, act)
 
 
 def _out_of_turn(head: Head) -> None:
-    honest = head.driver.take
+    honest = head.driver.admit
 
-    def take(*arguments: Any, **named: Any) -> Open:
+    def take(*arguments: Any, **named: Any) -> OpenRequest:
         return honest(*arguments, **{**named, "key": None})
 
-    head.driver.take = take  # type: ignore[method-assign]
+    head.driver.admit = take  # type: ignore[method-assign]
 
 
 def _no_budget(head: Head) -> None:
-    def act(t: Open, f: Attempt) -> None:
+    def act(t: OpenRequest, f: Attempt) -> None:
         if not f.payload.command.to_controller:
             _again(head.driver, f)
 
--- a/gorsethread/faults/webmutants.py
+++ b/gorsethread/faults/webmutants.py
@@ -7,7 +7,7 @@
 import h11
 
 from gorsethread.faults.planting import kept_in, told_as
-from gorsethread.gateway.driver import EndpointEntry
+from gorsethread.gateway.open_requests import EndpointEntry
 from gorsethread.http1 import client_codec, server_codec
 from gorsethread.http_gateway import backend_link
 from gorsethread.http_gateway.endpoint_list import ListAnswer
@@ -179,8 +179,8 @@
 
 @mutant("clients: the cut-off counts from the head's start of work, half a second late")
 def _late_deadline(head: Gateway) -> None:
-    honest = head.driver.take
-    head.driver.take = (  # type: ignore[method-assign]
+    honest = head.driver.admit
+    head.driver.admit = (  # type: ignore[method-assign]
         lambda *a, deadline, **n: honest(*a, deadline=deadline + 0.5, **n)
     )
 
@@ -274,28 +274,28 @@
 
 @mutant("discovery: drains are not heard")
 def _deaf_to_drains(head: Gateway) -> None:
-    honest = head.driver.listed
+    honest = head.driver.endpoints_listed
 
     def listed(entries: Iterable[EndpointEntry], complete: bool, remembered: bool) -> None:
         honest([e._replace(ready=True) for e in entries], complete, remembered)
 
-    head.driver.listed = listed  # type: ignore[method-assign]
+    head.driver.endpoints_listed = listed  # type: ignore[method-assign]
     head.pool.withdraw = lambda unready: None  # type: ignore[method-assign]
 
 
 @mutant("discovery: starts are not heard")
 def _deaf_to_starts(head: Gateway) -> None:
-    honest = head.driver.listed
+    honest = head.driver.endpoints_listed
 
     def listed(entries: Iterable[EndpointEntry], complete: bool, remembered: bool) -> None:
         honest([e._replace(since=0.0) for e in entries], complete, remembered)
 
-    head.driver.listed = listed  # type: ignore[method-assign]
+    head.driver.endpoints_listed = listed  # type: ignore[method-assign]
 
 
 @mutant("discovery: once refused it is never asked again")
 def _asks_once(head: Gateway) -> None:
-    head.driver.list_refused = lambda waited=0.0: None  # type: ignore[method-assign]
+    head.driver.endpoint_poll_failed = lambda waited=0.0: None  # type: ignore[method-assign]
 
 
 @mutant("discovery: one change in three is passed over")
@@ -323,7 +323,7 @@
 
 @mutant("signals: told to end, what was open keeps its own deadline")
 def _keeps_deadlines_at_the_end(head: Gateway) -> None:
-    head.driver.ends_by = lambda when: None  # type: ignore[method-assign]
+    head.driver.shutting_down_by = lambda when: None  # type: ignore[method-assign]
 
 
 @mutant("signals: told to end, it serves on for good")
--- a/gorsethread/faults/world.py
+++ b/gorsethread/faults/world.py
@@ -59,13 +59,13 @@
         "gateway.driver",
         "Driver",
         {
-            "take": "take",
+            "take": "admit",
             "forward": "send_attempt",
             "push_back": "reject",
             "give_up": "fail",
             "ended": "_ended",
-            "listed": "listed",
-            "work": "_work",
+            "listed": "endpoints_listed",
+            "work": "_run_batch",
         },
     ),
     **_points(
--- a/gorsethread/gateway/accounting.py
+++ b/gorsethread/gateway/accounting.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from gorsethread.gateway.attempts import Attempt, Told
+from gorsethread.gateway.attempts import Attempt, AttemptResult
 from gorsethread.gateway.interfaces import Arrival, RequestAccounting
 from gorsethread.scheduling.model import AttemptOutcome, HoldReason, RequestOutcome
 
@@ -32,12 +32,12 @@
             self.accounts.sent(attempt.request, attempt.number, attempt.backend, now, arrival)
 
     def attempt_ended(
-        self, attempt: Attempt, outcome: AttemptOutcome, told: Told, succeeded: bool, now: float
+        self, attempt: Attempt, outcome: AttemptOutcome, result: AttemptResult, succeeded: bool, now: float
     ) -> None:
         """An attempt has ended; succeeded: its request was answered by that."""
         if self.accounts is not None:
             answer = RequestOutcome.SUCCEEDED if succeeded else None
-            self.accounts.ended(attempt.request, attempt.number, outcome, told.service, now, answer)
+            self.accounts.ended(attempt.request, attempt.number, outcome, result.service_seconds, now, answer)
 
     def answered(self, request: int, outcome: RequestOutcome, now: float) -> None:
         """A request was answered by the gateway itself, or its client left."""
--- a/gorsethread/gateway/linktable.py
+++ b/gorsethread/gateway/backend_links.py
@@ -6,7 +6,7 @@
 from gorsethread.gateway.driver import Driver
 
 
-class LinkTable:
+class BackendLinks:
     """Makes links as backends join the list and lets go of them as they leave.
 
     make returns a link of the front's own kind for a backend at an address; driver is set before the first
--- a/gorsethread/gateway/driver.py
+++ b/gorsethread/gateway/driver.py
@@ -6,11 +6,10 @@
 
 from collections import Counter
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
-from typing import Any, NamedTuple
+from typing import Any
 
 from gorsethread.gateway.accounting import AccountingFeed
-from gorsethread.gateway.attempts import NOTHING, Attempt, Told
+from gorsethread.gateway.attempts import EMPTY_RESULT, Attempt, AttemptResult
 from gorsethread.gateway.deadlines import Deadlines
 from gorsethread.gateway.first_writes import FirstWrites, PlacementCheck
 from gorsethread.gateway.held_reasons import why_held
@@ -22,6 +21,7 @@
     Placement,
     PlacementLog,
 )
+from gorsethread.gateway.open_requests import EndpointEntry, OpenRequest
 from gorsethread.scheduling.model import (
     AttemptEnded,
     AttemptOutcome,
@@ -35,35 +35,6 @@
 REQUEST_NUMBERS = 2**32  # they are given again after so many
 
 
-@dataclass(slots=True, eq=False)
-class Open:
-    """A request from its taking until it is answered and its attempts have ended.
-
-    place is the extent that a first write of it may part; None where the wire names the shard of everything
-    that has one.
-    """
-
-    id: int
-    client: Client
-    payload: Any
-    place: Extent | None
-    shard: int
-    deadline: float
-    attempts: int = 0
-    out: dict[int, Attempt] = field(default_factory=dict)
-    answered: bool = False
-
-
-class EndpointEntry(NamedTuple):
-    """One backend as a list names it; since: its start on this gateway's clock in seconds, 0: long ago."""
-
-    backend: int
-    zone: int
-    shard: int
-    ready: bool
-    since: float
-
-
 class Driver:
     """Drives one scheduler. All times are the transport's, in seconds.
 
@@ -78,12 +49,12 @@
         settings: SchedulerSettings,
         seed: int,
         placement: Placement,
-        follow_list: Callable[[], None],
+        poll_list: Callable[[], None],
         log: Any,
     ) -> None:
         self.transport = transport
         self.log = log
-        self.open: dict[int, Open] = {}
+        self.open: dict[int, OpenRequest] = {}
         self.links: dict[int, Any] = {}
         self.shards: dict[int, int] = {}
         self.counts: Counter[str] = Counter()
@@ -92,10 +63,10 @@
         self.accounting = AccountingFeed(lambda request: why_held(self.scheduler, request))
         # Set by a front that has them: a way to other gateways, a durable log of placements, and whoever
         # records events and actions for replays.
-        self.teller: Callable[[int, str], None] | None = None
-        self.keeper: PlacementLog | None = None
+        self.peer_sender: Callable[[int, str], None] | None = None
+        self.placement_log: PlacementLog | None = None
         self.recorder: Callable[[tuple[Any, ...]], None] | None = None
-        self._follow_list = follow_list
+        self._poll_list = poll_list
         self._now = transport.now()
         self._events: list[tuple[str, tuple[Any, ...]]] = []
         self._last_id = 0
@@ -119,37 +90,46 @@
             self._batch_is_due = True
             self.transport.soon(self._run_batch)
 
-    def take(
+    def admit(
         self,
         client: Client,
         payload: Any,
         *,
-        profile: int,
-        plan: int,
+        request_class: int,
+        service_tier: int,
         key: str | None,
         deadline: float,
         volume: int | str,
         units: float,
         shard: int,
-        heads: int,
-        repeat: bool,
+        gateways: int,
+        is_retry: bool,
         arrived: float,
-        place: Extent | None = None,
+        extent: Extent | None = None,
         awaited: bool = False,
-    ) -> Open:
+    ) -> OpenRequest:
         """Takes a request; its client hears of it by one call of Client.
 
         awaited: its data came after its command, so it was taken later than it arrived.
         """
-        request = Open(self._next_id(), client, payload, place, shard, deadline)
+        request = OpenRequest(self._next_id(), client, payload, extent, shard, deadline)
         self.open[request.id] = request
         self._deadlines.add(deadline, request.id)
         self.counts["taken"] += 1
         taken_at = self.transport.now() if awaited else arrived
-        arrival = Arrival(volume, profile, int(units), shard, key is not None, arrived, taken_at)
+        arrival = Arrival(volume, request_class, int(units), shard, key is not None, arrived, taken_at)
         self.accounting.taken(request.id, arrival)
         taken = RequestTaken(
-            request.id, profile, plan, key, deadline, str(volume), units, shard, heads, repeat
+            request.id,
+            request_class,
+            service_tier,
+            key,
+            deadline,
+            str(volume),
+            units,
+            shard,
+            gateways,
+            is_retry,
         )
         self.happened("request_taken", taken)
         return request
@@ -160,7 +140,7 @@
             self._last_id = (self._last_id + 1) % REQUEST_NUMBERS
         return self._last_id
 
-    def client_left(self, request: Open) -> None:
+    def client_left(self, request: OpenRequest) -> None:
         """Its client awaits no answer any more."""
         if request.answered:
             return
@@ -173,7 +153,7 @@
         self.happened("client_left", request.id)
         self._close(request)
 
-    def ends_by(self, when: float) -> None:
+    def shutting_down_by(self, when: float) -> None:
         """The program ends then: each open request is answered before, however long its client would wait."""
         for request in self.open.values():
             if request.deadline > when:
@@ -181,18 +161,18 @@
                 self._deadlines.add(when, request.id)
         self.happened("shutting_down_by", when)
 
-    def listed(self, entries: Iterable[EndpointEntry], complete: bool, remembered: bool) -> None:
+    def endpoints_listed(self, entries: Iterable[EndpointEntry], complete: bool, remembered: bool) -> None:
         """A list of backends, or its changes; remembered: from an earlier process, not from discovery."""
         self.happened("endpoint_list_begins", complete, remembered)
         for entry in entries:
             self.happened("endpoint_listed", *entry)
         self.happened("endpoint_list_ended")
 
-    def list_refused(self, waited: float = 0.0) -> None:
+    def endpoint_poll_failed(self, waited: float = 0.0) -> None:
         """A poll of the list failed after so many seconds."""
         self.happened("endpoint_poll_failed", waited)
 
-    def peer_told(self, origin: int, words: str) -> None:
+    def peer_message_received(self, origin: int, words: str) -> None:
         """A message of another gateway's scheduler came."""
         self.happened("peer_message_received", origin, words)
 
@@ -218,7 +198,7 @@
     def _expire(self, request: int) -> None:
         self._time_is_up(self.open[request])
 
-    def _time_is_up(self, request: Open) -> None:
+    def _time_is_up(self, request: OpenRequest) -> None:
         for attempt in list(request.out.values()):
             self._time_out(attempt)
 
@@ -227,18 +207,18 @@
             attempt.over = True
             if link := self.links.get(attempt.backend):
                 link.cancel(attempt)
-            self._ended(attempt, AttemptOutcome.TIMED_OUT, NOTHING)
+            self._ended(attempt, AttemptOutcome.TIMED_OUT, EMPTY_RESULT)
 
     # ---- attempts and answers
 
-    def _ended(self, attempt: Attempt, outcome: AttemptOutcome, told: Told) -> None:
+    def _ended(self, attempt: Attempt, outcome: AttemptOutcome, result: AttemptResult) -> None:
         """An attempt has ended, by its link's word or by the driver's own."""
         request = self.open.get(attempt.request)
         if request is None:
             return
         now = self.transport.now()
         succeeded = outcome is AttemptOutcome.SUCCEEDED and not request.answered
-        self.accounting.attempt_ended(attempt, outcome, told, succeeded, now)
+        self.accounting.attempt_ended(attempt, outcome, result, succeeded, now)
         request.out.pop(attempt.number, None)
         self._count_attempt(outcome)
         if attempt.first_write:
@@ -247,7 +227,7 @@
             # Not delayed until the batch: the answer goes to the client at once.
             request.answered = True
             self.counts["honoured"] += 1
-            request.client.succeeded(self.shards.get(attempt.backend, UNPLACED), told.data)
+            request.client.succeeded(self.shards.get(attempt.backend, UNPLACED), result.data)
         end = AttemptEnded(
             request.id,
             attempt.number,
@@ -255,8 +235,8 @@
             attempt.backend,
             now - attempt.sent_at,
             request.answered,
-            told.elsewhere,
-            told.usage,
+            result.units_elsewhere,
+            result.usage,
         )
         self.happened("attempt_ended", end)
         self._close(request)
@@ -267,13 +247,13 @@
         else:
             self.counts[f"forwards {outcome.value}"] += 1
 
-    def _first_write_ended(self, request: Open, outcome: AttemptOutcome) -> None:
-        assert request.place is not None
-        released = self.first_writes.ended(request.place, outcome)
-        if released and self.keeper is not None:
-            self.keeper.freed(request.place)
+    def _first_write_ended(self, request: OpenRequest, outcome: AttemptOutcome) -> None:
+        assert request.extent is not None
+        released = self.first_writes.ended(request.extent, outcome)
+        if released and self.placement_log is not None:
+            self.placement_log.freed(request.extent)
 
-    def _close(self, request: Open) -> None:
+    def _close(self, request: OpenRequest) -> None:
         if request.answered and not request.out:
             self.open.pop(request.id, None)
 
@@ -301,36 +281,38 @@
         if wait > 0 and self._now + wait < found.deadline:
             self.transport.at(self._now + wait, lambda: self._time_out(attempt))
         self.accounting.sent(attempt, self.transport.now())
-        if attempt.first_write and self.keeper is not None and found.place is not None:
+        if attempt.first_write and self.placement_log is not None and found.extent is not None:
             self.awaiting_placement[attempt] = None
-            self.keeper.placed(found.place, self.shards[backend], lambda kept: self._kept(attempt, kept))
+            self.placement_log.placed(
+                found.extent, self.shards[backend], lambda durable: self._placement_logged(attempt, kept)
+            )
         else:
             link.send(attempt)
 
-    def _may_send(self, request: Open, attempt: Attempt) -> bool:
+    def _may_send(self, request: OpenRequest, attempt: Attempt) -> bool:
         if request.answered or self._now >= request.deadline:
             return False
         shard = self.shards[attempt.backend]
         if request.shard != UNPLACED:
             return request.shard == shard
-        if request.place is None:
+        if request.extent is None:
             return True
-        check = self.first_writes.begin(request.place, shard)
+        check = self.first_writes.begin(request.extent, shard)
         attempt.first_write = check is PlacementCheck.FIRST_WRITE
         return check is not PlacementCheck.ELSEWHERE
 
     def _not_sent(self, attempt: Attempt) -> None:
         attempt.over = True
-        self._ended(attempt, AttemptOutcome.NOT_SENT, NOTHING)
+        self._ended(attempt, AttemptOutcome.NOT_SENT, EMPTY_RESULT)
 
-    def _kept(self, attempt: Attempt, kept: bool) -> None:
+    def _placement_logged(self, attempt: Attempt, durable: bool) -> None:
         """It is durable where this first write's extent is placed, or can't be: then nothing is sent."""
         self.awaiting_placement.pop(attempt, None)
         if attempt.over:
             return
         request = self.open.get(attempt.request)
         # While it waited its client may have left, or the backend begun to drain.
-        awaited = kept and request is not None and not request.answered
+        awaited = durable and request is not None and not request.answered
         link = self.links.get(attempt.backend)
         backend = self.scheduler.shards.backends.get(attempt.backend)
         if awaited and link is not None and backend is not None and backend.ready:
@@ -348,7 +330,7 @@
             attempt.over = True
             if link := self.links.get(attempt.backend):
                 link.cancel(attempt)
-            self._ended(attempt, AttemptOutcome.CANCELLED, NOTHING)
+            self._ended(attempt, AttemptOutcome.CANCELLED, EMPTY_RESULT)
 
     def reject(self, request: int, return_after: float) -> None:
         """Ends a request whose client may try again, best after so many seconds (0: no advice)."""
@@ -385,11 +367,11 @@
         if self.recorder:
             self.recorder(("act", "send_peer_message", gateway, words))
         self.counts["told"] += 1
-        if self.teller is not None:
-            self.teller(gateway, words)
+        if self.peer_sender is not None:
+            self.peer_sender(gateway, words)
 
     def poll_endpoints(self) -> None:
         """Asks discovery for the list of backends and its changes."""
         if self.recorder:
             self.recorder(("act", "poll_endpoints"))
-        self._follow_list()
+        self._poll_list()
--- a/gorsethread/gateway/messages.py
+++ b/gorsethread/gateway/peer_messages.py
@@ -21,7 +21,7 @@
 WORDS_MOST = 200  # characters of a message
 
 
-class Allowance:
+class SendAllowance:
     """A token bucket of messages: so many a second, as many at once."""
 
     def __init__(self, most: int = SENT_MOST) -> None:
@@ -39,11 +39,11 @@
         return True
 
 
-class Messages:
+class PeerMessages:
     """Sends and receives messages of this gateway's scheduler.
 
     addresses are all gateways', by their numbers, as datagrams come from and go to them; me is this gateway's
-    number; told is called with the sender's number and the text of each message.
+    number; receive is called with the sender's number and the text of each message.
     """
 
     def __init__(
@@ -52,17 +52,17 @@
         listen: Address,
         addresses: tuple[Address, ...],
         me: int,
-        told: Callable[[int, str], None],
+        receive: Callable[[int, str], None],
     ) -> None:
         self._transport = transport
         self._listen = listen
         self._addresses = addresses
         self._me = me
-        self._received = told
+        self._receive = receive
         # Gateways with another list of addresses may mean others by the same numbers.
         self._fleet = crc32(repr(addresses).encode())
         self._numbers = {address: number for number, address in enumerate(addresses)}
-        self._allowance = Allowance()
+        self._allowance = SendAllowance()
         self.counts: Counter[str] = Counter()  # by reason, of which there are few
 
     def start(self) -> None:
@@ -73,7 +73,7 @@
         """Closes the port."""
         self._port.close()
 
-    def tell(self, gateway: int, words: str) -> None:
+    def send(self, gateway: int, words: str) -> None:
         """Sends a message to another gateway; dropped where it is unknown, too long or over the rate."""
         known = 0 <= gateway < len(self._addresses)
         if not known or len(words) > WORDS_MOST or not self._allowance.takes(self._transport.now()):
@@ -93,4 +93,4 @@
             self.counts["from no peer"] += 1
         elif message.kind == MessageKind.SCHEDULER_MESSAGE:
             self.counts["heard"] += 1
-            self._received(message.sender, message.text)
+            self._receive(message.sender, message.text)
--- a/gorsethread/head/clients.py
+++ b/gorsethread/head/clients.py
@@ -2,8 +2,9 @@
 
 from typing import Any, NamedTuple
 
-from gorsethread.gateway.driver import Driver, Open
+from gorsethread.gateway.driver import Driver
 from gorsethread.gateway.interfaces import UNPLACED, Extent, Placement, PlacementLog
+from gorsethread.gateway.open_requests import OpenRequest
 from gorsethread.head.facts import Sorter, units_of
 from gorsethread.head.links import Order
 from gorsethread.nvme.command import SGL_IN_CAPSULE, Completion, Opcode, Status
@@ -38,7 +39,7 @@
     def __init__(self, side: "ClientSide", io: IoCommand, profile: int, deadline: float) -> None:
         self.side, self.io, self.profile, self.deadline = side, io, profile, deadline
         self.timer: Timer | None = None
-        self.taken: Open | None = None
+        self.taken: OpenRequest | None = None
         self.data = b""  # of a write, where a branch remembers what its blocks held
 
     def succeeded(self, shard: int, data: bytes) -> None:
@@ -109,7 +110,7 @@
         }
         self._shards = {s.shard for s in site.shelf}
         self.draining = False
-        self.keeper: PlacementLog | None = None  # where what is placed is to last
+        self.placement_log: PlacementLog | None = None  # where what is placed is to last
         self.branch: Any = None  # of a branch's head: gorsethread/nvme_gateway/offline/offline_writes.py
 
     def announced(self, io: IoCommand) -> None:
@@ -147,9 +148,13 @@
             # The client was told where the extent lies, by a head that knew.
             shard = command.named_shard
             self.placement.placed(volume.number, extent, shard)
-            if self.keeper is not None:
-                self.keeper.placed((volume.number, extent), shard, lambda kept: None)
-        if shard == UNPLACED and self.keeper is not None and (after := self.keeper.retry_after()) > 0.0:
+            if self.placement_log is not None:
+                self.placement_log.placed((volume.number, extent), shard, lambda kept: None)
+        if (
+            shard == UNPLACED
+            and self.placement_log is not None
+            and (after := self.placement_log.retry_after()) > 0.0
+        ):
             # Where it belongs is not known now, or can't be kept: nothing of it has run.
             waiting.rejected(after)
             return
@@ -162,19 +167,19 @@
         if command.sgl_address or command.cdw3 > 0xFF:
             onward = command._replace(sgl_address=0, cdw3=command.cdw3 & 0xFF)
         key = f"{volume.number}/{extent}" if self._in_order[waiting.profile] else None
-        waiting.taken = self.driver.take(
+        waiting.taken = self.driver.admit(
             waiting,
             Order(onward, data, length if command.opcode == Opcode.READ else 0),
-            profile=waiting.profile,
-            plan=volume.plan_number,
+            request_class=waiting.profile,
+            service_tier=volume.plan_number,
             key=key,
             deadline=waiting.deadline,
             volume=volume.number,
-            place=Extent(volume.number, extent),
+            extent=Extent(volume.number, extent),
             units=float(units_of(length, self._unit_bytes)),
             shard=shard,
-            heads=volume.heads,
-            repeat=command.repeat,
+            gateways=volume.heads,
+            is_retry=command.repeat,
             arrived=io.arrived,
             awaited=waiting.timer is not None,
         )
--- a/gorsethread/head/links.py
+++ b/gorsethread/head/links.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from gorsethread.gateway.carrying import NOTHING, Attempt, Told
+from gorsethread.gateway.attempts import EMPTY_RESULT, Attempt, AttemptResult
 from gorsethread.nvme.command import Command, Completion, Status, told_service
 from gorsethread.queues.dial import Association, Names, dial
 from gorsethread.scheduling.model import AttemptOutcome
@@ -155,7 +155,7 @@
             how = AttemptOutcome.REJECTED
         else:
             how = ENDINGS.get(completion.status, AttemptOutcome.ERROR)
-        self._end(f, how, Told(data, elsewhere, usage, service))
+        self._end(f, how, AttemptResult(data, elsewhere, usage, service))
 
     def _broke(self, reason: str) -> None:
         association, self.association = self.association, None
@@ -167,7 +167,7 @@
         for f in out.values():
             self._end(f, AttemptOutcome.CONNECTION_LOST)
 
-    def _end(self, f: Attempt, how: AttemptOutcome, told: Told = NOTHING) -> None:
+    def _end(self, f: Attempt, how: AttemptOutcome, told: AttemptResult = EMPTY_RESULT) -> None:
         if not f.over:
             f.over = True
-            f.ended(f, how, told)
+            f.on_end(f, how, told)
--- a/gorsethread/head/listing.py
+++ b/gorsethread/head/listing.py
@@ -9,7 +9,8 @@
 
 import msgspec
 
-from gorsethread.gateway.driver import Driver, EndpointEntry
+from gorsethread.gateway.driver import Driver
+from gorsethread.gateway.open_requests import EndpointEntry
 from gorsethread.head.peers import PeerSide
 from gorsethread.sitefile.reading import split_address
 from gorsethread.transport.base import Stream, StreamClosed, Transport, Unreachable
@@ -128,7 +129,7 @@
             if self.peers is not None:
                 self.peers.core.list_lost()
             self.log.info("the list is not followed", reason=reason)
-            self.driver.list_refused()
+            self.driver.endpoint_poll_failed()
 
     def _watch(self, stream: Stream) -> None:
         """Guards against a list whose machine vanished without a word: the head would be deaf to drains."""
@@ -184,7 +185,7 @@
         self.links.only(set(self.shelves))
         self._ready(entries)
         told = [EndpointEntry(s.number, s.zone, s.shard, self._usable(s), since) for s, since in entries]
-        self.driver.listed(told, whole, remembered)
+        self.driver.endpoints_listed(told, whole, remembered)
 
     def _ready(self, entries: list[tuple[Listed, float]]) -> None:
         for s, _ in entries:
@@ -200,7 +201,7 @@
         if known:
             self._ready(known)
             told = [EndpointEntry(s.number, s.zone, s.shard, self._usable(s), since) for s, since in known]
-            self.driver.listed(told, False, False)
+            self.driver.endpoints_listed(told, False, False)
 
     def _save(self) -> None:
         if not self.path:
--- a/gorsethread/head/peers.py
+++ b/gorsethread/head/peers.py
@@ -6,7 +6,7 @@
 from typing import Any
 from zlib import crc32
 
-from gorsethread.gateway.messages import WORDS_MOST, Allowance
+from gorsethread.gateway.peer_messages import WORDS_MOST, SendAllowance
 from gorsethread.head.fleet import FleetSide
 from gorsethread.membership.backend_news import RESEND_INTERVAL, BackendNews, BackendNewsTable
 from gorsethread.membership.gossip_messages import (
@@ -47,7 +47,7 @@
             head, self.addresses, transport.chance(f"peers of head {head}").randrange
         )
         self.driver: Any = None
-        self.news, self.told = Allowance(TELLINGS_MOST), Allowance()
+        self.news, self.told = SendAllowance(TELLINGS_MOST), SendAllowance()
         self._begin = 0  # of all there is to tell, where the next telling goes on
         self.stopped = False
         self.side: FleetSide | None = None
@@ -153,7 +153,7 @@
 
     def _peer_told(self, source: Address, message: GossipMessage) -> None:
         if message.digest == self.list and self.driver is not None:
-            self.driver.peer_told(self.heads.index(self.numbers[source]), message.text)
+            self.driver.peer_message_received(self.heads.index(self.numbers[source]), message.text)
 
     def _heard(self, source: Address, message: GossipMessage) -> None:
         fresh = self.core.peer_reported([BackendNews(*n) for n in message.backend_news], self.transport.now())
--- a/gorsethread/head/program.py
+++ b/gorsethread/head/program.py
@@ -4,9 +4,9 @@
 from typing import Any
 
 from gorsethread.durable_log.records import NO_SEQUENCE
-from gorsethread.gateway.carrying import Place
+from gorsethread.gateway.backend_links import BackendLinks
 from gorsethread.gateway.driver import Driver
-from gorsethread.gateway.linktable import LinkTable
+from gorsethread.gateway.interfaces import Extent
 from gorsethread.head.accounting import AccountBook
 from gorsethread.head.clients import ClientSide, Tenants
 from gorsethread.head.facts import start_facts
@@ -57,7 +57,7 @@
         names, known = Names(site.subsystem, host_name, number.to_bytes(16, "little")), site.links
         rank, heads = sum(h.number < number for h in site.head), len(site.head)
         opens = ConnectionSlots(known.opens, rank, heads)
-        links = LinkTable(
+        links = BackendLinks(
             lambda shelf, address: BackendLink(
                 transport,
                 shelf,
@@ -81,7 +81,7 @@
         self.driver = Driver(transport, facts, seed, placement, self.follower.follow, log)
         self.follower.driver = links.driver = self.driver
         self.peers.driver = self.driver
-        self.driver.teller = self.peers.tell
+        self.driver.peer_sender = self.peers.tell
         delays = tuple(sorted({*RETRY_DELAYS, max(RETRY_DELAYS[-1], site.rules.longest_return)}))
         admits = Tenants(site, number).admits
         self.subsystem = Subsystem(
@@ -99,7 +99,7 @@
         if records:
             self.promises = ReplicatedLog(transport, site, number, records, placement, self.peers.living, log)
             self.holding = ReplicaServer(transport, site, number, records, log, peers_listen)
-            self.driver.keeper = self.clients.keeper = self.promises
+            self.driver.placement_log = self.clients.placement_log = self.promises
             if site.branch:
                 self._branches(placement)
         self.port = 0
@@ -108,9 +108,9 @@
         assert self.promises is not None and self.holding is not None
         if any(self.number in b.head for b in self.site.branch):
 
-            def writes_at(place: Place) -> bool:
+            def writes_at(place: Extent) -> bool:
                 return any(
-                    t.place == place and t.payload.command.opcode == Opcode.WRITE
+                    t.extent == place and t.payload.command.opcode == Opcode.WRITE
                     for t in self.driver.open.values()
                 )
 
--- a/gorsethread/http_gateway/backend_connection.py
+++ b/gorsethread/http_gateway/backend_connection.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple, Protocol
 
-from gorsethread.gateway.carrying import Attempt
+from gorsethread.gateway.attempts import Attempt
 from gorsethread.http1.client_codec import ClientCodec, Response
 from gorsethread.http1.framing import Headers
 from gorsethread.transport.base import Stream, StreamEnded, Timer
--- a/gorsethread/http_gateway/backend_link.py
+++ b/gorsethread/http_gateway/backend_link.py
@@ -7,7 +7,7 @@
 
 from collections import deque
 
-from gorsethread.gateway.carrying import NOTHING, Attempt, Told
+from gorsethread.gateway.attempts import EMPTY_RESULT, Attempt, AttemptResult
 from gorsethread.http1.client_codec import Response
 from gorsethread.http1.framing import InvalidResponseError
 from gorsethread.http_gateway.backend_connection import BackendConnection, OutgoingRequest
@@ -116,11 +116,11 @@
         # Also where it only waited: the client ended it, not the backend.
         self.end(attempt, AttemptOutcome.CANCELLED)
 
-    def end(self, attempt: Attempt, outcome: AttemptOutcome, answered: Told = NOTHING) -> None:
+    def end(self, attempt: Attempt, outcome: AttemptOutcome, answered: AttemptResult = EMPTY_RESULT) -> None:
         """Ends the attempt with its outcome, unless it has ended already."""
         if not attempt.over:
             attempt.over = True
-            attempt.ended(attempt, outcome, answered)
+            attempt.on_end(attempt, outcome, answered)
 
     def _submit(self, connection: BackendConnection, attempt: Attempt) -> None:
         outgoing: OutgoingRequest = attempt.payload
@@ -223,7 +223,7 @@
         if answer.status == 200:
             elsewhere = parse_figure(answer.header(SERVED_ELSEWHERE_HEADER))
             usage = parse_figure(answer.header(USAGE_HEADER))
-            self.end(attempt, AttemptOutcome.SUCCEEDED, Told(answer.body, elsewhere, usage))
+            self.end(attempt, AttemptOutcome.SUCCEEDED, AttemptResult(answer.body, elsewhere, usage))
         elif answer.status in (503, 504) and answer.header(DECLINED_HEADER) == b"1":
             self.end(attempt, AttemptOutcome.REJECTED)
         else:
--- a/gorsethread/http_gateway/client_connection.py
+++ b/gorsethread/http_gateway/client_connection.py
@@ -8,7 +8,7 @@
 from collections import Counter
 from typing import Protocol
 
-from gorsethread.gateway.driver import Open
+from gorsethread.gateway.open_requests import OpenRequest
 from gorsethread.http1.framing import READ_AHEAD_BYTES_MAX, Headers, InvalidRequestError
 from gorsethread.http1.server_codec import Request, ServerCodec, closing_response
 from gorsethread.transport.base import READ_MOST, Stream, StreamClosed, Transport
@@ -70,7 +70,7 @@
         self.side = side
         self.stream = stream
         self.codec = ServerCodec()
-        self.open_request: Open | None = None
+        self.open_request: OpenRequest | None = None
         self.request_id = b""
         self.since: float = now
         self.arrived: float = now
--- a/gorsethread/http_gateway/client_side.py
+++ b/gorsethread/http_gateway/client_side.py
@@ -143,18 +143,18 @@
         headers = [(name, value) for name, value in request.headers if name in FORWARDED_HEADERS]
         connection.request_id = fields.id
         self.open[fields.id] = connection
-        connection.open_request = self.driver.take(
+        connection.open_request = self.driver.admit(
             connection,
             OutgoingRequest(request.method, request.target, headers, request.body, deadline),
-            profile=fields.request_class,
-            plan=fields.service_tier,
+            request_class=fields.request_class,
+            service_tier=fields.service_tier,
             key=fields.key,
             deadline=deadline,
             volume=fields.volume,
             units=fields.units,
             shard=fields.shard,
-            heads=fields.gateways,
-            repeat=fields.repeat,
+            gateways=fields.gateways,
+            is_retry=fields.repeat,
             arrived=connection.arrived,
         )
 
--- a/gorsethread/http_gateway/connection_pool.py
+++ b/gorsethread/http_gateway/connection_pool.py
@@ -5,7 +5,7 @@
 from itertools import takewhile
 from typing import Any, Protocol
 
-from gorsethread.gateway.carrying import Attempt
+from gorsethread.gateway.attempts import Attempt
 from gorsethread.http_gateway.backend_connection import BackendConnection
 from gorsethread.http_gateway.connection_reuse import ReuseTrust
 from gorsethread.transport.base import Transport
--- a/gorsethread/http_gateway/discovery.py
+++ b/gorsethread/http_gateway/discovery.py
@@ -86,7 +86,7 @@
         """Discovery is at another address now: the watch goes on there at once."""
         self.address = address
         # Refusals by the old service say nothing of the new one, and would lengthen the backoff if it fails.
-        self.updates.driver.listed([], False, False)
+        self.updates.driver.endpoints_listed([], False, False)
         if self._watching:
             self._moved = True
             self._close_stream()
@@ -130,7 +130,7 @@
         if not self._needs_complete:  # else the list is asked for once more, and complete
             self._end_first_call()
         self.log.info("endpoint list watch failed", reason=reason[:REASON_LENGTH_MOST])
-        self.updates.driver.list_refused(self.transport.now() - self._call_began)
+        self.updates.driver.endpoint_poll_failed(self.transport.now() - self._call_began)
 
     async def _watch(self) -> None:
         """One call after the other on one connection, until one fails."""
--- a/gorsethread/http_gateway/endpoint_updates.py
+++ b/gorsethread/http_gateway/endpoint_updates.py
@@ -1,7 +1,8 @@
 """What an endpoint list changes: the links, the pool's waiting attempts and what the scheduler knows."""
 
-from gorsethread.gateway.driver import Driver, EndpointEntry
-from gorsethread.gateway.linktable import LinkTable
+from gorsethread.gateway.backend_links import BackendLinks
+from gorsethread.gateway.driver import Driver
+from gorsethread.gateway.open_requests import EndpointEntry
 from gorsethread.http_gateway.addresses import parse_address
 from gorsethread.http_gateway.connection_pool import ConnectionPool
 from gorsethread.http_gateway.endpoint_list import Instance, backend_number
@@ -20,7 +21,7 @@
         links: the table of links.
     """
 
-    def __init__(self, transport: Transport, zones: dict[str, int], links: LinkTable) -> None:
+    def __init__(self, transport: Transport, zones: dict[str, int], links: BackendLinks) -> None:
         self.zones = zones
         self.links = links
         self.driver: Driver
@@ -58,7 +59,7 @@
         else:
             self.links.forget_idle()
         self.pool.withdraw(unready)
-        self.driver.listed(entries, complete, remembered)
+        self.driver.endpoints_listed(entries, complete, remembered)
 
     def _entry(self, number: int, instance: Instance) -> EndpointEntry:
         started = instance.started_at_ms * 0.001 - self._unix_offset if instance.started_at_ms > 0 else 0.0
--- a/gorsethread/http_gateway/gateway.py
+++ b/gorsethread/http_gateway/gateway.py
@@ -4,9 +4,9 @@
 from typing import Any
 
 from gorsethread.errors import GorsethreadError
+from gorsethread.gateway.backend_links import BackendLinks
 from gorsethread.gateway.driver import Driver
-from gorsethread.gateway.linktable import LinkTable
-from gorsethread.gateway.messages import Messages
+from gorsethread.gateway.peer_messages import PeerMessages
 from gorsethread.http_gateway.addresses import UnusableConfigurationError
 from gorsethread.http_gateway.backend_link import BackendLink
 from gorsethread.http_gateway.client_side import ClientSide
@@ -74,7 +74,7 @@
         self.ended = False
         self._ending = False
         self._listener: Listener | None = None
-        links = LinkTable(lambda backend, address: BackendLink(self.pool, backend, address))
+        links = BackendLinks(lambda backend, address: BackendLink(self.pool, backend, address))
         settings = configuration.scheduler_settings
         updates = EndpointUpdates(transport, configuration.request_names.zones, links)
         wait = min(WATCH_WAIT_MOST_SECONDS, 0.5 * settings.poll_within or WATCH_WAIT_MOST_SECONDS)
@@ -101,19 +101,19 @@
             self.log,
         )
 
-    def _messages(self) -> Messages | None:
+    def _messages(self) -> PeerMessages | None:
         """The way to other gateways, where the configuration has one."""
         configuration = self.configuration
         if configuration.peer_listen is None:
             return None
-        messages = Messages(
+        messages = PeerMessages(
             self.transport,
             configuration.peer_listen,
             configuration.peers,
             configuration.scheduler_settings.gateway_index,
-            self.driver.peer_told,
+            self.driver.peer_message_received,
         )
-        self.driver.teller = messages.tell
+        self.driver.peer_sender = messages.send
         return messages
 
     # ---- start
@@ -193,7 +193,7 @@
         longest = min(self.configuration.longest_wait, LONGEST_WAIT_COUNTED_SECONDS)
         remaining = longest + KILL_AFTER_SECONDS - SPARE_SECONDS
         self.clients.end_by = self.transport.now() + remaining
-        self.driver.ends_by(self.clients.end_by)
+        self.driver.shutting_down_by(self.clients.end_by)
         await self.transport.sleep(max(NEW_CONNECTIONS_SECONDS, remaining - LAST_ANSWERS_SECONDS))
         self.clients.ending = True
         listener.close()
--- a/gorsethread/lab/peers.py
+++ b/gorsethread/lab/peers.py
@@ -5,7 +5,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from gorsethread.gateway.carrying import Attempt, Told
+from gorsethread.gateway.attempts import Attempt, AttemptResult
 from gorsethread.head.links import BackendLink, Order
 from gorsethread.head.placement import SitePlacement
 from gorsethread.nvme.command import Completion, Opcode, Status, io_command
@@ -65,7 +65,7 @@
         extent = c.first_block // self.volumes[c.nsid].extent_blocks
         link = self.links[self.placement.shard_of(c.nsid, extent)]
 
-        def ended(f: Attempt, how: AttemptOutcome, told: Told) -> None:
+        def ended(f: Attempt, how: AttemptOutcome, told: AttemptResult) -> None:
             honoured = how is AttemptOutcome.SUCCEEDED
             io.answer(Completion(0, Status.SUCCESS if honoured else Status.INTERNAL_ERROR), told.data)
 
--- a/gorsethread/nvme_gateway/offline/offline_writes.py
+++ b/gorsethread/nvme_gateway/offline/offline_writes.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from gorsethread.durable_log.records import NO_SEQUENCE, Record
-from gorsethread.gateway.carrying import Place
+from gorsethread.gateway.interfaces import Extent
 from gorsethread.nvme_gateway.offline.block_view import BlockView
 from gorsethread.nvme_gateway.offline.branch_settings import read_branch_settings
 from gorsethread.nvme_gateway.offline.change_history import ChangeHistory
@@ -54,7 +54,7 @@
         gateway: int,
         log: ReplicatedLog,
         alive_gateways: Callable[[], list[int]],
-        has_open_write: Callable[[Place], bool],
+        has_open_write: Callable[[Extent], bool],
         copied_up_to: Callable[[int], Position],
         logger: Any,
     ) -> None:
@@ -100,7 +100,7 @@
             logger,
         )
 
-    def _make_replay(self, has_open_write: Callable[[Place], bool], logger: Any) -> Replay:
+    def _make_replay(self, has_open_write: Callable[[Extent], bool], logger: Any) -> Replay:
         return Replay(
             self._transport,
             self.settings,
--- a/gorsethread/nvme_gateway/offline/replay.py
+++ b/gorsethread/nvme_gateway/offline/replay.py
@@ -4,7 +4,7 @@
 from typing import Any, NamedTuple
 
 from gorsethread.durable_log.replication_messages import ProtocolError
-from gorsethread.gateway.carrying import Place
+from gorsethread.gateway.interfaces import Extent
 from gorsethread.nvme_gateway.offline.block_view import BlockView
 from gorsethread.nvme_gateway.offline.branch_settings import BranchSettings
 from gorsethread.nvme_gateway.offline.change_history import ChangeHistory
@@ -72,7 +72,7 @@
         dead_letters: DeadLetters,
         history: ChangeHistory,
         alive_gateways: Callable[[], list[int]],
-        has_open_write: Callable[[Place], bool],
+        has_open_write: Callable[[Extent], bool],
         logger: Any,
     ) -> None:
         self._transport = transport
@@ -135,8 +135,8 @@
                 # A forwarded write of that place that is still open was there first.
                 self._send(source, queued, now)
 
-    def _place_of(self, write: Write) -> Place:
-        return write.volume, write.block // self._settings.volumes[write.volume].extent_blocks
+    def _place_of(self, write: Write) -> Extent:
+        return Extent(write.volume, write.block // self._settings.volumes[write.volume].extent_blocks)
 
     def _query(self, source: ReplaySource, queued: QueuedWrite, now: float) -> None:
         """Of all that may have run it one after the other, whoever can be reached first."""
--- a/gorsethread/nvme_gateway/replay_execution.py
+++ b/gorsethread/nvme_gateway/replay_execution.py
@@ -2,8 +2,9 @@
 
 from collections.abc import Callable
 
-from gorsethread.gateway.carrying import Extent, Placement
-from gorsethread.gateway.driver import Driver, Open
+from gorsethread.gateway.driver import Driver
+from gorsethread.gateway.interfaces import Extent, Placement
+from gorsethread.gateway.open_requests import OpenRequest
 from gorsethread.head.facts import Sorter, units_of
 from gorsethread.head.links import Order
 from gorsethread.nvme.command import Command, Opcode, io_command
@@ -31,9 +32,9 @@
         self._finished = finished
         self._idempotent = idempotent
         self._driver = driver
-        self._open: Open | None = None
+        self._open: OpenRequest | None = None
 
-    def opened(self, request: Open) -> None:
+    def opened(self, request: OpenRequest) -> None:
         """The driver took it."""
         self._open = request
 
@@ -156,19 +157,19 @@
         now = self._transport.now()
         timeout = max(MIN_TIMEOUT, known.cut_off - self._site.rules.answer_slack)
         request.opened(
-            self._driver.take(
+            self._driver.admit(
                 request,
                 order,
-                profile=request_class,
-                plan=self._service_tiers[volume.plan],
+                request_class=request_class,
+                service_tier=self._service_tiers[volume.plan],
                 key=f"{message.volume}/{extent}" if known.in_order else None,
                 deadline=now + timeout,
                 volume=message.volume,
                 units=float(units_of(len(message.data), self._site.links.unit_bytes)),
                 shard=self._placement.shard_of(message.volume, extent),
-                heads=len(volume.head),
-                repeat=message.attempt > 0,
+                gateways=len(volume.head),
+                is_retry=message.attempt > 0,
                 arrived=now,
-                place=Extent(message.volume, extent),
+                extent=Extent(message.volume, extent),
             )
         )
--- a/gorsethread/nvme_gateway/replay_receiver.py
+++ b/gorsethread/nvme_gateway/replay_receiver.py
@@ -8,8 +8,8 @@
 
 from gorsethread.durable_log.records import EFFECT, Tombstone, WriteApplied
 from gorsethread.durable_log.replication_messages import ProtocolError, encode
-from gorsethread.gateway.carrying import Placement
 from gorsethread.gateway.driver import Driver
+from gorsethread.gateway.interfaces import Placement
 from gorsethread.nvme_gateway.replay_execution import ReplayExecutor
 from gorsethread.nvme_gateway.replicated_log import ReplicatedLog
 from gorsethread.offline_writes import messages
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from gorsethread.gateway.carrying import Attempt, Told
+from gorsethread.gateway.attempts import Attempt, AttemptResult
 from gorsethread.head.links import BackendLink
 from gorsethread.head.links import Order as Sent
 from gorsethread.nvme.command import Command, Completion, Opcode, Status, connect, connect_data, io_command
@@ -260,7 +260,7 @@
                 await self.until(lambda d=driver: not d.open)
 
     def _answer(self, f: Attempt) -> None:
-        self.heads[0].driver.links[f.backend]._end(f, AttemptOutcome.SUCCEEDED, Told())
+        self.heads[0].driver.links[f.backend]._end(f, AttemptOutcome.SUCCEEDED, AttemptResult())
 
     async def test_the_list_is_gone_at_start(self) -> None:
         """The head serves by the list it remembers; without one it pushes back in time."""
--- a/tests/test_idle_shelves.py
+++ b/tests/test_idle_shelves.py
@@ -5,7 +5,7 @@
 import unittest
 from typing import Any
 
-from gorsethread.gateway.carrying import NOTHING
+from gorsethread.gateway.attempts import EMPTY_RESULT
 from gorsethread.gateway.driver import Driver
 from gorsethread.head.facts import start_facts
 from gorsethread.head.links import Order
@@ -33,7 +33,7 @@
         links = {n: Link_() for n in range(shelves)}
         driver.links.update(links)  # type: ignore[arg-type]
         driver.shards.update({n: n for n in range(shelves)})
-        driver.listed([(n, 0, n, True, 0.0) for n in range(shelves)], True, True)
+        driver.endpoints_listed([(n, 0, n, True, 0.0) for n in range(shelves)], True, True)
         clock.move(clock.time + 0.1)
         count = 0
 
@@ -47,25 +47,25 @@
         sys.setprofile(seen)
         try:
             for n in range(100):
-                driver.take(
+                driver.admit(
                     Deaf(),
                     Order(io_command(Opcode.READ, 1)),
-                    profile=0,
-                    plan=0,
+                    request_class=0,
+                    service_tier=0,
                     key=None,
                     deadline=clock.time + 1.0,
                     volume=1,
-                    place=(1, n % 2),
+                    extent=(1, n % 2),
                     units=1.0,
                     shard=n % 2,
-                    heads=1,
-                    repeat=False,
+                    gateways=1,
+                    is_retry=False,
                     arrived=clock.time,
                 )
                 clock.move(clock.time + 0.001)
                 f = links[n % 2].held.pop()
                 f.over = True
-                driver._ended(f, AttemptOutcome.SUCCEEDED, NOTHING)
+                driver._ended(f, AttemptOutcome.SUCCEEDED, EMPTY_RESULT)
                 clock.move(clock.time + 0.001)
         finally:
             sys.setprofile(None)
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -16,7 +16,7 @@
 from minicheck import Protocol, check_safety
 
 from gorsethread.faults.coldpart import Falls
-from gorsethread.gateway.messages import SENT_MOST, Messages
+from gorsethread.gateway.peer_messages import SENT_MOST, PeerMessages
 from gorsethread.harness.processes import Processes
 from gorsethread.http_gateway.addresses import UnusableConfigurationError
 from gorsethread.http_gateway.configuration import Configuration, read_configuration
@@ -483,7 +483,7 @@
         addresses = tuple((f"head{n}", 7946) for n in range(3))
         heard: list[tuple[int, str]] = []
         made = [
-            Messages(
+            PeerMessages(
                 VirtualTransport(network, Disk(), f"head {n}"),
                 addresses[n],
                 addresses,
@@ -544,7 +544,7 @@
         }
         told: list[tuple[int, str]] = []
         head = self.start(settings=settings, peers=peers, peer_listen=peers[home])
-        other = Messages(
+        other = PeerMessages(
             self.process("other"),
             ("head0" if home else "head1", 7946),
             head.configuration.peers,
--- a/tests/test_same_decisions.py
+++ b/tests/test_same_decisions.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from gorsethread.accounts.lives import Accounts
-from gorsethread.gateway.carrying import NOTHING, Attempt, Told
+from gorsethread.gateway.attempts import EMPTY_RESULT, Attempt, AttemptResult
 from gorsethread.gateway.driver import Driver
 from gorsethread.gateway.held_reasons import why_held
 from gorsethread.gateway.scheduler_settings import EFFECTS, IDEMPOTENCY_SCOPES
@@ -196,7 +196,7 @@
         if accounts:
             driver.accounting.accounts = Accounts([p.promised for p in site.profile], clock.time)
         clock.settle()
-        driver.listed([(0, 0, 0, True, 0.0), (1, 0, 1, True, 0.0)], True, True)
+        driver.endpoints_listed([(0, 0, 0, True, 0.0), (1, 0, 1, True, 0.0)], True, True)
         for step in range(600):
             clock.move(clock.time + chance.random() * 0.02)
             if accounts:
@@ -207,9 +207,9 @@
             elif draw < 0.53 and driver.open:
                 driver.client_left(chance.choice(list(driver.open.values())))
             elif draw < 0.54:
-                driver.list_refused()
+                driver.endpoint_poll_failed()
             if step in (200, 400):
-                driver.listed([(1, 0, 1, step == 400, clock.time - 0.5)], False, False)
+                driver.endpoints_listed([(1, 0, 1, step == 400, clock.time - 0.5)], False, False)
             for link in links.values():
                 while link.held and chance.random() < 0.45:
                     f = link.held.pop(0)
@@ -224,7 +224,11 @@
                                 AttemptOutcome.UNREACHABLE,
                             ]
                         )
-                        told_too = Told(elsewhere=chance.randrange(3)) if chance.random() < 0.5 else NOTHING
+                        told_too = (
+                            AttemptResult(units_elsewhere=chance.randrange(3))
+                            if chance.random() < 0.5
+                            else EMPTY_RESULT
+                        )
                         driver._ended(f, how, told_too)
         clock.move(clock.time + 3.0)
         self.assertEqual({}, driver.open, "every transaction has ended")
@@ -246,19 +250,19 @@
             Opcode.WRITE if write else Opcode.READ, volume, extent * 64, attempt=int(chance.random() < 0.1)
         )
         key = f"{volume}/{extent}" if profile == 1 else None
-        driver.take(
+        driver.admit(
             Deaf(),
             Order(command),
-            profile=profile,
-            plan=0,
+            request_class=profile,
+            service_tier=0,
             key=key,
             deadline=driver.transport.now() + chance.uniform(0.05, 1.0),
             volume=volume,
-            place=(volume, extent),
+            extent=(volume, extent),
             units=float(1 + chance.randrange(8)),
             shard=shard,
-            heads=1,
-            repeat=command.repeat,
+            gateways=1,
+            is_retry=command.repeat,
             arrived=driver.transport.now(),
         )
 
