--- a/gorsethread/gateway/driver.py
+++ b/gorsethread/gateway/driver.py
@@ -284,7 +284,7 @@
         if attempt.first_write and self.placement_log is not None and found.extent is not None:
             self.awaiting_placement[attempt] = None
             self.placement_log.placed(
-                found.extent, self.shards[backend], lambda durable: self._placement_logged(attempt, kept)
+                found.extent, self.shards[backend], lambda durable: self._placement_logged(attempt, durable)
             )
         else:
             link.send(attempt)
