--- /dev/null
+++ b/tests/scheduling/__init__.py
@@ -0,0 +1,1 @@
+"""The decisions on the request path, mechanism by mechanism and as a whole."""
--- a/tests/test_idle_shelves.py
+++ b/tests/test_idle_shelves.py
@@ -15,7 +15,7 @@
 from gorsethread.scheduling.model import AttemptOutcome
 from gorsethread.sitefile.reading import parse_site
 from tests.rig import SITE
-from tests.test_same_decisions import Deaf, Link_
+from tests.scheduling.test_same_decisions import Deaf, Link_
 from tests.virtual import Clockwork
 
 
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -45,7 +45,7 @@
 from tests.harness import FACTS, PrintingHost
 from tests.harness import Scene as Bench
 from tests.live import SETTINGS, LiveRig, order
-from tests.test_same_decisions import setup_of
+from tests.scheduling.test_same_decisions import setup_of
 
 COLD = SlowStartRule(9.0, 3.0, 13.0, 0.19)
 STATES_MOST = 200_000  # 93243 are reached in 5 steps of time; in 6 it is 333288, none of them bad either
