--- a/gorsethread/faults/mutants.py
+++ b/gorsethread/faults/mutants.py
@@ -141,7 +141,7 @@
 
     def take(*arguments: Any, **named: Any) -> OpenRequest:
         if now():
-            head.driver.counts["taken"] += 1
+            head.driver.counts["requests"] += 1
         return honest(*arguments, **named)
 
     head.driver.admit = take  # type: ignore[method-assign]
--- a/gorsethread/faults/world.py
+++ b/gorsethread/faults/world.py
@@ -77,7 +77,7 @@
     **_points("holding", "nvme_gateway.replica_server", "ReplicaServer", {"greeted": "_greeted"}),
     **_points("promises.store", "durable_log.log_store", "LogStore", {"segment": "_remove_old_segments"}),
 }
-COUNTED = ("honoured", "pushed back", "given up", "left")
+COUNTED = ("succeeded", "rejected", "failed", "client left")
 
 
 def misfits(site: pb.Site, script: Script, web: bool = False, kept: bool = False) -> list[str]:
@@ -613,9 +613,9 @@
         counts = driver.counts
         waiting = sum(not t.answered for t in driver.open.values())
         answered = sum(counts[how] for how in COUNTED)
-        if counts["taken"] != answered + waiting:
+        if counts["requests"] != answered + waiting:
             self._defect(
-                f"counts do not add up: head {number}: taken {counts['taken']}, answered or left "
+                f"counts do not add up: head {number}: taken {counts['requests']}, answered or left "
                 f"{answered}, open {waiting}"
             )
 
--- a/gorsethread/gateway/driver.py
+++ b/gorsethread/gateway/driver.py
@@ -35,6 +35,11 @@
 REQUEST_NUMBERS = 2**32  # they are given again after so many
 
 
+def attempt_count(outcome: AttemptOutcome) -> str:
+    """The name under which the driver counts attempts that ended so."""
+    return f"attempts {outcome.name.lower().replace('_', ' ')}"
+
+
 class Driver:
     """Drives one scheduler. All times are the transport's, in seconds.
 
@@ -115,7 +120,7 @@
         request = OpenRequest(self._next_id(), client, payload, extent, shard, deadline)
         self.open[request.id] = request
         self._deadlines.add(deadline, request.id)
-        self.counts["taken"] += 1
+        self.counts["requests"] += 1
         taken_at = self.transport.now() if awaited else arrived
         arrival = Arrival(volume, request_class, int(units), shard, key is not None, arrived, taken_at)
         self.accounting.taken(request.id, arrival)
@@ -146,7 +151,7 @@
             return
         request.answered = True
         self.accounting.answered(request.id, RequestOutcome.CLIENT_LEFT, self.transport.now())
-        self.counts["left"] += 1
+        self.counts["client left"] += 1
         for attempt in list(request.out.values()):
             if link := self.links.get(attempt.backend):
                 link.cancel(attempt)
@@ -220,13 +225,13 @@
         succeeded = outcome is AttemptOutcome.SUCCEEDED and not request.answered
         self.accounting.attempt_ended(attempt, outcome, result, succeeded, now)
         request.out.pop(attempt.number, None)
-        self._count_attempt(outcome)
+        self.counts[attempt_count(outcome)] += 1
         if attempt.first_write:
             self._first_write_ended(request, outcome)
         if succeeded:
             # Not delayed until the batch: the answer goes to the client at once.
             request.answered = True
-            self.counts["honoured"] += 1
+            self.counts["succeeded"] += 1
             request.client.succeeded(self.shards.get(attempt.backend, UNPLACED), result.data)
         end = AttemptEnded(
             request.id,
@@ -241,12 +246,6 @@
         self.happened("attempt_ended", end)
         self._close(request)
 
-    def _count_attempt(self, outcome: AttemptOutcome) -> None:
-        if outcome is AttemptOutcome.SUCCEEDED:
-            self.counts["forwards honoured"] += 1
-        else:
-            self.counts[f"forwards {outcome.value}"] += 1
-
     def _first_write_ended(self, request: OpenRequest, outcome: AttemptOutcome) -> None:
         assert request.extent is not None
         released = self.first_writes.ended(request.extent, outcome)
@@ -277,7 +276,7 @@
         if link is None or not self._may_send(found, attempt):
             self._not_sent(attempt)
             return
-        self.counts["forwards"] += 1
+        self.counts["attempts"] += 1
         if wait > 0 and self._now + wait < found.deadline:
             self.transport.at(self._now + wait, lambda: self._time_out(attempt))
         self.accounting.sent(attempt, self.transport.now())
@@ -340,7 +339,7 @@
         if found is not None and not found.answered:
             found.answered = True
             self.accounting.answered(found.id, RequestOutcome.REJECTED, self.transport.now())
-            self.counts["pushed back"] += 1
+            self.counts["rejected"] += 1
             found.client.rejected(return_after)
             self._close(found)
 
@@ -352,7 +351,7 @@
         if found is not None and not found.answered:
             found.answered = True
             self.accounting.answered(found.id, RequestOutcome.FAILED, self.transport.now())
-            self.counts["given up"] += 1
+            self.counts["failed"] += 1
             found.client.failed()
             self._close(found)
 
@@ -366,7 +365,7 @@
         """Sends a message to another gateway's scheduler, where the front has a way to it."""
         if self.recorder:
             self.recorder(("act", "send_peer_message", gateway, words))
-        self.counts["told"] += 1
+        self.counts["peer messages"] += 1
         if self.peer_sender is not None:
             self.peer_sender(gateway, words)
 
--- a/gorsethread/lab/alternate.py
+++ b/gorsethread/lab/alternate.py
@@ -22,11 +22,11 @@
         self._begin()
 
     def _begin(self) -> None:
-        self.started, self.honoured = self.transport.now(), self.head.driver.counts["honoured"]
+        self.started, self.honoured = self.transport.now(), self.head.driver.counts["succeeded"]
         self.transport.at(self.started + STRETCH, self._turn)
 
     def _turn(self) -> None:
-        honoured = self.head.driver.counts["honoured"] - self.honoured
+        honoured = self.head.driver.counts["succeeded"] - self.honoured
         on = self.head.driver.accounting.accounts is not None
         if honoured:
             self.stretches.append((on, honoured / (self.transport.now() - self.started)))
--- a/gorsethread/lab/sockets.py
+++ b/gorsethread/lab/sockets.py
@@ -13,7 +13,35 @@
 # The lines of a log by their events; "head": logs written before 2026-12-02.
 STARTED = ("gateway serves", "head serves")
 TOLD_WITH_COUNTS = ("counts", "gateway ends", "gateway ended", "head ends", "head ended")
-OUTCOMES = ("honoured", "error", "turned away", "timed out", "unreached", "broken", "called off", "not sent")
+OUTCOMES = (
+    "succeeded",
+    "error",
+    "rejected",
+    "timed out",
+    "unreachable",
+    "connection lost",
+    "cancelled",
+    "not sent",
+)
+# Names of counts in logs written before 2026-12-03.
+FORMER = {
+    "taken": "requests",
+    "honoured": "succeeded",
+    "pushed_back": "rejected",
+    "given_up": "failed",
+    "left": "client_left",
+    "forwards_honoured": "attempts_succeeded",
+    "forwards_error": "attempts_error",
+    "forwards_turned_away": "attempts_rejected",
+    "forwards_timed_out": "attempts_timed_out",
+    "forwards_unreached": "attempts_unreachable",
+    "forwards_broken": "attempts_connection_lost",
+    "forwards_called_off": "attempts_cancelled",
+    "forwards_not_sent": "attempts_not_sent",
+}
+
+
+COUNTED = frozenset(FORMER.values())
 
 
 def counts_of(lines: Iterable[str]) -> Counter[str]:
@@ -32,21 +60,12 @@
             total.update(life)
             life = {}
         elif told.get("event") in TOLD_WITH_COUNTS:
-            life.update({name: n for name, n in told.items() if isinstance(n, int) and name in COUNTED})
+            named = {FORMER.get(name, name): n for name, n in told.items() if isinstance(n, int)}
+            life.update({name: n for name, n in named.items() if name in COUNTED})
     total.update(life)
     return total
 
 
-COUNTED = {
-    "taken",
-    "honoured",
-    "pushed_back",
-    "given_up",
-    "left",
-    *(f"forwards_{name.replace(' ', '_')}" for name in OUTCOMES),
-}
-
-
 def compare(logs: Iterable[Iterable[str]], report: dict[str, Any]) -> list[tuple[str, int, int]]:
     """(what, heads', bench's) for each figure that both have. KeyError for a report without windows."""
     heads: Counter[str] = Counter()
@@ -54,10 +73,10 @@
         heads.update(counts_of(lines))
     windows = report["windows"]
     rows = [
-        ("transactions", heads["taken"], sum(w["client_tries"] for w in windows)),
-        ("pushed back", heads["pushed_back"], sum(w["refused"] for w in windows)),
+        ("requests", heads["requests"], sum(w["client_tries"] for w in windows)),
+        ("rejected", heads["rejected"], sum(w["refused"] for w in windows)),
     ]
     for place, name in enumerate(OUTCOMES):
         seen = sum(w["outcomes"][place] for w in windows)
-        rows.append((f"forwards {name}", heads[f"forwards_{name.replace(' ', '_')}"], seen))
+        rows.append((f"attempts {name}", heads[f"attempts_{name.replace(' ', '_')}"], seen))
     return rows
--- a/tests/http_gateway/test_backends.py
+++ b/tests/http_gateway/test_backends.py
@@ -19,17 +19,17 @@
 
     def test_answers_on_the_wire_and_what_the_decisions_hear(self) -> None:
         for says, status, ending in (
-            ([whole(200, b"x")], 200, "honoured"),
+            ([whole(200, b"x")], 200, "succeeded"),
             ([whole(500)], 504, "error"),
-            ([whole(503, b"", "Srv-Declined: 1\r\n")], 503, "turned away"),
+            ([whole(503, b"", "Srv-Declined: 1\r\n")], 503, "rejected"),
             ([whole(503)], 504, "error"),
-            ([b""], 504, "broken"),
-            ([b"HTTP/1.1 20", b""], 504, "broken"),
+            ([b""], 504, "connection lost"),
+            ([b"HTTP/1.1 20", b""], 504, "connection lost"),
             ([b"noise\r\n\r\n"], 504, "error"),
             ([b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"z" * 9000], 504, "error"),
-            ([b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", b""], 504, "broken"),
-            ([b"HTTP/1.1 100 C\r\n\r\n" * 3 + whole(200, b"x")], 200, "honoured"),
-            ([whole(200, b"x", "Srv-Load: {\r\nOther-Hosts: many\r\nVolume-Load: ?\r\n")], 200, "honoured"),
+            ([b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", b""], 504, "connection lost"),
+            ([b"HTTP/1.1 100 C\r\n\r\n" * 3 + whole(200, b"x")], 200, "succeeded"),
+            ([whole(200, b"x", "Srv-Load: {\r\nOther-Hosts: many\r\nVolume-Load: ?\r\n")], 200, "succeeded"),
         ):
             with self.subTest(says=says):
                 self.setUp()
@@ -39,8 +39,8 @@
                     self.shelves[0].says = lambda r: says
                     caller = await self.call(wish("30", "post", patience=500, body=b"x"), 1.0)
                     self.assertEqual(status, caller.status)
-                    self.assertGreaterEqual(head.driver.counts[f"forwards {ending}"], 1)
-                    if ending != "turned away":
+                    self.assertGreaterEqual(head.driver.counts[f"attempts {ending}"], 1)
+                    if ending != "rejected":
                         self.assertEqual(1, len(self.shelves[0].seen), "irreversible and may have run: once")
 
                 self.play(work)
@@ -50,7 +50,7 @@
             head = self.start()
             self.shelves[0].listener.close()
             caller = await self.call(wish("31", "post", patience=900, body=b"x"), 0.15)
-            self.assertEqual(2, head.driver.counts["forwards unreached"])
+            self.assertEqual(2, head.driver.counts["attempts unreachable"])
             self.shelves[0] = Shelf(self.process("shelf0"), "shelf0")
             await self.wait(0.8)
             self.assertEqual((200, 1), (caller.status, len(self.shelves[0].seen)))
@@ -91,7 +91,7 @@
                 caller.stream.write(wish(str(n + 100), "post", body=b"x"))
                 await self.wait(0.02)
                 self.assertEqual(2, caller.got.count(b"HTTP/1.1 200"))
-            self.assertEqual(0, head.driver.counts["forwards broken"])
+            self.assertEqual(0, head.driver.counts["attempts connection lost"])
 
         self.play(work)
 
@@ -159,7 +159,7 @@
             for n in range(130, 150, 2):
                 both = wish(str(n), "post", body=b"x") + wish(str(n + 1), "post", body=b"x")
                 self.assertEqual(2, (await self.call(both)).got.count(b"HTTP/1.1 200"))
-            self.assertEqual(0, head.driver.counts["forwards broken"])
+            self.assertEqual(0, head.driver.counts["attempts connection lost"])
 
         self.play(work)
 
@@ -170,7 +170,9 @@
             link = next(link for link in head.pool.links.values() if link.idle_connections)
             link.idle_connections[0].stream._ended = "closed by peer"  # type: ignore[attr-defined]  # no task was told yet
             self.assertEqual(200, (await self.call(wish("151", "post", body=b"x"))).status)
-            self.assertEqual((0, 2), (head.driver.counts["forwards broken"], self.shelves[0].connections))
+            self.assertEqual(
+                (0, 2), (head.driver.counts["attempts connection lost"], self.shelves[0].connections)
+            )
 
         self.play(work)
 
@@ -191,8 +193,8 @@
                 (200, 1, 0),
                 (
                     caller.status,
-                    head.driver.counts["forwards unreached"],
-                    head.driver.counts["forwards broken"],
+                    head.driver.counts["attempts unreachable"],
+                    head.driver.counts["attempts connection lost"],
                 ),
             )
 
@@ -216,7 +218,7 @@
             for n in range(50, 53):
                 caller = await self.call(wish(str(n), "post", body=b"x"))
                 self.assertEqual(200, caller.status)
-            self.assertEqual((0, 0), (head.driver.counts["forwards broken"], head.pool.held))
+            self.assertEqual((0, 0), (head.driver.counts["attempts connection lost"], head.pool.held))
 
         self.play(work)
 
--- a/tests/http_gateway/test_clients.py
+++ b/tests/http_gateway/test_clients.py
@@ -64,7 +64,9 @@
             caller = await self.call(wish("d1"))
             caller.stream.close()
             await self.wait(0.05)
-            self.assertEqual((1, {}, {}), (head.driver.counts["left"], head.driver.open, head.clients.open))
+            self.assertEqual(
+                (1, {}, {}), (head.driver.counts["client left"], head.driver.open, head.clients.open)
+            )
             self.assertEqual(1, self.shelves[0].ends)
             self.assertFalse(
                 any(s.in_flight for s in head.driver.scheduler.shards.backends.values()), "a slot stays taken"
@@ -194,7 +196,7 @@
                     self.assertTrue(400 <= caller.status < 600 or caller.ended_at, caller.got)
                     self.assertNotIn(caller.status, (429, 503), "these would say that it was a transaction")
             self.assertEqual([], self.shelves[0].seen + self.shelves[1].seen)
-            self.assertEqual(0, head.driver.counts["taken"])
+            self.assertEqual(0, head.driver.counts["requests"])
 
         self.play(work)
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -248,7 +248,7 @@
                 row.lives
                 for row in decode(world.day.load(f"{ACCOUNTS}/{name}") or b"", world.site.name).all_rows()
             )
-        closed = sum(h.driver.counts["taken"] for h in world.heads.values())
+        closed = sum(h.driver.counts["requests"] for h in world.heads.values())
         still_open = sum(
             row.lives
             for h in world.heads.values()
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -9,6 +9,7 @@
 from typing import Any
 
 from gorsethread.gateway.attempts import Attempt, AttemptResult
+from gorsethread.gateway.driver import attempt_count
 from gorsethread.head.links import BackendLink
 from gorsethread.head.links import Order as Sent
 from gorsethread.nvme.command import Command, Completion, Opcode, Status, connect, connect_data, io_command
@@ -21,7 +22,7 @@
 from tests.rig import Rig
 
 POST = 16
-ENDINGS = {f"forwards {how.value}" for how in AttemptOutcome}
+ENDINGS = {attempt_count(outcome) for outcome in AttemptOutcome}
 
 
 class Ordinary(Rig):
@@ -197,7 +198,7 @@
         self.assertIn(how, ("pushed back", "given up"))
         self.assertTrue(silent)
         ended = {k for k in self.heads[0].driver.counts if k in ENDINGS}
-        self.assertEqual({f"forwards {AttemptOutcome.UNREACHABLE.value}"}, ended)
+        self.assertEqual({attempt_count(AttemptOutcome.UNREACHABLE)}, ended)
         self.judged()
 
     async def test_half_a_pdu_and_silence(self) -> None:
