--- a/gorsethread/faults/mutants.py
+++ b/gorsethread/faults/mutants.py
@@ -92,7 +92,7 @@
 
     def happened(method: str, *facts: Any) -> None:
         if method == "attempt_ended":
-            facts = (facts[0]._replace(finished=False),)
+            facts = (facts[0]._replace(request_finished=False),)
         honest(method, *facts)
 
     head.driver.happened = happened  # type: ignore[method-assign]
--- a/gorsethread/faults/planting.py
+++ b/gorsethread/faults/planting.py
@@ -28,7 +28,7 @@
     def happened(method: str, *facts: Any) -> None:
         if method == "attempt_ended":
             end = facts[0]
-            facts = (end._replace(how=wrong.get(end.how, end.how)),)
+            facts = (end._replace(outcome=wrong.get(end.outcome, end.outcome)),)
         honest(method, *facts)
 
     head.driver.happened = happened
