--- a/gorsethread/nvme_gateway/offline/client_contexts.py
+++ b/gorsethread/nvme_gateway/offline/client_contexts.py
@@ -14,7 +14,10 @@
 
     def of(self, host: str) -> ClientContext:
         """The context of a client, as it is."""
-        return self._contexts.setdefault(host, ClientContext())
+        context = self._contexts.get(host)
+        if context is None:
+            context = self._contexts[host] = ClientContext()
+        return context
 
     def current(self, host: str) -> ClientContext:
         """The context of a client without the writes that are finished."""
--- a/gorsethread/nvme_gateway/offline/standby_writes.py
+++ b/gorsethread/nvme_gateway/offline/standby_writes.py
@@ -47,7 +47,8 @@
 
     def known_to(self, host: str) -> set[WriteNumber]:
         """What a client knows through the other gateway."""
-        return self._contexts.get(host, ClientContext()).seen
+        context = self._contexts.get(host)
+        return context.seen if context is not None else set()
 
     def is_confirmed(self, number: WriteNumber) -> bool:
         """It was accepted for certain."""
--- a/gorsethread/nvme_gateway/offline/write_admission.py
+++ b/gorsethread/nvme_gateway/offline/write_admission.py
@@ -187,7 +187,8 @@
         return admission is not Admission.FORWARD
 
     def _admit_write(self, request: ClientCommand, latest_writes: list[WriteNumber | None]) -> bool:
-        dependencies = self._known_dependencies(request, latest_writes)
+        ordering_key = request.ordering_key
+        dependencies = self._known_dependencies(request.host, ordering_key, latest_writes)
         may_enqueue = self._settings.request_classes[request.request_class].may_be_queued
         admission = admit_write(self._link.queueing, may_enqueue, bool(dependencies))
         if admission is Admission.ENQUEUE:
@@ -197,21 +198,20 @@
         return admission is not Admission.FORWARD
 
     def _known_dependencies(
-        self, request: ClientCommand, latest_writes: list[WriteNumber | None]
+        self, host: str, ordering_key: str, latest_writes: list[WriteNumber | None]
     ) -> set[WriteNumber]:
         """The queued writes that a new one must come after.
 
         A dead letter is for a person, who may never decide: nothing that is new comes after it.
         """
-        context = self._contexts.current(request.host)
         candidates = (
-            *context.seen,
-            *self._standby_writes.known_to(request.host),
+            *self._contexts.current(host).seen,
+            *self._standby_writes.known_to(host),
             *latest_writes,
-            self._queue.last_of_key(request.ordering_key),
+            self._queue.last_of_key(ordering_key),
         )
         pending = {number for number in candidates if number is not None and not self._is_finished(number)}
-        pending |= self._standby_writes.of_key(request.ordering_key)
+        pending |= self._standby_writes.of_key(ordering_key)
         return {number for number in pending if not self._is_dead_lettered(number)}
 
     def _is_dead_lettered(self, number: WriteNumber) -> bool:
--- a/gorsethread/offline_writes/pending_overlay.py
+++ b/gorsethread/offline_writes/pending_overlay.py
@@ -58,8 +58,11 @@
 
     def latest_writes(self, volume: int, block: int, blocks: int) -> list[WriteNumber | None]:
         """For each block the last queued write of it."""
-        orders = (self._blocks.get((volume, number)) for number in range(block, block + blocks))
-        return [order[-1] if order else None for order in orders]
+        orders = self._blocks
+        if not orders:
+            return [None] * blocks
+        places = [(volume, number) for number in range(block, block + blocks)]
+        return [orders[place][-1] if place in orders else None for place in places]
 
     def block_data(self, number: WriteNumber, block: int) -> bytes:
         """The bytes that a write holds for one of its blocks."""
