--- a/gorsethread/faults/mutants.py
+++ b/gorsethread/faults/mutants.py
@@ -378,7 +378,7 @@
 @mutant("module: each head takes the whole limit for its own")
 def _whole_limit(head: Head) -> None:
     honest = head.driver.admit
-    head.driver.admit = lambda *a, heads, **n: honest(*a, heads=1, **n)  # type: ignore
+    head.driver.admit = lambda *a, gateways, **n: honest(*a, gateways=1, **n)  # type: ignore
 
 
 @mutant("module: each head takes all that a cold shelf bears for its own")
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -494,7 +494,7 @@
         ]
         for one in made:
             one.start()
-        made[0].tell(1, "ask 1 2 3 4")
+        made[0].send(1, "ask 1 2 3 4")
         stranger = VirtualTransport(network, Disk(), "x").datagrams("x", 1, lambda data, source: None)
         fleet = made[0].fleet
         for sender, of in ((0, fleet), (2, fleet), (0, fleet + 1)):
@@ -509,9 +509,9 @@
             {"heard": 1, "from no peer": 2, "another fleet": 1, "malformed": 1}, dict(made[1].counts)
         )
         for _ in range(3 * SENT_MOST):
-            made[0].tell(1, "ask")
-        made[0].tell(3, "ask")
-        made[0].tell(1, "a" * 300)
+            made[0].send(1, "ask")
+        made[0].send(3, "ask")
+        made[0].send(1, "a" * 300)
         self.assertEqual(
             (SENT_MOST, 2 * SENT_MOST + 2), (made[0].counts["sent"] - 1, made[0].counts["not carried"])
         )
@@ -555,7 +555,7 @@
 
         async def work() -> None:
             await self.wait(5.0)
-            other.tell(home, "ask 1 7/1.5 2 0.5")
+            other.send(home, "ask 1 7/1.5 2 0.5")
             await self.wait(0.5)
 
         self.play(work)
