--- a/gorsethread/gateway/peer_messages.py
+++ b/gorsethread/gateway/peer_messages.py
@@ -59,8 +59,8 @@
         self._addresses = addresses
         self._me = me
         self._receive = receive
-        # Gateways with another list of addresses may mean others by the same numbers.
-        self._fleet = crc32(repr(addresses).encode())
+        # A number of the fleet: gateways with another list of addresses may mean others by the same numbers.
+        self.fleet = crc32(repr(addresses).encode())
         self._numbers = {address: number for number, address in enumerate(addresses)}
         self._allowance = SendAllowance()
         self.counts: Counter[str] = Counter()  # by reason, of which there are few
@@ -81,11 +81,11 @@
             return
         self.counts["sent"] += 1
         message = GossipMessage(MessageKind.SCHEDULER_MESSAGE, self._me, 0, 0, 0, (), text=words)
-        self._port.send(self._addresses[gateway], encode(message, self._fleet))
+        self._port.send(self._addresses[gateway], encode(message, self.fleet))
 
     def _came(self, data: bytes, source: Address) -> None:
         try:
-            message = decode(data, self._fleet)
+            message = decode(data, self.fleet)
         except GossipDecodeError as error:
             self.counts[str(error)] += 1
             return
