--- a/gorsethread/gateway/driver.py
+++ b/gorsethread/gateway/driver.py
@@ -313,8 +313,7 @@
         # While it waited its client may have left, or the backend begun to drain.
         awaited = durable and request is not None and not request.answered
         link = self.links.get(attempt.backend)
-        backend = self.scheduler.shards.backends.get(attempt.backend)
-        if awaited and link is not None and backend is not None and backend.ready:
+        if awaited and link is not None and self.scheduler.is_ready(attempt.backend):
             link.send(attempt)
         else:
             self._not_sent(attempt)
--- a/gorsethread/scheduling/scheduler.py
+++ b/gorsethread/scheduling/scheduler.py
@@ -175,6 +175,11 @@
             return False
         return self.slow_start.may_begin_attempt(backend, decided_at, now)
 
+    def is_ready(self, backend_id: int) -> bool:
+        """Whether the list names the backend as ready."""
+        backend = self.shards.backends.get(backend_id)
+        return backend is not None and backend.ready
+
     # ---- events: timers and other gateways
 
     def timer_fired(self, name: str) -> None:
