--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -298,8 +298,8 @@
         client = await self.client()
         held = self.hold(0)
         sent = self.send(client, Opcode.WRITE, blocks=32)
-        # Decided, not only taken: of so short a grace nothing is left once the drain is heard.
-        await self.until(lambda: any(t.out for t in self.heads[0].driver.open.values()))
+        # On its connection, not only decided: an attempt that waits for one ends with the drain, unsent.
+        await self.until(lambda: self.heads[0].driver.links[0].out)
         self.list._order(Order(0, "draining"), _Deaf())
         await self.until(lambda: 0 not in self.heads[0].driver.scheduler.shards.serving)
         late = self.send(client, Opcode.READ)
