--- a/gorsethread/transport/real.py
+++ b/gorsethread/transport/real.py
@@ -361,11 +361,16 @@
         except OSError as error:
             raise Unreachable(f"{host}:{port}: {error}") from None
         try:
-            await asyncio.wait_for(stream.connect((host, port)), within)
+            # Not wait_for(): on Python 3.11 it drops a cancellation that comes as the connection is refused.
+            async with asyncio.timeout(within):
+                await stream.connect((host, port))
         except (StreamClosedError, TimeoutError, OSError) as error:
             stream.close()
             reason = str(getattr(error, "real_error", None) or error) or "no answer in time"
             raise Unreachable(f"{host}:{port}: {reason}") from None
+        except asyncio.CancelledError:
+            stream.close()
+            raise
         return RealStream(stream, f"{host}:{port}")
 
     def listen(
