--- a/gorsethread/faults/branchmutants.py
+++ b/gorsethread/faults/branchmutants.py
@@ -155,7 +155,7 @@
 
 @mutant("branch: what the other head has queued is taken for over")
 def _not_waited_for(head: Head) -> None:
-    _of_branch(head, lambda branch: setattr(branch.queue, "_is_other_finished", lambda number: True))
+    _of_branch(head, lambda branch: setattr(branch.queue, "_is_standby_write_finished", lambda number: True))
 
 
 @mutant("branch: a client that comes again is not known")
--- a/gorsethread/nvme_gateway/replay_receiver.py
+++ b/gorsethread/nvme_gateway/replay_receiver.py
@@ -63,7 +63,7 @@
         for record in self._log.store.table.records.values():
             fact = record.fact
             if isinstance(fact, WriteApplied):
-                self._applied_writes.recovered(
+                self._applied_writes.restore(
                     WriteNumber(fact.branch, fact.incarnation, fact.position), fact.ran
                 )
 
@@ -116,9 +116,7 @@
 
     def _progress_received(self, known: AppliedWrites, message: messages.ReplayProgress) -> None:
         exceptions = frozenset(message.exceptions)
-        finished = known.progress_reported(
-            message.gateway, message.epoch, message.completed_up_to, exceptions
-        )
+        finished = known.handle_progress(message.gateway, message.epoch, message.completed_up_to, exceptions)
         if finished is None:
             self._logger.warning(
                 "an earlier epoch of a branch is fenced", branch=message.gateway, epoch=message.epoch
@@ -131,7 +129,7 @@
     def _query_received(self, stream: Stream, known: AppliedWrites, message: messages.StatusQuery) -> None:
         number = WriteNumber(*message.number)
         idempotent = self._executor.is_idempotent(message.request_class)
-        answer = known.queried(number, message.epoch, idempotent)
+        answer = known.handle_query(number, message.epoch, idempotent)
         if answer.outcome is ReplayOutcome.PENDING:
             self._waiters.setdefault(number, []).append(Waiter(stream, 0))
         else:
@@ -141,8 +139,8 @@
         number = WriteNumber(*message.number)
         idempotent = self._executor.is_idempotent(message.request_class)
         if message.forced:
-            known.released(number)
-        outcome = known.received(number, message.send_token, message.epoch, idempotent)
+            known.release(number)
+        outcome = known.handle_write(number, message.send_token, message.epoch, idempotent)
         if outcome in (ReplayOutcome.START, ReplayOutcome.PENDING):
             self._waiters.setdefault(number, []).append(Waiter(stream, message.send_token))
             if outcome is ReplayOutcome.START:
@@ -202,6 +200,6 @@
 
     def _finish(self, number: WriteNumber, outcome: ReplayOutcome, retry_after: float) -> None:
         assert self._applied_writes is not None
-        self._applied_writes.finished(number, outcome)
+        self._applied_writes.finish(number, outcome)
         for waiter in self._waiters.pop(number, ()):
             self._reply(waiter.stream, number, outcome, waiter.send_token, retry_after)
--- a/gorsethread/offline_writes/applied_writes.py
+++ b/gorsethread/offline_writes/applied_writes.py
@@ -77,9 +77,9 @@
         self._first_token = incarnation << TOKEN_BITS  # tokens of a later incarnation are other ones
         self._branches: dict[int, BranchWrites] = {}  # as many as gateways of branches
 
-    def recovered(self, number: WriteNumber, ran: bool) -> None:
+    def restore(self, number: WriteNumber, ran: bool) -> None:
         """A record of this gateway, or one that others held for it, names that write."""
-        known = self._known(number)
+        known = self._branch_writes(number)
         position = number.position
         if position in known.running:
             return
@@ -89,7 +89,7 @@
         elif position not in known.applied:
             known.unknown.add(position)
 
-    def progress_reported(
+    def handle_progress(
         self, gateway: int, epoch: int, completed_up_to: Position, exceptions: frozenset[Position]
     ) -> list[Position] | None:
         """A branch's gateway reported what is finished.
@@ -115,9 +115,9 @@
             del known.send_tokens[position]
         return finished
 
-    def queried(self, number: WriteNumber, epoch: int, idempotent: bool) -> QueryAnswer:
+    def handle_query(self, number: WriteNumber, epoch: int, idempotent: bool) -> QueryAnswer:
         """A branch's gateway asks whether that write is applied."""
-        known = self._known(number)
+        known = self._branch_writes(number)
         position = number.position
         if epoch < known.epoch:
             return QueryAnswer(ReplayOutcome.FENCED, known.epoch)
@@ -133,9 +133,11 @@
         known.send_tokens[position] = token
         return QueryAnswer(ReplayOutcome.NOT_APPLIED, token)
 
-    def received(self, number: WriteNumber, send_token: int, epoch: int, idempotent: bool) -> ReplayOutcome:
+    def handle_write(
+        self, number: WriteNumber, send_token: int, epoch: int, idempotent: bool
+    ) -> ReplayOutcome:
         """That write came; with START it counts as running."""
-        known = self._known(number)
+        known = self._branch_writes(number)
         position = number.position
         refused = self._refusal(known, position, epoch, idempotent)
         if refused is not None:
@@ -163,9 +165,9 @@
             return ReplayOutcome.UNKNOWN
         return None
 
-    def finished(self, number: WriteNumber, outcome: ReplayOutcome) -> None:
+    def finish(self, number: WriteNumber, outcome: ReplayOutcome) -> None:
         """A running write ended: APPLIED, UNKNOWN, or any other where it has not run."""
-        known = self._known(number)
+        known = self._branch_writes(number)
         position = number.position
         known.running.discard(position)
         if outcome is ReplayOutcome.APPLIED:
@@ -175,9 +177,9 @@
         elif outcome is ReplayOutcome.UNKNOWN:
             known.unknown.add(position)
 
-    def released(self, number: WriteNumber) -> None:
+    def release(self, number: WriteNumber) -> None:
         """A person says that a write which may have run is to be sent again."""
-        self._known(number).unknown.discard(number.position)
+        self._branch_writes(number).unknown.discard(number.position)
 
     def epoch_of(self, gateway: int) -> int:
         """The latest epoch under which that gateway's writes were replayed."""
@@ -191,5 +193,5 @@
     def _is_applied(self, known: BranchWrites, position: Position) -> bool:
         return position in known.applied or known.is_completed(position)
 
-    def _known(self, number: WriteNumber) -> BranchWrites:
+    def _branch_writes(self, number: WriteNumber) -> BranchWrites:
         return self._branches.setdefault(number.gateway, BranchWrites())
--- a/gorsethread/offline_writes/write_queue.py
+++ b/gorsethread/offline_writes/write_queue.py
@@ -33,18 +33,18 @@
     Args:
         limits: What the queue may hold.
         priority_weights: Of all request classes that may be queued; the lowest are refused first.
-        is_other_finished: Whether a write of the branch's standby gateway is known to be finished.
+        is_standby_write_finished: Whether a write of the branch's standby gateway is known to be finished.
     """
 
     def __init__(
         self,
         limits: QueueLimits,
         priority_weights: tuple[float, ...],
-        is_other_finished: Callable[[WriteNumber], bool] = _always,
+        is_standby_write_finished: Callable[[WriteNumber], bool] = _always,
     ) -> None:
         self._limits = limits
         self._priority_weights = sorted(priority_weights)
-        self._is_other_finished = is_other_finished
+        self._is_standby_write_finished = is_standby_write_finished
         self._writes: dict[WriteNumber, QueuedWrite] = {}
         self._last_of_key: dict[str, WriteNumber] = {}  # of keys that have a write here
         self._last_position: Position = (0, 0)  # the highest that was met
@@ -164,7 +164,7 @@
 
     def _dependencies_finished(self, write: Write) -> bool:
         own = all(number not in self._writes for number in write.own_dependencies)
-        return own and all(self._is_other_finished(number) for number in write.other_dependencies)
+        return own and all(self._is_standby_write_finished(number) for number in write.other_dependencies)
 
     def queried(self, number: WriteNumber, now: float = 0.0) -> None:
         """The main site is asked whether a write is applied."""
@@ -288,13 +288,13 @@
         return [number, *self.release_dependents_of(number)]
 
     def release_dependents_of(
-        self, number: WriteNumber, is_other_dead_lettered: Callable[[WriteNumber], bool] = _never
+        self, number: WriteNumber, is_standby_write_dead_lettered: Callable[[WriteNumber], bool] = _never
     ) -> list[WriteNumber]:
         """A write of either gateway is released or finished.
 
         Args:
             number: Of that write.
-            is_other_dead_lettered: Whether a write of the standby gateway is dead-lettered.
+            is_standby_write_dead_lettered: Whether a write of the standby gateway is dead-lettered.
 
         Returns:
             What was dead-lettered for its sake alone, and is released with it.
@@ -303,7 +303,7 @@
         for cause in released:
             for other, dependent in self._writes.items():
                 if cause in dependent.write.dependencies and self._may_release(
-                    dependent, is_other_dead_lettered
+                    dependent, is_standby_write_dead_lettered
                 ):
                     dependent.stage = WriteStage.UNKNOWN if dependent.suspects else WriteStage.WAITING
                     dependent.reason = RELEASED
@@ -311,14 +311,14 @@
         return released[1:]
 
     def _may_release(
-        self, queued: QueuedWrite, is_other_dead_lettered: Callable[[WriteNumber], bool]
+        self, queued: QueuedWrite, is_standby_write_dead_lettered: Callable[[WriteNumber], bool]
     ) -> bool:
         """It is dead-lettered for the sake of others alone, and none of these is any more."""
         if not queued.is_dead_lettered or not queued.reason.startswith(DEPENDS_ON):
             return False
         if any(self._holds_dead_letter(number) for number in queued.write.own_dependencies):
             return False
-        return not any(is_other_dead_lettered(number) for number in queued.write.other_dependencies)
+        return not any(is_standby_write_dead_lettered(number) for number in queued.write.other_dependencies)
 
     def discard(self, number: WriteNumber) -> bool:
         """A person gives a write up.
--- a/tests/offline_writes/test_branch.py
+++ b/tests/offline_writes/test_branch.py
@@ -346,44 +346,44 @@
 
 class Main(unittest.TestCase):
     def runs(self, m: AppliedWrites, place: int, sending: int = 0, epoch: int = 1) -> ReplayOutcome:
-        return m.received(number(place), sending, epoch, False)
+        return m.handle_write(number(place), sending, epoch, False)
 
     def test_each_is_in_effect_once(self) -> None:
         m = AppliedWrites(1)
         self.assertIs(ReplayOutcome.START, self.runs(m, 2))
         self.assertIs(ReplayOutcome.PENDING, self.runs(m, 2))
-        m.finished(number(2), ReplayOutcome.APPLIED)
+        m.finish(number(2), ReplayOutcome.APPLIED)
         self.assertIs(ReplayOutcome.APPLIED, self.runs(m, 2))
-        self.assertEqual((ReplayOutcome.APPLIED, 0), m.queried(number(2), 1, False))
+        self.assertEqual((ReplayOutcome.APPLIED, 0), m.handle_query(number(2), 1, False))
 
     def test_an_asking_closes_what_was_sent_before_it_also_of_an_earlier_life(self) -> None:
         m = AppliedWrites(1)
-        answer, sending = m.queried(number(1), 1, False)
+        answer, sending = m.handle_query(number(1), 1, False)
         self.assertIs(ReplayOutcome.NOT_APPLIED, answer)
         self.assertIs(ReplayOutcome.STALE_TOKEN, self.runs(m, 1), "it comes late")
         later = AppliedWrites(2)
         self.assertIs(ReplayOutcome.STALE_TOKEN, self.runs(later, 1, sending))
-        self.assertGreater(later.queried(number(1), 1, False)[1], sending)
+        self.assertGreater(later.handle_query(number(1), 1, False)[1], sending)
 
     def test_what_was_begun_in_an_earlier_life_is_not_known(self) -> None:
         for redoable, answer in ((False, ReplayOutcome.UNKNOWN), (True, ReplayOutcome.NOT_APPLIED)):
             m = AppliedWrites(2)
-            m.recovered(number(1), False)
-            self.assertIs(answer, m.queried(number(1), 1, redoable)[0])
-        m.recovered(number(1), True)
-        self.assertIs(ReplayOutcome.APPLIED, m.queried(number(1), 1, False)[0])
+            m.restore(number(1), False)
+            self.assertIs(answer, m.handle_query(number(1), 1, redoable)[0])
+        m.restore(number(1), True)
+        self.assertIs(ReplayOutcome.APPLIED, m.handle_query(number(1), 1, False)[0])
 
     def test_a_person_may_say_that_it_is_sent_again(self) -> None:
         m = AppliedWrites(2)
-        m.recovered(number(1), False)
+        m.restore(number(1), False)
         self.assertIs(ReplayOutcome.UNKNOWN, self.runs(m, 1))
-        m.released(number(1))
+        m.release(number(1))
         self.assertIs(ReplayOutcome.START, self.runs(m, 1))
 
     def test_below_the_mark_all_is_over_but_what_is_parked(self) -> None:
         m = AppliedWrites(1)
-        m.recovered(number(3), True)
-        self.assertEqual([(1, 3)], m.progress_reported(1, 1, (1, 4), frozenset({(1, 2)})))
+        m.restore(number(3), True)
+        self.assertEqual([(1, 3)], m.handle_progress(1, 1, (1, 4), frozenset({(1, 2)})))
         self.assertEqual(
             [ReplayOutcome.APPLIED, ReplayOutcome.START, ReplayOutcome.APPLIED, ReplayOutcome.START],
             [self.runs(m, place) for place in (1, 2, 4, 5)],
@@ -396,25 +396,25 @@
         q.dead_letter(number(1), "x")
         q.applied(number(2))
         m = AppliedWrites(1)
-        m.progress_reported(1, 1, q.completed_up_to, frozenset(q.completed_exceptions))
+        m.handle_progress(1, 1, q.completed_up_to, frozenset(q.completed_exceptions))
         q.release(number(1))
-        m.progress_reported(1, 1, q.completed_up_to, frozenset(q.completed_exceptions))
+        m.handle_progress(1, 1, q.completed_up_to, frozenset(q.completed_exceptions))
         self.assertIs(ReplayOutcome.START, self.runs(m, 1))
-        m.finished(number(1), ReplayOutcome.APPLIED)
-        m.progress_reported(1, 1, (1, 2), frozenset())
+        m.finish(number(1), ReplayOutcome.APPLIED)
+        m.handle_progress(1, 1, (1, 2), frozenset())
         self.assertIs(ReplayOutcome.APPLIED, self.runs(m, 1))
 
     def test_an_earlier_epoch_is_shut_out(self) -> None:
         m = AppliedWrites(1)
-        m.progress_reported(1, 7, (0, 0), frozenset())
-        self.assertIsNone(m.progress_reported(1, 6, (0, 0), frozenset()))
+        m.handle_progress(1, 7, (0, 0), frozenset())
+        self.assertIsNone(m.handle_progress(1, 6, (0, 0), frozenset()))
         self.assertIs(ReplayOutcome.FENCED, self.runs(m, 1, epoch=6))
-        self.assertEqual((ReplayOutcome.FENCED, 7), m.queried(number(1), 6, False))
+        self.assertEqual((ReplayOutcome.FENCED, 7), m.handle_query(number(1), 6, False))
         self.assertIs(ReplayOutcome.START, self.runs(m, 1, epoch=7))
 
     def test_no_more_run_at_once_than_the_main_site_bears(self) -> None:
         m = AppliedWrites(1)
-        answers = [m.received(number(1, branch=b), 0, 1, False) for b in range(MAX_RUNNING + 1)]
+        answers = [m.handle_write(number(1, branch=b), 0, 1, False) for b in range(MAX_RUNNING + 1)]
         self.assertEqual([ReplayOutcome.START] * MAX_RUNNING + [ReplayOutcome.RETRY], answers)
 
 
@@ -489,12 +489,12 @@
                 rest, n = flying - {message}, number(place)
                 m, q = landing(there), queue(held)
                 if what in ("send", "old send"):
-                    answer = m.received(n, sending, 1, False)
+                    answer = m.handle_write(n, sending, 1, False)
                     no_word = what == "old send" or answer in (ReplayOutcome.START, ReplayOutcome.PENDING)
                     more = rest if no_word else rest | {(answer.name, place, sending)}
                     found.append(("comes", (held, main(m), more, ran, done, left, lives)))
                 elif what in ("ask", "old ask"):
-                    answer, taken = m.queried(n, 1, False)
+                    answer, taken = m.handle_query(n, 1, False)
                     if answer is not ReplayOutcome.PENDING or what == "old ask":
                         more = rest if what == "old ask" else rest | {(answer.name, place, taken)}
                         found.append(("is asked", (held, main(m), more, ran, done, left, lives)))
@@ -518,7 +518,7 @@
                     found.append(("runs", (held, there, flying, (*ran, place), (*done, place), left, lives)))
                 m = landing(there)
                 answer = ReplayOutcome.APPLIED if place in done else ReplayOutcome.RETRY
-                m.finished(number(place), answer)
+                m.finish(number(place), answer)
                 more, rest = flying | {(answer.name, place, sent)}, tuple(p for p in done if p != place)
                 found.append(("ends", (held, main(m), more, ran, rest, left, lives)))
             if left:
@@ -620,17 +620,17 @@
             for n, ask in q.ready():
                 if ask:
                     q.queried(n)
-                    answer, sending = m.queried(n, 1, False)
+                    answer, sending = m.handle_query(n, 1, False)
                     q.applied(n) if answer is ReplayOutcome.APPLIED else q.not_applied(n, 0, sending)
                 else:
                     q.sent(n)
                     flying.append((n, q._writes[n].send_token(0)))
             if flying:
                 n, sending = flying.pop(chance.randrange(len(flying)))
-                if m.received(n, sending, 1, False) is ReplayOutcome.START:
-                    m.finished(n, ReplayOutcome.APPLIED)
+                if m.handle_write(n, sending, 1, False) is ReplayOutcome.START:
+                    m.finish(n, ReplayOutcome.APPLIED)
                     ran.append(n)
-                if chance.random() < 0.7 and m.received(n, sending, 1, False) is ReplayOutcome.APPLIED:
+                if chance.random() < 0.7 and m.handle_write(n, sending, 1, False) is ReplayOutcome.APPLIED:
                     q.applied(n)
             if chance.random() < 0.2 or not flying:
                 q.connection_lost()
