--- a/gorsethread/nvme_gateway/offline/block_view.py
+++ b/gorsethread/nvme_gateway/offline/block_view.py
@@ -47,9 +47,9 @@
             self._overlay.block_data(number, block) for block, number in enumerate(writes, first_block)
         )
 
-    def observed(self, volume: int, block: int, data: bytes) -> None:
+    def observe(self, volume: int, block: int, data: bytes) -> None:
         """The blocks from that one on hold the data."""
-        self._base_versions.observed(volume, block, data)
+        self._base_versions.observe(volume, block, data)
 
     def base_version(self, volume: int, block: int, blocks: int) -> int:
         """The version of blocks as they were seen last; 0 where not all were seen."""
--- a/gorsethread/nvme_gateway/offline/dead_letters.py
+++ b/gorsethread/nvme_gateway/offline/dead_letters.py
@@ -82,7 +82,7 @@
                     )
                     self.add(source.queue, queued.write.number, reason)
 
-    def released_with_dependency(self, numbers: list[WriteNumber]) -> None:
+    def record_dependency_releases(self, numbers: list[WriteNumber]) -> None:
         """Own writes were released since what they depend on was released or finished."""
         for number in numbers:
             self._history.note("released", number, "what it depends on is")
--- a/gorsethread/nvme_gateway/offline/offline_writes.py
+++ b/gorsethread/nvme_gateway/offline/offline_writes.py
@@ -84,7 +84,9 @@
         self._operator_queries = self._make_operator_queries()
 
     def _make_connections(self, logger: Any) -> SiteConnections:
-        events = ConnectionEvents(self._reply_received, self._sources.connection_lost, self._sources.progress)
+        events = ConnectionEvents(
+            self._reply_received, self._sources.mark_connection_lost, self._sources.progress
+        )
         return SiteConnections(
             self._transport, self.settings, self.link, self._alive_gateways, events, logger
         )
@@ -179,11 +181,11 @@
 
     def start(self) -> None:
         """Restores the queue and begins to replay; call it once the durable log was read."""
-        self._log.on_records_recovered = self._records_given_back
+        self._log.on_records_recovered = self._records_recovered
         if self.settings.standby is not None:
             # What is held of the other gateway is known before anything is admitted.
             self._copied_up_to(self.settings.standby)
-        self._recovery.recover(not self._persistence.is_sound)
+        self._recovery.recover(not self._persistence.trusts_own_records)
         self._transport.spawn(self._run())
 
     def stop(self) -> None:
@@ -193,15 +195,15 @@
         self._persistence.stop()
         self._connections.close()
 
-    def _records_given_back(self) -> None:
+    def _records_recovered(self) -> None:
         """Others held more of this gateway's records: how far these writes had come is not known."""
         self._recovery.recover(True)
 
     async def _run(self) -> None:
-        while not self._persistence.log_has_begun and not self._stopped:
+        while not self._persistence.log_is_started and not self._stopped:
             await self._transport.sleep(TICK_INTERVAL)
         self._fence.start(self._persistence.incarnation)
-        self._persistence.begin()
+        self._persistence.start_recording()
         self._persistence.persist_dead_letters()
         while not self._stopped:
             self._tick()
@@ -215,7 +217,7 @@
         if self.link.state is not before:
             self._history.note("link", None, self.link.state.value)
             if self.link.state is LinkState.DISCONNECTED:
-                self._sources.connection_lost()
+                self._sources.mark_connection_lost()
         standby = self.settings.standby
         if standby is not None:
             self._standby.check_takeover(standby in self._alive_gateways(), now)
@@ -235,7 +237,7 @@
 
     def blocks_observed(self, volume: int, block: int, data: bytes) -> None:
         """Those blocks held the data, by a backend's answer to this gateway."""
-        self.block_view.observed(volume, block, data)
+        self.block_view.observe(volume, block, data)
 
     def request_sent(self) -> None:
         """Something went out that is answered where the link is up."""
@@ -245,10 +247,10 @@
         """An answer came over the link."""
         self.link.answer_received(self._transport.now())
 
-    def records_stored(self, origin: int, records: list[Record], begins_anew: bool, last: Position) -> None:
+    def records_stored(self, origin: int, records: list[Record], replaces_all: bool, last: Position) -> None:
         """Records of another gateway are on this one's disk, and all that holds up to the last."""
         if origin == self.settings.standby:
-            self._standby.records_stored(records, begins_anew, last)
+            self._standby.records_stored(records, replaces_all, last)
 
     def answer(self, query: OperatorQuery) -> JsonObject:
         """The answer to an operator."""
--- a/gorsethread/nvme_gateway/offline/queue_persistence.py
+++ b/gorsethread/nvme_gateway/offline/queue_persistence.py
@@ -66,7 +66,7 @@
     # ---- The log's state
 
     @property
-    def log_has_begun(self) -> bool:
+    def log_is_started(self) -> bool:
         """The log takes records of this incarnation."""
         return self._log.store.started
 
@@ -76,7 +76,7 @@
         return self._log.incarnation
 
     @property
-    def is_sound(self) -> bool:
+    def trusts_own_records(self) -> bool:
         """The own records are complete, as far as reading them showed."""
         return self._log.recovery.trusts_own_records
 
@@ -90,7 +90,7 @@
         """The queue's records are written now."""
         return self._ready
 
-    def begin(self) -> None:
+    def start_recording(self) -> None:
         """The log has begun: from now on progress is recorded."""
         self._ready = True
 
--- a/gorsethread/nvme_gateway/offline/queue_recovery.py
+++ b/gorsethread/nvme_gateway/offline/queue_recovery.py
@@ -111,8 +111,8 @@
         self._queue.restore(write, recovered.stage, recovered.reason, recovered.suspects, forced)
         context = self._contexts.of(record.host)
         if progress is not None:
-            context.acknowledged(write)
+            context.acknowledge(write)
         else:
-            context.observed(number)
+            context.observe(number)
         if recovered.stage is not WriteStage.DEAD_LETTERED:
             self._block_view.show(number, record)
--- a/gorsethread/nvme_gateway/offline/replay.py
+++ b/gorsethread/nvme_gateway/offline/replay.py
@@ -125,7 +125,7 @@
 
     def _advance_source(self, source: ReplaySource, now: float) -> None:
         source.queue.window = self._window.size
-        for number, query_first in source.queue.ready(now):
+        for number, query_first in source.queue.ready_writes(now):
             queued = source.queue.get(number)
             if queued is None:
                 continue
@@ -144,11 +144,11 @@
         for gateway in queued.suspects:
             self._connections.keep_open(gateway, now)
             if self._connections.is_open(gateway):
-                source.queue.queried(number, now)
+                source.queue.mark_queried(number, now)
                 request_class = self._persistence.record_of(number).request_class
                 self._connections.send(gateway, StatusQuery(number, source.epoch, request_class))
                 return
-        source.queue.unanswered(number, now)
+        source.queue.mark_unanswered(number, now)
 
     def _send(self, source: ReplaySource, queued: QueuedWrite, now: float) -> None:
         number = queued.write.number
@@ -163,7 +163,7 @@
     def _send_to(
         self, source: ReplaySource, queued: QueuedWrite, gateway: int, number: WriteNumber, now: float
     ) -> None:
-        source.queue.sent(number, gateway, now)
+        source.queue.mark_sent(number, gateway, now)
         if number.gateway != self._settings.gateway:
             self._transmit(source, queued, gateway)
             return
@@ -184,7 +184,7 @@
 
     def _defer(self, source: ReplaySource, queued: QueuedWrite, gateway: int) -> None:
         not_before = self._transport.now() + RETRY_AFTER_PENDING
-        source.queue.rejected(queued.write.number, queued.send_token(gateway), not_before)
+        source.queue.mark_rejected(queued.write.number, queued.send_token(gateway), not_before)
 
     def _transmit(self, source: ReplaySource, queued: QueuedWrite, gateway: int) -> None:
         if not self._connections.is_open(gateway):
@@ -233,26 +233,26 @@
         if received.queued.stage is WriteStage.SENT:
             request_class = self._settings.request_classes[self._persistence.record_of(number).request_class]
             duration = self._transport.now() - received.queued.pending_since
-            self._window.succeeded(duration, request_class.latency_objective)
-        received.source.queue.applied(number)
+            self._window.record_success(duration, request_class.latency_objective)
+        received.source.queue.mark_applied(number)
         self._history.count("replayed")
         self._history.note("in effect", number)
         self._block_view.remove(number)
         if number.gateway == self._settings.gateway:
             self._persistence.remove(number)
         else:
-            self._standby_writes.applied(number)
+            self._standby_writes.mark_applied(number)
 
     def _on_not_applied(self, received: ReceivedReply) -> None:
-        received.source.queue.not_applied(received.number, received.gateway, received.reply.send_token)
+        received.source.queue.mark_not_applied(received.number, received.gateway, received.reply.send_token)
 
     def _on_stale_token(self, received: ReceivedReply) -> None:
-        received.source.queue.token_refused(received.number, received.reply.send_token)
+        received.source.queue.mark_token_refused(received.number, received.reply.send_token)
 
     def _on_retry(self, received: ReceivedReply) -> None:
-        not_before = self._transport.now() + self._window.rejected(received.reply.retry_after)
-        received.source.queue.rejected(received.number, received.reply.send_token, not_before)
-        received.source.queue.query_deferred(received.number, not_before)
+        not_before = self._transport.now() + self._window.record_rejection(received.reply.retry_after)
+        received.source.queue.mark_rejected(received.number, received.reply.send_token, not_before)
+        received.source.queue.defer_query(received.number, not_before)
 
     def _on_unknown(self, received: ReceivedReply) -> None:
         reason = f"it may have run: head {received.gateway} of the main site can't say"
@@ -260,8 +260,8 @@
 
     def _on_conflict(self, received: ReceivedReply) -> None:
         queue = received.source.queue
-        if queue.conflict(received.number, "its blocks changed at the main site"):
-            queue.rejected(received.number, received.reply.send_token)
+        if queue.handle_conflict(received.number, "its blocks changed at the main site"):
+            queue.mark_rejected(received.number, received.reply.send_token)
         else:
             self._dead_letters.publish(queue)
 
@@ -269,7 +269,7 @@
 
     def _on_fenced(self, received: ReceivedReply) -> None:
         """Whoever else replays goes on; nothing more is sent from here."""
-        received.source.queue.connection_lost()
+        received.source.queue.mark_connection_lost()
         if received.source.gateway != self._settings.gateway:
             self._sources.give_back()  # the other gateway is back, under a later epoch
             return
--- a/gorsethread/nvme_gateway/offline/replay_sources.py
+++ b/gorsethread/nvme_gateway/offline/replay_sources.py
@@ -53,10 +53,10 @@
         """Replays the own queue only."""
         self._taken_over = None
 
-    def connection_lost(self, gateway: int | None = None) -> None:
+    def mark_connection_lost(self, gateway: int | None = None) -> None:
         """Of what was under way to that gateway of the main site, or to any, the fate is unknown."""
         for source in self.all():
-            source.queue.connection_lost(gateway)
+            source.queue.mark_connection_lost(gateway)
 
     def progress(self) -> list[ReplayProgress]:
         """What the main site's gateways are told of each queue."""
--- a/gorsethread/nvme_gateway/offline/site_connections.py
+++ b/gorsethread/nvme_gateway/offline/site_connections.py
@@ -95,7 +95,7 @@
     def maintain(self, now: float) -> None:
         """Keeps up the open connections and those to the probed gateways; call it several times a second."""
         is_open = [gateway for gateway, known in self._connections.items() if known.stream is not None]
-        for gateway in sorted({*self._probed_gateways(), *is_open}):
+        for gateway in sorted({*self._gateways_to_probe(), *is_open}):
             self.keep_open(gateway, now)
 
     def keep_open(self, gateway: int, now: float) -> None:
@@ -121,7 +121,7 @@
             if connection.stream is not None:
                 connection.stream.close()
 
-    def _probed_gateways(self) -> list[int]:
+    def _gateways_to_probe(self) -> list[int]:
         """Those that are alive first, so that one that is down shows as no disconnect.
 
         Not the same for all, as there may be many branches.
--- a/gorsethread/nvme_gateway/offline/standby_replication.py
+++ b/gorsethread/nvme_gateway/offline/standby_replication.py
@@ -60,22 +60,22 @@
 
     # ---- Its records
 
-    def records_stored(self, records: list[Record], begins_anew: bool, last: Position) -> None:
+    def records_stored(self, records: list[Record], replaces_all: bool, last: Position) -> None:
         """Records of the other gateway are on this one's disk, and all that holds up to the last."""
-        if begins_anew:
-            self._writes.records_begin_anew()
+        if replaces_all:
+            self._writes.begin_resync()
         for record in records:
             if isinstance(record.fact, WriteQueued):
                 self._add(record.fact)
         # Tombstones are dropped in time: a gateway that begins anew does not name what is finished any more.
-        for number in self._writes.take_unnamed(last):
-            self._finished(number)
+        for number in self._writes.pop_not_resent(last):
+            self._finish(number)
         for record in records:
             if isinstance(record.fact, Tombstone) and record.fact.subject[0] == QUEUED:
                 _, incarnation, sequence = record.fact.subject
-                self._finished(self._number((incarnation, sequence)))
+                self._finish(self._number((incarnation, sequence)))
             elif isinstance(record.fact, WriteProgress):
-                self._progressed(
+                self._apply_progress(
                     self._number((record.fact.incarnation, record.fact.position)), record.fact.stage
                 )
 
@@ -88,7 +88,7 @@
         if self._writes.add(number, record):
             self._block_view.show(number, record)
 
-    def _progressed(self, number: WriteNumber, stage: str) -> None:
+    def _apply_progress(self, number: WriteNumber, stage: str) -> None:
         record = self._writes.get(number)
         if record is None:
             return
@@ -103,18 +103,18 @@
             self._block_view.show(number, record)
             self._release_dependents_of(number)
 
-    def _finished(self, number: WriteNumber) -> None:
+    def _finish(self, number: WriteNumber) -> None:
         self._writes.remove(number)
         self._block_view.remove(number)
         taken_over = self._sources.taken_over
         if taken_over is not None:
-            taken_over.applied(number)
+            taken_over.mark_applied(number)
         self._release_dependents_of(number)
         self._write_finished()
 
     def _release_dependents_of(self, number: WriteNumber) -> None:
         released = self._queue.release_dependents_of(number, self._writes.is_dead_lettered)
-        self._dead_letters.released_with_dependency(released)
+        self._dead_letters.record_dependency_releases(released)
 
     # ---- Replay in its place
 
--- a/gorsethread/nvme_gateway/offline/standby_writes.py
+++ b/gorsethread/nvme_gateway/offline/standby_writes.py
@@ -20,7 +20,7 @@
         self._records: dict[WriteNumber, WriteQueued] = {}
         self._confirmed: set[WriteNumber] = set()
         self._dead_letters: set[WriteNumber] = set()
-        self._not_named: set[WriteNumber] = set()  # by the records that begin anew, so far
+        self._not_resent: set[WriteNumber] = set()  # by the records that begin anew, so far
         self._contexts: dict[str, ClientContext] = {}  # by client's host
 
     def __len__(self) -> int:
@@ -41,7 +41,7 @@
         """The record of a write that is queued."""
         return self._records[number]
 
-    def of_key(self, ordering_key: str) -> set[WriteNumber]:
+    def writes_of_key(self, ordering_key: str) -> set[WriteNumber]:
         """The writes of one ordering key."""
         return {number for number, record in self._records.items() if record.key == ordering_key}
 
@@ -68,9 +68,9 @@
         record = self._records.get(number)
         return [] if record is None or self.is_confirmed(number) else dependencies_of(record)
 
-    def records_begin_anew(self) -> None:
+    def begin_resync(self) -> None:
         """The other gateway names all its writes again; what it does not name is finished."""
-        self._not_named = set(self._records)
+        self._not_resent = set(self._records)
 
     def add(self, number: WriteNumber, record: WriteQueued) -> bool:
         """The other gateway names a write.
@@ -78,17 +78,17 @@
         Returns:
             Whether it is a new one.
         """
-        self._not_named.discard(number)
+        self._not_resent.discard(number)
         if number in self._records:
             return False
         self._records[number] = record
-        self._contexts.setdefault(record.host, ClientContext()).observed(number)
+        self._contexts.setdefault(record.host, ClientContext()).observe(number)
         return True
 
-    def take_unnamed(self, last: Position) -> Iterable[WriteNumber]:
+    def pop_not_resent(self, last: Position) -> Iterable[WriteNumber]:
         """The writes up to there that were not named since its records began anew: they are finished."""
-        unnamed = [number for number in self._not_named if number.position <= last]
-        self._not_named.difference_update(unnamed)
+        unnamed = [number for number in self._not_resent if number.position <= last]
+        self._not_resent.difference_update(unnamed)
         return unnamed
 
     def confirm(self, number: WriteNumber) -> None:
@@ -97,7 +97,7 @@
             return
         self._confirmed.add(number)
         record = self._records[number]
-        self._contexts[record.host].acknowledged(write_of(number, record, self._settings))
+        self._contexts[record.host].acknowledge(write_of(number, record, self._settings))
 
     def dead_letter(self, number: WriteNumber) -> None:
         """A write waits for a person."""
@@ -107,7 +107,7 @@
         """A write waits for a person no more."""
         self._dead_letters.discard(number)
 
-    def applied(self, number: WriteNumber) -> None:
+    def mark_applied(self, number: WriteNumber) -> None:
         """This gateway replayed a write; the other one's records will say that it is finished."""
         self._records.pop(number, None)
 
--- a/gorsethread/nvme_gateway/offline/write_admission.py
+++ b/gorsethread/nvme_gateway/offline/write_admission.py
@@ -179,7 +179,7 @@
             numbers = [number for number in latest_writes if number is not None]
             data = self._block_view.read(numbers, request.command.first_block)
             for number in numbers:
-                self._contexts.current(request.host).observed(number)
+                self._contexts.current(request.host).observe(number)
             self._history.count("reads served")
             volume = self._settings.volumes[request.command.nsid]
             request.client.served(volume.shard_of(request.extent), data)
@@ -212,7 +212,7 @@
             self._queue.last_of_key(ordering_key),
         )
         pending = {number for number in candidates if number is not None and not self._is_finished(number)}
-        pending |= self._standby_writes.of_key(ordering_key)
+        pending |= self._standby_writes.writes_of_key(ordering_key)
         return {number for number in pending if not self._is_dead_lettered(number)}
 
     def _is_dead_lettered(self, number: WriteNumber) -> bool:
@@ -340,8 +340,8 @@
         assert queued is not None
         record = pending.record
         self._block_view.show(number, record)
-        self._block_view.observed(record.volume, record.block, record.data)
-        self._contexts.current(record.host).acknowledged(queued.write)
+        self._block_view.observe(record.volume, record.block, record.data)
+        self._contexts.current(record.host).acknowledge(queued.write)
         self._history.count("accepted")
         self._history.note("accepted", number)
         self._dead_letter_with_dependencies(queued)
--- a/gorsethread/offline_writes/base_versions.py
+++ b/gorsethread/offline_writes/base_versions.py
@@ -29,7 +29,7 @@
         self._block_bytes = block_bytes
         self._seen: OrderedDict[tuple[int, int], int] = OrderedDict()
 
-    def observed(self, volume: int, block: int, data: bytes) -> None:
+    def observe(self, volume: int, block: int, data: bytes) -> None:
         """The blocks from that one on hold the data."""
         for number, digest in enumerate(block_digests(data, self._block_bytes), block):
             self._seen[volume, number] = digest
--- a/gorsethread/offline_writes/epoch_fence.py
+++ b/gorsethread/offline_writes/epoch_fence.py
@@ -1,6 +1,6 @@
 """Under which epoch a gateway replays its queue, and when it holds off as another one replays it."""
 
-FENCED_FOR = 5.0  # seconds from being fenced to the next look at whether the other still replays
+FENCE_DURATION = 5.0  # seconds from being fenced to the next look at whether the other still replays
 
 
 class EpochFence:
@@ -23,7 +23,7 @@
     def fence(self, later_epoch: int, now: float) -> None:
         """The main site knows a later epoch: nothing more is sent from here."""
         self._later_epoch = later_epoch
-        self._fenced_until = now + FENCED_FOR
+        self._fenced_until = now + FENCE_DURATION
 
     def is_fenced(self, now: float) -> bool:
         """Nothing is sent now."""
--- a/gorsethread/offline_writes/primaries.py
+++ b/gorsethread/offline_writes/primaries.py
@@ -26,9 +26,9 @@
     def __init__(self) -> None:
         self._dead_since: float | None = None
 
-    def should_replay(self, other_is_alive: bool, now: float) -> bool:
+    def should_replay(self, standby_is_alive: bool, now: float) -> bool:
         """Whether to replay for the other gateway now."""
-        if other_is_alive:
+        if standby_is_alive:
             self._dead_since = None
             return False
         if self._dead_since is None:
--- a/gorsethread/offline_writes/replay_window.py
+++ b/gorsethread/offline_writes/replay_window.py
@@ -23,7 +23,7 @@
         """Writes that may be under way at once."""
         return int(self._size)
 
-    def succeeded(self, duration: float, latency_objective: float) -> None:
+    def record_success(self, duration: float, latency_objective: float) -> None:
         """A write was applied that many seconds after it was sent."""
         self._rejections = 0
         if duration <= FAST_FRACTION * latency_objective:
@@ -31,7 +31,7 @@
         elif duration > latency_objective:
             self._halve()
 
-    def rejected(self, retry_after: float) -> float:
+    def record_rejection(self, retry_after: float) -> float:
         """A write was rejected with that Retry-After, 0 for none.
 
         Returns:
--- a/gorsethread/offline_writes/write_queue.py
+++ b/gorsethread/offline_writes/write_queue.py
@@ -13,8 +13,10 @@
 from gorsethread.offline_writes.replay_window import MAX_WINDOW
 from gorsethread.offline_writes.writes import Position, Write, WriteNumber
 
-HIGHEST_PRIORITY_ONLY_ABOVE = 0.9  # part of the capacity that is filled
-MINIMUM_RISES_ABOVE = 0.5  # part of the capacity; from here on the least priority weight that is taken rises
+ONLY_MAX_WEIGHT_ABOVE = 0.9  # part of the capacity that is filled
+MIN_WEIGHT_RISES_ABOVE = (
+    0.5  # part of the capacity; from here on the least priority weight that is taken rises
+)
 RELEASED = "released by a person"
 DEPENDS_ON = "depends on"  # how a reason begins that lies in another write
 
@@ -78,25 +80,25 @@
         oldest = next((queued.write.accepted_at for queued in self if not queued.is_dead_lettered), now)
         if now - oldest > self._limits.max_age:
             return Refusal.STALE
-        return Refusal.LOW_PRIORITY if priority_weight < self._minimum_weight(filled) else None
+        return Refusal.LOW_PRIORITY if priority_weight < self._min_priority_weight(filled) else None
 
-    def _minimum_weight(self, filled: float) -> float:
+    def _min_priority_weight(self, filled: float) -> float:
         """The least priority weight that is taken: it rises by the ranks of the weights there are."""
-        if filled <= MINIMUM_RISES_ABOVE or not self._priority_weights:
+        if filled <= MIN_WEIGHT_RISES_ABOVE or not self._priority_weights:
             return 0.0
-        span = HIGHEST_PRIORITY_ONLY_ABOVE - MINIMUM_RISES_ABOVE
-        part = min(1.0, (filled - MINIMUM_RISES_ABOVE) / span)
+        span = ONLY_MAX_WEIGHT_ABOVE - MIN_WEIGHT_RISES_ABOVE
+        part = min(1.0, (filled - MIN_WEIGHT_RISES_ABOVE) / span)
         rank = int(part * len(self._priority_weights))
         return self._priority_weights[min(len(self._priority_weights) - 1, rank)]
 
-    def persisting(self, write: Write) -> None:
+    def add_persisting(self, write: Write) -> None:
         """A write goes to the disks; its place in the order is this."""
         self._writes[write.number] = QueuedWrite(write, WriteStage.PERSISTING)
         self._last_position = max(self._last_position, write.number.position)
         self.size += write.size
         self._last_of_key[write.ordering_key] = write.number
 
-    def persisted(self, number: WriteNumber) -> None:
+    def mark_persisted(self, number: WriteNumber) -> None:
         """A write is on the disks: it is accepted."""
         queued = self._writes[number]
         queued.stage = WriteStage.WAITING
@@ -120,7 +122,7 @@
         if not queued.is_dead_lettered:
             self._dead_letter_with_dependencies(queued)
 
-    def withdrawn(self, number: WriteNumber) -> None:
+    def withdraw(self, number: WriteNumber) -> None:
         """A write could not be persisted for sure: it is not accepted, and its client was told so."""
         self._remove(number)
 
@@ -150,7 +152,7 @@
 
     # ---- Replay
 
-    def ready(self, now: float = float("inf")) -> list[ReadyWrite]:
+    def ready_writes(self, now: float = float("inf")) -> list[ReadyWrite]:
         """What may go to the main site now, in the order of acceptance, as far as the window allows."""
         capacity = self.window - sum(queued.is_under_way for queued in self)
         found: list[ReadyWrite] = []
@@ -166,13 +168,13 @@
         own = all(number not in self._writes for number in write.own_dependencies)
         return own and all(self._is_standby_write_finished(number) for number in write.other_dependencies)
 
-    def queried(self, number: WriteNumber, now: float = 0.0) -> None:
+    def mark_queried(self, number: WriteNumber, now: float = 0.0) -> None:
         """The main site is asked whether a write is applied."""
         queued = self._writes[number]
         queued.stage = WriteStage.QUERIED
         queued.pending_since = queued.pending_since or now
 
-    def sent(self, number: WriteNumber, gateway: int = 0, now: float = 0.0) -> None:
+    def mark_sent(self, number: WriteNumber, gateway: int = 0, now: float = 0.0) -> None:
         """A write goes to a gateway of the main site.
 
         Call it, and persist the progress, before the write goes: what is sent and not answered is unknown
@@ -184,7 +186,7 @@
         queued.suspects = [gateway]
         queued.pending_since = now
 
-    def not_applied(self, number: WriteNumber, gateway: int, send_token: int) -> None:
+    def mark_not_applied(self, number: WriteNumber, gateway: int, send_token: int) -> None:
         """A gateway that was queried has not applied a write; it accepts that token from now on."""
         queued = self._writes.get(number)
         if queued is None or queued.stage is not WriteStage.QUERIED:
@@ -196,24 +198,24 @@
         queued.stage = WriteStage.UNKNOWN if queued.suspects else WriteStage.WAITING
         queued.pending_since = 0.0
 
-    def applied(self, number: WriteNumber) -> None:
+    def mark_applied(self, number: WriteNumber) -> None:
         """A write is in effect at the main site."""
         self._remove(number)
 
-    def connection_lost(self, gateway: int | None = None) -> None:
+    def mark_connection_lost(self, gateway: int | None = None) -> None:
         """Of what was under way to that gateway, or to any, the fate is not known any more."""
         for queued in self:
             if queued.is_under_way and (gateway is None or gateway in queued.suspects):
                 queued.stage = WriteStage.UNKNOWN
 
-    def token_refused(self, number: WriteNumber, send_token: int) -> None:
+    def mark_token_refused(self, number: WriteNumber, send_token: int) -> None:
         """A sending was refused since somebody queried; an earlier one says nothing of the last."""
         queued = self._writes.get(number)
         if queued is not None and queued.is_answered_by(send_token):
             queued.stage = WriteStage.UNKNOWN
             queued.pending_since = 0.0
 
-    def rejected(self, number: WriteNumber, send_token: int, not_before: float = 0.0) -> None:
+    def mark_rejected(self, number: WriteNumber, send_token: int, not_before: float = 0.0) -> None:
         """A sending has not run: the write waits again."""
         queued = self._writes.get(number)
         if queued is not None and queued.is_answered_by(send_token):
@@ -221,19 +223,19 @@
             queued.not_before = not_before
             queued.suspects = []
 
-    def query_deferred(self, number: WriteNumber, not_before: float) -> None:
+    def defer_query(self, number: WriteNumber, not_before: float) -> None:
         """A query about a write got no answer yet: it is asked again then."""
         queued = self._writes.get(number)
         if queued is not None and queued.stage is WriteStage.QUERIED:
             queued.stage = WriteStage.UNKNOWN
             queued.not_before = not_before
 
-    def unanswered(self, number: WriteNumber, now: float) -> None:
+    def mark_unanswered(self, number: WriteNumber, now: float) -> None:
         """No gateway that might know of a write can be reached; since when counts from the first time."""
         queued = self._writes[number]
         queued.pending_since = queued.pending_since or now
 
-    def conflict(self, number: WriteNumber, reason: str) -> bool:
+    def handle_conflict(self, number: WriteNumber, reason: str) -> bool:
         """Blocks of a write changed at the main site since the branch saw them.
 
         Returns:
--- a/gorsethread/offline_writes/writes.py
+++ b/gorsethread/offline_writes/writes.py
@@ -84,11 +84,11 @@
 
     seen: set[WriteNumber] = field(default_factory=set)
 
-    def observed(self, number: WriteNumber) -> None:
+    def observe(self, number: WriteNumber) -> None:
         """The client read that write, or may have been acknowledged it."""
         self.seen.add(number)
 
-    def acknowledged(self, write: Write) -> None:
+    def acknowledge(self, write: Write) -> None:
         """The client was answered that the write is accepted."""
         self.seen.difference_update(write.dependencies)
         self.seen.add(write.number)
--- a/tests/offline_writes/test_cores.py
+++ b/tests/offline_writes/test_cores.py
@@ -134,51 +134,51 @@
         q = self.queue(
             ROOM, write(1, key="a"), write(2, 1, key="a"), *(write(n) for n in range(3, 4 + MAX_WINDOW))
         )
-        ready = [n.sequence for n, _ in q.ready()]
+        ready = [n.sequence for n, _ in q.ready_writes()]
         self.assertEqual([1, *range(3, 2 + MAX_WINDOW)], ready)
-        for n, _ in q.ready():
-            q.sent(n)
-        self.assertEqual([], q.ready())
-        q.applied(number(1))
-        self.assertEqual([2], [n.sequence for n, _ in q.ready()])
+        for n, _ in q.ready_writes():
+            q.mark_sent(n)
+        self.assertEqual([], q.ready_writes())
+        q.mark_applied(number(1))
+        self.assertEqual([2], [n.sequence for n, _ in q.ready_writes()])
 
     def test_what_is_unknown_is_asked_about_and_what_depends_on_it_waits(self) -> None:
         q = self.queue(ROOM, write(1), write(2, 1))
-        q.sent(number(1))
-        q.connection_lost()
-        self.assertEqual([(number(1), True)], q.ready())
-        q.queried(number(1))
-        q.not_applied(number(1), 0, 1)
-        self.assertEqual([(number(1), False)], q.ready())
+        q.mark_sent(number(1))
+        q.mark_connection_lost()
+        self.assertEqual([(number(1), True)], q.ready_writes())
+        q.mark_queried(number(1))
+        q.mark_not_applied(number(1), 0, 1)
+        self.assertEqual([(number(1), False)], q.ready_writes())
         self.assertEqual(1, q._writes[number(1)].send_token(0))
 
     def test_all_heads_that_may_have_run_it_are_asked(self) -> None:
         q = self.queue()
         q.restore(write(1), WriteStage.UNKNOWN, "", (3, 5))
-        q.queried(number(1))
-        q.not_applied(number(1), 5, 9)
-        self.assertEqual([(number(1), True)], q.ready())
-        q.queried(number(1))
-        q.not_applied(number(1), 3, 4)
-        self.assertEqual([(number(1), False)], q.ready())
+        q.mark_queried(number(1))
+        q.mark_not_applied(number(1), 5, 9)
+        self.assertEqual([(number(1), True)], q.ready_writes())
+        q.mark_queried(number(1))
+        q.mark_not_applied(number(1), 3, 4)
+        self.assertEqual([(number(1), False)], q.ready_writes())
         self.assertEqual((9, 4, 0), tuple(q._writes[number(1)].send_token(via) for via in (5, 3, 8)))
 
     def test_only_what_went_that_way_is_unknown_as_the_way_breaks(self) -> None:
         q = self.queue(ROOM, write(1), write(2))
-        q.sent(number(1), 7)
-        q.sent(number(2), 8)
-        q.connection_lost(7)
+        q.mark_sent(number(1), 7)
+        q.mark_sent(number(2), 8)
+        q.mark_connection_lost(7)
         self.assertEqual([WriteStage.UNKNOWN, WriteStage.SENT], [h.stage for h in q])
 
     def test_what_is_on_its_way_to_the_disks_takes_room_and_is_not_replayed(self) -> None:
         q = self.queue()
-        q.persisting(write(1, key="a"))
-        q.persisting(write(2, 1, key="a"))
-        self.assertEqual((200, []), (q.size, q.ready()))
-        q.persisted(number(2))
-        self.assertEqual([], q.ready(), "its cause is not accepted yet")
-        q.withdrawn(number(1))
-        self.assertEqual([2], [n.sequence for n, _ in q.ready()])
+        q.add_persisting(write(1, key="a"))
+        q.add_persisting(write(2, 1, key="a"))
+        self.assertEqual((200, []), (q.size, q.ready_writes()))
+        q.mark_persisted(number(2))
+        self.assertEqual([], q.ready_writes(), "its cause is not accepted yet")
+        q.withdraw(number(1))
+        self.assertEqual([2], [n.sequence for n, _ in q.ready_writes()])
         self.assertEqual(number(2), q.last_of_key("a"))
 
     def test_a_clients_repeat_is_the_one_that_was_accepted(self) -> None:
@@ -190,34 +190,34 @@
 
     def test_what_is_turned_away_waits_its_time(self) -> None:
         q = self.queue(ROOM, write(1))
-        q.sent(number(1))
-        q.rejected(number(1), 3, 4.0)  # of another sending
+        q.mark_sent(number(1))
+        q.mark_rejected(number(1), 3, 4.0)  # of another sending
         self.assertIs(WriteStage.SENT, q._writes[number(1)].stage)
-        q.rejected(number(1), 0, 5.0)
-        self.assertEqual(([], 1), (q.ready(4.9), len(q.ready(5.0))))
+        q.mark_rejected(number(1), 0, 5.0)
+        self.assertEqual(([], 1), (q.ready_writes(4.9), len(q.ready_writes(5.0))))
 
     def test_the_mark_is_below_all_that_is_not_over_but_what_is_parked(self) -> None:
         q = self.queue(ROOM, write(1), write(2), write(3))
         q.dead_letter(number(1), "x")
         self.assertEqual((1, 1), q.completed_up_to)
-        q.applied(number(2))
-        q.applied(number(3))
+        q.mark_applied(number(2))
+        q.mark_applied(number(3))
         self.assertEqual((1, 3), q.completed_up_to)
 
     def test_parked_with_all_that_depends_on_it_released_and_discarded_by_a_person(self) -> None:
         q = self.queue(ROOM, write(1, parks=True), write(2, 1), write(3, 2), write(4))
-        self.assertFalse(q.conflict(number(1), "changed at the main site"))
+        self.assertFalse(q.handle_conflict(number(1), "changed at the main site"))
         self.assertEqual([1, 2, 3], [h.write.number.sequence for h in q.dead_letters])
         self.assertTrue(all(h.reason for h in q.dead_letters))
         q.restore(write(5, 3))
         self.assertIs(WriteStage.DEAD_LETTERED, q._writes[number(5)].stage)
-        q.applied(number(4))
+        q.mark_applied(number(4))
         self.assertTrue(q.is_drained)
         self.assertFalse(q.discard(number(1)), "others depend on it")
         self.assertTrue(q.discard(number(5)))
         self.assertEqual([1, 2, 3], [n.sequence for n in q.release(number(1))])
-        self.assertTrue(q.conflict(number(1), "changed"), "a person said so")
-        self.assertEqual([1], [n.sequence for n, _ in q.ready()])
+        self.assertTrue(q.handle_conflict(number(1), "changed"), "a person said so")
+        self.assertEqual([1], [n.sequence for n, _ in q.ready_writes()])
 
     def test_what_comes_after_a_write_parked_at_the_other_head_is_parked_and_freed_with_it(self) -> None:
         other = number(4, branch=2)
@@ -229,14 +229,14 @@
         self.assertEqual([1, 2], [h.write.number.sequence for h in q.dead_letters])
         self.assertEqual([], q.release_dependents_of(other, lambda n: n == other), "it is parked still")
         self.assertEqual([1, 2], [n.sequence for n in q.release_dependents_of(other)])
-        q.conflict(number(3), "x")
+        q.handle_conflict(number(3), "x")
         q.dead_letter(number(3), "for itself")
         self.assertEqual([], q.release_dependents_of(number(9)))
 
     def test_what_was_parked_for_anothers_sake_is_asked_about_once_it_is_released(self) -> None:
         q = self.queue(ROOM, write(1, parks=True))
         q.restore(write(2, 1), WriteStage.UNKNOWN, "", (4,))
-        q.conflict(number(1), "changed")
+        q.handle_conflict(number(1), "changed")
         self.assertEqual([1, 2], [n.sequence for n in q.release(number(1))])
         self.assertEqual([WriteStage.WAITING, WriteStage.UNKNOWN], [h.stage for h in q])
         self.assertEqual([True, False], [h.forced for h in q])
@@ -246,17 +246,17 @@
         q = WriteQueue(ROOM, (1.0,), there.__contains__)
         other = number(4, branch=2)
         q.restore(Write(number(1), 1, 1, "k", 1.0, 1, 0.0, (), (other,)))
-        self.assertEqual([], q.ready())
+        self.assertEqual([], q.ready_writes())
         there.add(other)
-        self.assertEqual(1, len(q.ready()))
+        self.assertEqual(1, len(q.ready_writes()))
 
     def test_causes_are_all_that_a_client_knows_and_no_more(self) -> None:
         context = ClientContext()
-        context.observed(number(3))
-        context.acknowledged(write(5))
-        context.observed(number(2))  # read after a later one was answered: it is no cause of that
+        context.observe(number(3))
+        context.acknowledge(write(5))
+        context.observe(number(2))  # read after a later one was answered: it is no cause of that
         self.assertEqual((number(2), number(3), number(5)), collect_dependencies(1, context.seen)[0])  # type: ignore[index]
-        context.acknowledged(write(6, 2, 3, 5))
+        context.acknowledge(write(6, 2, 3, 5))
         self.assertEqual({number(6)}, context.seen)
         context.forget(lambda n: n.sequence == 6)
         self.assertEqual(set(), context.seen)
@@ -311,7 +311,7 @@
 
     def test_bases_know_blocks_that_were_seen_and_tell_changes(self) -> None:
         bases = BaseVersions(2)
-        bases.observed(1, 5, b"aabb")
+        bases.observe(1, 5, b"aabb")
         self.assertEqual(combined_version(block_digests(b"aabb", 2)), bases.version_of(1, 5, 2))
         self.assertNotEqual(combined_version(block_digests(b"aabc", 2)), bases.version_of(1, 5, 2))
         self.assertEqual(0, bases.version_of(1, 5, 3))
@@ -321,12 +321,12 @@
     def test_replay_yields_and_takes_room_again(self) -> None:
         window = ReplayWindow()
         for _ in range(200):
-            window.succeeded(0.1, 1.0)
+            window.record_success(0.1, 1.0)
         self.assertEqual(MAX_WINDOW, window.size)
-        waits = [window.rejected(0.0) for _ in range(8)]
+        waits = [window.record_rejection(0.0) for _ in range(8)]
         self.assertEqual((1, True), (window.size, sorted(waits) == waits and waits[-1] <= 3.0))
-        self.assertEqual(9.0, window.rejected(9.0), "the main site's word is not undercut")
-        window.succeeded(5.0, 1.0)
+        self.assertEqual(9.0, window.record_rejection(9.0), "the main site's word is not undercut")
+        window.record_success(5.0, 1.0)
         self.assertEqual(1, window.size)
 
     def test_homes_are_one_order_and_the_other_head_is_stood_in_for_in_time(self) -> None:
@@ -394,7 +394,7 @@
         for place in (1, 2):
             q.restore(write(place))
         q.dead_letter(number(1), "x")
-        q.applied(number(2))
+        q.mark_applied(number(2))
         m = AppliedWrites(1)
         m.handle_progress(1, 1, q.completed_up_to, frozenset(q.completed_exceptions))
         q.release(number(1))
@@ -474,14 +474,14 @@
             held, there, flying, ran, done, left, lives = state
             found: list[tuple[str, Any]] = []
             q = queue(held)
-            for n, ask in q.ready():
+            for n, ask in q.ready_writes():
                 q = queue(held)
                 if ask and not blind:
-                    q.queried(n)
+                    q.mark_queried(n)
                     more = flying | {("ask", n.sequence, 0)}
                     found.append(("asks", (kept(q), there, more, ran, done, left, lives)))
                 else:
-                    q.sent(n)
+                    q.mark_sent(n)
                     more = flying | {("send", n.sequence, q._writes[n].send_token(0))}
                     found.append(("sends", (kept(q), there, more, ran, done, left, lives)))
             for message in flying:
@@ -501,15 +501,15 @@
                     continue
                 else:
                     if what == "APPLIED":
-                        q.applied(n)
+                        q.mark_applied(n)
                     elif what == "NOT_APPLIED":
-                        q.not_applied(n, 0, sending)
+                        q.mark_not_applied(n, 0, sending)
                     elif what == "UNKNOWN":
                         q.dead_letter(n, "")
                     elif what == "STALE_TOKEN":
-                        q.token_refused(n, sending)
+                        q.mark_token_refused(n, sending)
                     else:
-                        q.rejected(n, sending)
+                        q.mark_rejected(n, sending)
                     found.append(("hears", (kept(q), there, rest, ran, done, left, lives)))
                     found.append(("answer lost", (held, there, rest, ran, done, left, lives)))
             for place in there[3]:
@@ -523,7 +523,7 @@
                 found.append(("ends", (held, main(m), more, ran, rest, left, lives)))
             if left:
                 q = queue(held)
-                q.connection_lost()
+                q.mark_connection_lost()
                 # What was on its way there may come late; its answers find nobody.
                 old = frozenset(
                     (f"old {m[0].split(' ')[-1]}", *m[1:]) for m in flying if m[0].endswith(("send", "ask"))
@@ -532,7 +532,7 @@
             if lives:
                 life, in_effect, unknown, running, _ = there
                 q = queue(held)
-                q.connection_lost()
+                q.mark_connection_lost()
                 again = landing((life + 1, in_effect, (*unknown, *running), (), ()))
                 found.append(("main crash", (kept(q), main(again), frozenset(), ran, (), left, lives - 1)))
             return found
@@ -617,13 +617,15 @@
         for _ in range(3000):
             if q.is_drained:
                 break
-            for n, ask in q.ready():
+            for n, ask in q.ready_writes():
                 if ask:
-                    q.queried(n)
+                    q.mark_queried(n)
                     answer, sending = m.handle_query(n, 1, False)
-                    q.applied(n) if answer is ReplayOutcome.APPLIED else q.not_applied(n, 0, sending)
+                    q.mark_applied(n) if answer is ReplayOutcome.APPLIED else q.mark_not_applied(
+                        n, 0, sending
+                    )
                 else:
-                    q.sent(n)
+                    q.mark_sent(n)
                     flying.append((n, q._writes[n].send_token(0)))
             if flying:
                 n, sending = flying.pop(chance.randrange(len(flying)))
@@ -631,9 +633,9 @@
                     m.finish(n, ReplayOutcome.APPLIED)
                     ran.append(n)
                 if chance.random() < 0.7 and m.handle_write(n, sending, 1, False) is ReplayOutcome.APPLIED:
-                    q.applied(n)
+                    q.mark_applied(n)
             if chance.random() < 0.2 or not flying:
-                q.connection_lost()
+                q.mark_connection_lost()
         self.assertTrue(q.is_drained)
         self.assertEqual(sorted(all_causes), sorted(ran))
         for n in ran:
--- a/tests/offline_writes/test_epoch_fence.py
+++ b/tests/offline_writes/test_epoch_fence.py
@@ -1,6 +1,6 @@
 """When a gateway holds off its replay as another one replays its queue."""
 
-from gorsethread.offline_writes.epoch_fence import FENCED_FOR, EpochFence
+from gorsethread.offline_writes.epoch_fence import FENCE_DURATION, EpochFence
 
 
 def test_a_fenced_gateway_sends_nothing_until_it_resumes_under_a_later_epoch() -> None:
@@ -9,12 +9,12 @@
     assert not fence.is_fenced(0.0)
     fence.fence(9, 10.0)
     assert fence.is_fenced(10.0)
-    assert not fence.may_resume(10.0 + FENCED_FOR / 2)
-    assert fence.may_resume(10.0 + FENCED_FOR)
-    assert fence.is_fenced(10.0 + FENCED_FOR)  # its own epoch is still the earlier one
+    assert not fence.may_resume(10.0 + FENCE_DURATION / 2)
+    assert fence.may_resume(10.0 + FENCE_DURATION)
+    assert fence.is_fenced(10.0 + FENCE_DURATION)  # its own epoch is still the earlier one
     fence.resume()
     assert fence.epoch == 10
-    assert not fence.is_fenced(10.0 + FENCED_FOR)
+    assert not fence.is_fenced(10.0 + FENCE_DURATION)
 
 
 def test_an_epoch_that_is_not_later_holds_it_off_for_the_time_alone() -> None:
@@ -22,4 +22,4 @@
     fence.start(7)
     fence.fence(7, 10.0)
     assert fence.is_fenced(10.0)
-    assert not fence.is_fenced(10.0 + FENCED_FOR)
+    assert not fence.is_fenced(10.0 + FENCE_DURATION)
