--- a/gorsethread/nvme_gateway/offline/__init__.py
+++ b/gorsethread/nvme_gateway/offline/__init__.py
@@ -1,1 +1,1 @@
-"""A branch gateway's offline writes: connects the cores of `gorsethread/offline_writes/` to a gateway."""
+"""Connects the I/O-free modules of `gorsethread/offline_writes/` to a branch gateway."""
--- a/gorsethread/nvme_gateway/offline/block_view.py
+++ b/gorsethread/nvme_gateway/offline/block_view.py
@@ -1,4 +1,4 @@
-"""What blocks hold as clients of the branch see them: queued writes over what the backends answered."""
+"""The contents of blocks as clients of the branch see them: queued writes on top of backend data."""
 
 from collections.abc import Sequence
 
@@ -11,7 +11,7 @@
 
 
 class BlockView:
-    """Owns the overlay of pending writes (as large as the queues) and the base versions (bounded there)."""
+    """Owns the pending-write overlay, bounded by the queue limits, and the base versions, bounded there."""
 
     def __init__(self) -> None:
         self._overlay = PendingWriteOverlay(BLOCK)
@@ -21,36 +21,36 @@
         return number in self._overlay
 
     def numbers(self) -> set[WriteNumber]:
-        """The writes whose data is shown."""
+        """Returns the writes whose data reads return."""
         return self._overlay.numbers()
 
     def show(self, number: WriteNumber, record: WriteQueued) -> None:
-        """Clients read the data of a write from now on."""
+        """Makes reads return the data of a write."""
         self._overlay.add(number, record.volume, record.block, record.data, dependencies_of(record))
 
     def hide(self, number: WriteNumber, record: WriteQueued) -> None:
-        """A write is dead-lettered: its blocks hold what the main site has."""
+        """Stops showing a dead-lettered write; its blocks hold what the main site has."""
         self._overlay.remove(number)
         self._base_versions.forget(record.volume, record.block, record.blocks)
 
     def remove(self, number: WriteNumber) -> None:
-        """A write is finished."""
+        """Removes a write that is finished."""
         self._overlay.remove(number)
 
     def latest_writes(self, volume: int, block: int, blocks: int) -> list[WriteNumber | None]:
-        """For each block the last write that is shown."""
+        """Returns the latest shown write of each block, None for a block without one."""
         return self._overlay.latest_writes(volume, block, blocks)
 
     def read(self, writes: Sequence[WriteNumber], first_block: int) -> bytes:
-        """The bytes of blocks in a row, each from its latest write."""
+        """Returns the data of consecutive blocks, given the latest write of each."""
         return b"".join(
             self._overlay.block_data(number, block) for block, number in enumerate(writes, first_block)
         )
 
     def observe(self, volume: int, block: int, data: bytes) -> None:
-        """The blocks from that one on hold the data."""
+        """Remembers that the blocks starting at `block` hold the data."""
         self._base_versions.observe(volume, block, data)
 
     def base_version(self, volume: int, block: int, blocks: int) -> int:
-        """The version of blocks as they were seen last; 0 where not all were seen."""
+        """Returns the version of the blocks as last seen; 0 if not all of them are remembered."""
         return self._base_versions.version_of(volume, block, blocks)
--- a/gorsethread/nvme_gateway/offline/branch_settings.py
+++ b/gorsethread/nvme_gateway/offline/branch_settings.py
@@ -1,4 +1,4 @@
-"""What a branch's gateway takes from the site file."""
+"""The settings of a branch gateway, read from the site file."""
 
 from dataclasses import dataclass
 
@@ -13,13 +13,14 @@
 
 @dataclass(frozen=True)
 class VolumeSettings:
-    """One volume.
+    """The settings of one volume.
 
     Attributes:
-        has_fixed_placement: Its extents lie by their number; only such volumes are served while disconnected.
-        shards: Of its extents, in turn.
-        extent_blocks: Blocks of one extent.
-        primaries: The main site's gateways that apply its writes, the primary first.
+        has_fixed_placement: Whether an extent's number determines its shard; only such volumes are served
+            while disconnected.
+        shards: Shards over which its extents are distributed in turn.
+        extent_blocks: Blocks per extent.
+        primaries: Gateways of the main site that apply its writes, the primary first.
     """
 
     has_fixed_placement: bool
@@ -28,13 +29,13 @@
     primaries: tuple[int, ...]
 
     def shard_of(self, extent: int) -> int:
-        """Where an extent lies by its number."""
+        """Returns the shard of an extent of a volume with fixed placement."""
         return self.shards[extent % len(self.shards)]
 
 
 @dataclass(frozen=True)
 class RequestClassSettings:
-    """One request class; `latency_objective` in seconds."""
+    """The settings of one request class; `latency_objective` in seconds."""
 
     priority_weight: float
     may_be_queued: bool
@@ -45,18 +46,18 @@
 
 @dataclass(frozen=True)
 class BranchSettings:
-    """The branch and the main site, as one gateway of the branch sees them.
+    """The settings of one gateway of a branch.
 
     Attributes:
-        name: Of the branch.
-        gateway: This one's number.
-        standby: The branch's other gateway; None where there is none.
-        fleet: Of the site.
-        main_site: Where the main site's gateways take messages.
-        volumes: By number.
-        request_classes: By index in the site file.
-        queue_limits: Of the write queue.
-        longest_retry_after: Seconds.
+        name: Name of the branch.
+        gateway: Number of this gateway.
+        standby: Number of the branch's other gateway; None if there is none.
+        fleet: Fleet id of the site file.
+        main_site: For each gateway of the main site, the address on which it receives messages.
+        volumes: All volumes, by number.
+        request_classes: All request classes, by index in the site file.
+        queue_limits: Limits of the write queue.
+        max_retry_after: Longest Retry-After for clients, in seconds.
     """
 
     name: str
@@ -67,22 +68,22 @@
     volumes: dict[int, VolumeSettings]
     request_classes: tuple[RequestClassSettings, ...]
     queue_limits: QueueLimits
-    longest_retry_after: float
+    max_retry_after: float
 
     @property
     def queued_priority_weights(self) -> tuple[float, ...]:
-        """Of the request classes that may be queued."""
-        return tuple(known.priority_weight for known in self.request_classes if known.may_be_queued)
+        """The priority weights of the request classes that may be queued."""
+        return tuple(each.priority_weight for each in self.request_classes if each.may_be_queued)
 
 
 def read_branch_settings(site: pb.Site, gateway: int) -> BranchSettings:
-    """Reads the settings of one gateway, which stands in a branch of the site file."""
+    """Returns the settings of a gateway that belongs to a branch in the site file."""
     branch = next(branch for branch in site.branch if gateway in branch.head)
-    of_branches = {number for other in site.branch for number in other.head}
+    branch_gateways = {number for each in site.branch for number in each.head}
     main_site = {
-        known.number: split_address(known.peers)
-        for known in site.head
-        if known.peers and known.number not in of_branches
+        gateway_settings.number: split_address(gateway_settings.peers)
+        for gateway_settings in site.head
+        if gateway_settings.peers and gateway_settings.number not in branch_gateways
     }
     return BranchSettings(
         name=branch.name,
@@ -91,9 +92,9 @@
         fleet=fleet_of(site),
         main_site=main_site,
         volumes={volume.number: _volume_settings(volume, main_site) for volume in site.volume},
-        request_classes=tuple(_request_class_settings(known) for known in site.profile),
+        request_classes=tuple(_request_class_settings(profile) for profile in site.profile),
         queue_limits=QueueLimits(branch.queue_bytes, branch.queue_writes, branch.queue_age),
-        longest_retry_after=site.rules.longest_return,
+        max_retry_after=site.rules.longest_return,
     )
 
 
@@ -108,11 +109,11 @@
     )
 
 
-def _request_class_settings(known: pb.Profile) -> RequestClassSettings:
+def _request_class_settings(profile: pb.Profile) -> RequestClassSettings:
     return RequestClassSettings(
-        priority_weight=known.value,
-        may_be_queued=known.held_when_cut_off,
-        stops_on_conflict=known.when_changed == pb.PARK,
-        idempotent=known.effect == pb.REDOABLE,
-        latency_objective=known.promised,
+        priority_weight=profile.value,
+        may_be_queued=profile.held_when_cut_off,
+        stops_on_conflict=profile.when_changed == pb.PARK,
+        idempotent=profile.effect == pb.REDOABLE,
+        latency_objective=profile.promised,
     )
--- a/gorsethread/nvme_gateway/offline/change_history.py
+++ b/gorsethread/nvme_gateway/offline/change_history.py
@@ -1,4 +1,4 @@
-"""What changed at a branch's gateway, for people: the last changes and counters."""
+"""The recent changes at a branch gateway, and event counters, for operators."""
 
 from collections import Counter, deque
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 class ChangeHistory:
-    """Owns the last MAX_CHANGES changes, and counters, as many as there are kinds of events."""
+    """Owns the last MAX_CHANGES changes, and one counter per kind of event."""
 
     def __init__(self, transport: Transport, logger: Any) -> None:
         self._transport = transport
@@ -20,7 +20,7 @@
         self._counts: Counter[str] = Counter()
 
     def note(self, what: str, number: WriteNumber | None, text: str = "") -> None:
-        """Remembers a change; one that concerns no single write is logged too."""
+        """Adds a change; a change that concerns no particular write is also logged."""
         if number is None:
             self._logger.info("branch", what=what, text=text)
         self._changes.append(
@@ -38,10 +38,10 @@
 
     @property
     def changes(self) -> list[dict[str, Any]]:
-        """The changes, the oldest first, as `gorsethread branch history` prints them."""
+        """The changes, oldest first, as `gorsethread branch history` prints them."""
         return list(self._changes)
 
     @property
     def counts(self) -> Counter[str]:
-        """How often each event was counted."""
+        """The number of times each event was counted."""
         return Counter(self._counts)
--- a/gorsethread/nvme_gateway/offline/client_contexts.py
+++ b/gorsethread/nvme_gateway/offline/client_contexts.py
@@ -1,4 +1,4 @@
-"""What each client of this gateway knows of queued writes."""
+"""The queued writes whose effects each client of this gateway has seen."""
 
 from collections.abc import Callable
 
@@ -6,21 +6,21 @@
 
 
 class ClientContexts:
-    """Owns a context for each client's host name, as many as the site file names."""
+    """Owns one context per client host name; bounded by the hosts in the site file."""
 
     def __init__(self, is_finished: Callable[[WriteNumber], bool]) -> None:
         self._is_finished = is_finished
         self._contexts: dict[str, ClientContext] = {}
 
     def of(self, host: str) -> ClientContext:
-        """The context of a client, as it is."""
+        """Returns the context of a client, which may still contain finished writes."""
         context = self._contexts.get(host)
         if context is None:
             context = self._contexts[host] = ClientContext()
         return context
 
     def current(self, host: str) -> ClientContext:
-        """The context of a client without the writes that are finished."""
+        """Returns the context of a client, after removing finished writes from it."""
         context = self.of(host)
         context.forget(self._is_finished)
         return context
--- a/gorsethread/nvme_gateway/offline/dead_letters.py
+++ b/gorsethread/nvme_gateway/offline/dead_letters.py
@@ -1,4 +1,4 @@
-"""Queued writes that wait for a person: from the moment they are dead-lettered to release or discard."""
+"""Publishes dead-lettered writes, and releases or discards them as an operator decides."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,16 +14,16 @@
 
 
 class DeadLetters:
-    """Makes dead letters known and carries out a person's decision; the queues own the writes.
+    """Publishes dead letters and carries out operators' decisions; the queues own the writes.
 
     Args:
-        gateway: This one's number.
+        gateway: Number of this gateway.
         sources: The queues that this gateway replays.
-        persistence: Records the progress of own writes.
-        block_view: Shows no dead letter.
-        history: For people.
-        announce_progress: Tells the main site how far the replay has come.
-        logger: Warned of each dead letter.
+        persistence: Records the progress of this gateway's own writes.
+        block_view: Hides dead letters from reads.
+        history: Records each decision for operators.
+        announce_progress: Sends the replay progress to the main site.
+        logger: Logs a warning for each dead letter.
     """
 
     def __init__(
@@ -45,12 +45,12 @@
         self._logger = logger
 
     def add(self, queue: WriteQueue, number: WriteNumber, reason: str) -> None:
-        """Dead-letters a write, with what depends on it."""
+        """Dead-letters a write and the writes that depend on it."""
         queue.dead_letter(number, reason)
         self.publish(queue)
 
     def publish(self, queue: WriteQueue) -> None:
-        """Makes new dead letters of a queue known: here to clients and people, on disk, at the main site."""
+        """Publishes the new dead letters of a queue to clients, operators, the disk, and the main site."""
         for queued in queue.dead_letters:
             if queued.write.number in self._block_view:
                 self._publish_one(queued)
@@ -71,7 +71,10 @@
             self._persistence.persist_progress(number)
 
     def add_overdue(self, now: float) -> None:
-        """Dead-letters what would wait for good for a gateway of the main site that does not come back."""
+        """Dead-letters writes that got no answer for DEAD_LETTER_AFTER.
+
+        They would wait forever if the gateway of the main site that may have run them never comes back.
+        """
         for source in self._sources.all():
             for queued in list(source.queue):
                 unknown = queued.stage in (WriteStage.UNKNOWN, WriteStage.QUERIED)
@@ -83,16 +86,16 @@
                     self.add(source.queue, queued.write.number, reason)
 
     def record_dependency_releases(self, numbers: list[WriteNumber]) -> None:
-        """Own writes were released since what they depend on was released or finished."""
+        """Records that own writes were released, as the writes they depend on were released or finished."""
         for number in numbers:
             self._history.note("released", number, "what it depends on is")
             self._show_again(number)
 
     def release(self, queue: WriteQueue, number: WriteNumber) -> list[WriteNumber]:
-        """A person wants a write applied after all.
+        """Releases a dead letter to be applied, as an operator decided.
 
         Returns:
-            What is released.
+            All writes that are released with it, itself first.
         """
         released = queue.release(number)
         for each in released:
@@ -107,10 +110,10 @@
             self._persistence.persist_progress(number)
 
     def discard(self, queue: WriteQueue, queued: QueuedWrite) -> bool:
-        """A person gives an own write up.
+        """Discards a dead letter of this gateway, as an operator decided.
 
         Returns:
-            False where another write depends on it.
+            False if another write depends on it.
         """
         number = queued.write.number
         record = self._persistence.record_of(number)
--- a/gorsethread/nvme_gateway/offline/operator_queries.py
+++ b/gorsethread/nvme_gateway/offline/operator_queries.py
@@ -1,4 +1,4 @@
-"""What operators ask and order: `gorsethread branch show | history | parked | release | discard`."""
+"""Executes operators' commands: `gorsethread branch show | history | parked | release | discard`."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -26,19 +26,19 @@
 
 
 class OperatorQueries:
-    """Answers operators; owns nothing.
+    """Executes operators' commands; owns no state.
 
     Args:
-        transport: Tells the time.
-        settings: Of this branch.
-        link: To the main site.
-        fence: Of the own epoch.
-        queue: This gateway's own.
-        standby_writes: Those of the branch's other gateway.
+        transport: Provides the time.
+        settings: Settings of this gateway.
+        link: State of the link to the main site.
+        fence: Fence of this gateway's epoch.
+        queue: This gateway's own queue.
+        standby_writes: Writes of the branch's other gateway.
         sources: The queues that this gateway replays.
-        replay: Of these.
+        replay: Replays those queues.
         dead_letters: Carries out release and discard.
-        history: What changed.
+        history: Changes and counters.
         is_finished: Whether a write of either gateway is finished.
     """
 
@@ -74,7 +74,7 @@
         }
 
     def answer(self, query: OperatorQuery) -> JsonObject:
-        """The answer as a JSON object; with `error` where it could not be done."""
+        """Returns the answer as a JSON object, with the key `error` if the command failed."""
         report = self._reports.get(query.command)
         if report is not None:
             return report()
@@ -143,5 +143,5 @@
 
 
 def as_json(answer: JsonObject) -> bytes:
-    """An answer as it is sent to the operator's command."""
+    """Encodes an answer for the operator's command."""
     return msgspec.json.encode(answer)
--- a/gorsethread/nvme_gateway/offline/write_admission.py
+++ b/gorsethread/nvme_gateway/offline/write_admission.py
@@ -232,7 +232,7 @@
 
     def _reject(self, request: ClientCommand, retry_after: float) -> None:
         self._history.count("pushed back")
-        longest = max(self._settings.longest_retry_after, RETRY_AFTER_PENDING)
+        longest = max(self._settings.max_retry_after, RETRY_AFTER_PENDING)
         request.client.rejected(min(retry_after, longest))
 
     # ---- Queueing
--- a/gorsethread/offline_writes/__init__.py
+++ b/gorsethread/offline_writes/__init__.py
@@ -1,4 +1,5 @@
-"""A branch site that is disconnected from the main site: its write queue, causal order and replay.
+"""Queues the writes of a branch site while it is disconnected, and decides in what order they are replayed.
 
-Pure: no I/O, no clock, no chance. `gorsethread/nvme_gateway/offline/` connects it to a gateway.
+The modules do no I/O, read no clock and draw no random numbers. `gorsethread/nvme_gateway/offline/` connects
+them to a gateway.
 """
--- a/gorsethread/offline_writes/admission.py
+++ b/gorsethread/offline_writes/admission.py
@@ -1,16 +1,16 @@
-"""What a branch's gateway does with a client's command: forward, enqueue, serve from the queue, or reject."""
+"""Decides whether a branch gateway forwards, enqueues, serves from its queue, or rejects a command."""
 
 from collections.abc import Sequence
 from enum import Enum
 
 from gorsethread.offline_writes.writes import WriteNumber
 
-RETRY_AFTER_DISCONNECTED = 1.0  # seconds; for what can't be had while the link is down
-RETRY_AFTER_PENDING = 0.2  # seconds; for what waits only for queued writes
+RETRY_AFTER_DISCONNECTED = 1.0  # seconds; for commands that need the link, while it is down
+RETRY_AFTER_PENDING = 0.2  # seconds; for commands that only wait for queued writes to be applied
 
 
 class Admission(Enum):
-    """What becomes of a command."""
+    """How a gateway handles a command."""
 
     FORWARD = "through"
     ENQUEUE = "hold"
@@ -19,11 +19,12 @@
 
 
 def admit_read(queueing: bool, latest_writes: Sequence[WriteNumber | None]) -> Admission:
-    """Decides on a read.
+    """Returns how to handle a read.
 
     Args:
-        queueing: Whether the link is not connected.
-        latest_writes: For each block the queued write whose bytes the read would see.
+        queueing: Whether the gateway queues writes because the link is not connected.
+        latest_writes: For each block, the queued write whose data the read must return; None if no write to
+            the block is queued.
     """
     if all(number is None for number in latest_writes):
         return Admission.REJECT if queueing else Admission.FORWARD
@@ -31,12 +32,12 @@
 
 
 def admit_write(queueing: bool, may_enqueue: bool, has_dependencies: bool) -> Admission:
-    """Decides on a write.
+    """Returns how to handle a write.
 
     Args:
-        queueing: Whether the link is not connected.
-        may_enqueue: Whether the write's request class may be queued.
-        has_dependencies: Whether a queued write must come first; this one may not overtake it.
+        queueing: Whether the gateway queues writes because the link is not connected.
+        may_enqueue: Whether writes of its request class may be queued.
+        has_dependencies: Whether the write must be applied after a write that is still queued.
     """
     if not queueing and not has_dependencies:
         return Admission.FORWARD
--- a/gorsethread/offline_writes/applied_writes.py
+++ b/gorsethread/offline_writes/applied_writes.py
@@ -1,9 +1,10 @@
-"""What a gateway of the main site knows of branches' writes: applied, running, or unknown.
+"""Tracks, at a gateway of the main site, which replayed writes of branches are applied, running, or unknown.
 
-Each write is applied once. It is accepted only with the send token that the last query gave, so what was sent
-before a query and comes late is refused. A gateway that restarts finds in its records what it had begun; only
-the backend knows whether that ran, so what may not run twice is answered as unknown, for a person. Whoever
-replays for a branch does so under an epoch; an earlier epoch is fenced.
+Each write is applied once. A write is accepted only with the send token that the last query returned, so that
+a copy sent before the query and delayed in the network is refused. A gateway that restarts finds in its
+records which writes it had started. Only the backend knows whether those ran, so a non-idempotent one is
+reported as unknown and an operator decides. A gateway replays a branch's queue under an epoch; messages of
+an earlier epoch are fenced.
 """
 
 from dataclasses import dataclass, field
@@ -12,31 +13,31 @@
 
 from gorsethread.offline_writes.writes import Position, WriteNumber
 
-MAX_RUNNING = 32  # writes of all branches at once, at one gateway of the main site
-MAX_REMEMBERED = 4096  # writes of one branch's gateway, applied or unknown beyond what it reported completed
-TOKEN_BITS = 12  # send tokens of one incarnation
+MAX_RUNNING = 32  # writes of all branches that one gateway of the main site runs concurrently
+MAX_TRACKED = 4096  # applied or unknown writes of one branch gateway that it has not yet reported completed
+TOKEN_BITS = 12  # low bits of a send token, above which stands the incarnation
 
 
 class ReplayOutcome(IntEnum):
-    """The answer to a query or to a write that is replayed; the values are on the wire."""
+    """The outcome of a status query or of a replayed write; the values are part of the wire format."""
 
     APPLIED = 0
-    NOT_APPLIED = 1  # to a query: the send token that is named is accepted
-    UNKNOWN = 2  # it may have run
-    RETRY = 3  # it has not run; send it again
-    STALE_TOKEN = 4  # it was queried since: query it again
-    CONFLICT = 5  # its blocks changed since the branch saw them; it has not run
-    FENCED = 6  # a later epoch replays for this branch
-    START = 7  # not sent: begin it
-    PENDING = 8  # not sent: it is running, its end is the answer
+    NOT_APPLIED = 1  # only to a query: the send token in the reply is accepted from now on
+    UNKNOWN = 2  # it may or may not have run
+    RETRY = 3  # it has not run and may be sent again
+    STALE_TOKEN = 4  # a later query replaced its send token; query it again
+    CONFLICT = 5  # it has not run, as its blocks changed since the branch last saw them
+    FENCED = 6  # this branch gateway's queue is replayed under a later epoch
+    START = 7  # internal: the caller is to run it now
+    PENDING = 8  # internal: it is running; the caller replies when it ends
 
 
 class QueryAnswer(NamedTuple):
-    """The answer to a query.
+    """The answer to a status query.
 
     Attributes:
-        outcome: PENDING where the answer is given with the end.
-        detail: With NOT_APPLIED the send token that is accepted from now on; with FENCED the later epoch.
+        outcome: PENDING if the write is running, so that the reply has to wait until it ends.
+        detail: With NOT_APPLIED, the send token that is accepted from now on; with FENCED, the later epoch.
     """
 
     outcome: ReplayOutcome
@@ -45,16 +46,18 @@
 
 @dataclass
 class BranchWrites:
-    """What is known of the writes of one branch's gateway.
+    """The state of the replayed writes of one branch gateway.
 
     Attributes:
-        epoch: The latest under which they were replayed.
-        completed_up_to: All up to there is finished, but the exceptions.
-        exceptions: Writes that are or were dead-lettered at the branch.
-        applied: Beyond what is completed; emptied as that grows.
-        unknown: Begun in an earlier incarnation; emptied as that grows, and as a person decides.
-        running: Emptied as each ends.
-        send_tokens: Of writes that were queried the one that is accepted; emptied as each ends.
+        epoch: The latest epoch under which they were replayed.
+        completed_up_to: All writes up to this position, except for `exceptions`, are finished.
+        exceptions: Positions of writes that are or were dead-lettered at the branch.
+        applied: Applied writes that are not yet reported completed; removed once they are.
+        unknown: Writes that may have run, such as those started in an earlier incarnation; removed once
+            reported completed, released by an operator, or found safe to send again.
+        running: Writes that run now; each is removed when it ends.
+        send_tokens: For each queried write, the token that is accepted; removed once it is applied or
+            reported completed.
     """
 
     epoch: int = 0
@@ -66,132 +69,137 @@
     send_tokens: dict[Position, int] = field(default_factory=dict)
 
     def is_completed(self, position: Position) -> bool:
-        """The branch reported it finished."""
+        """Returns whether the branch reported the write finished."""
         return position <= self.completed_up_to and position not in self.exceptions
 
 
 class AppliedWrites:
-    """Owns a BranchWrites for each branch's gateway; see there what empties it."""
+    """Owns one BranchWrites per branch gateway; the attributes there say when entries are removed."""
 
     def __init__(self, incarnation: int) -> None:
-        self._first_token = incarnation << TOKEN_BITS  # tokens of a later incarnation are other ones
-        self._branches: dict[int, BranchWrites] = {}  # as many as gateways of branches
+        self._first_token = incarnation << TOKEN_BITS  # tokens of a later incarnation are greater
+        self._branches: dict[int, BranchWrites] = {}  # by branch gateway; bounded by the site file
 
     def restore(self, number: WriteNumber, ran: bool) -> None:
-        """A record of this gateway, or one that others held for it, names that write."""
-        known = self._branch_writes(number)
+        """Restores a write from a record of this gateway, read from its own disk or from a replica.
+
+        Args:
+            number: The write.
+            ran: Whether the record says that it was applied, or only that it was started.
+        """
+        writes = self._branch_writes(number)
         position = number.position
-        if position in known.running:
+        if position in writes.running:
             return
         if ran:
-            known.applied.add(position)
-            known.unknown.discard(position)
-        elif position not in known.applied:
-            known.unknown.add(position)
+            writes.applied.add(position)
+            writes.unknown.discard(position)
+        elif position not in writes.applied:
+            writes.unknown.add(position)
 
     def handle_progress(
         self, gateway: int, epoch: int, completed_up_to: Position, exceptions: frozenset[Position]
     ) -> list[Position] | None:
-        """A branch's gateway reported what is finished.
+        """Updates what is finished from a progress report of a branch gateway.
 
         Returns:
-            What need not be known any more; None where a later epoch is known and this one is fenced.
+            Positions of the writes that are no longer tracked; None if the epoch is fenced by a later one.
         """
-        known = self._branches.setdefault(gateway, BranchWrites())
-        if epoch < known.epoch:
+        writes = self._branches.setdefault(gateway, BranchWrites())
+        if epoch < writes.epoch:
             return None
-        known.epoch = epoch
-        known.completed_up_to = max(completed_up_to, known.completed_up_to)
-        # Never fewer: a branch whose disk was lost may not know any more what it had dead-lettered.
-        known.exceptions = known.exceptions | exceptions
+        writes.epoch = epoch
+        writes.completed_up_to = max(completed_up_to, writes.completed_up_to)
+        # Exceptions are only added: a branch that lost its disk may have forgotten what it dead-lettered.
+        writes.exceptions = writes.exceptions | exceptions
 
         def is_finished(position: Position) -> bool:
-            return position <= known.completed_up_to and position not in exceptions
+            return position <= writes.completed_up_to and position not in exceptions
 
-        finished = [position for position in known.applied | known.unknown if is_finished(position)]
-        known.applied.difference_update(finished)
-        known.unknown.difference_update(finished)
-        for position in [position for position in known.send_tokens if is_finished(position)]:
-            del known.send_tokens[position]
+        finished = [position for position in writes.applied | writes.unknown if is_finished(position)]
+        writes.applied.difference_update(finished)
+        writes.unknown.difference_update(finished)
+        for position in [position for position in writes.send_tokens if is_finished(position)]:
+            del writes.send_tokens[position]
         return finished
 
     def handle_query(self, number: WriteNumber, epoch: int, idempotent: bool) -> QueryAnswer:
-        """A branch's gateway asks whether that write is applied."""
-        known = self._branch_writes(number)
+        """Answers whether a write is applied; issues a new send token if it is not."""
+        writes = self._branch_writes(number)
         position = number.position
-        if epoch < known.epoch:
-            return QueryAnswer(ReplayOutcome.FENCED, known.epoch)
-        if self._is_applied(known, position):
+        if epoch < writes.epoch:
+            return QueryAnswer(ReplayOutcome.FENCED, writes.epoch)
+        if self._is_applied(writes, position):
             return QueryAnswer(ReplayOutcome.APPLIED)
-        if position in known.running:
+        if position in writes.running:
             return QueryAnswer(ReplayOutcome.PENDING)
-        if position in known.unknown:
+        if position in writes.unknown:
             if not idempotent:
                 return QueryAnswer(ReplayOutcome.UNKNOWN)
-            known.unknown.discard(position)
-        token = max(self._first_token, known.send_tokens.get(position, 0)) + 1
-        known.send_tokens[position] = token
+            writes.unknown.discard(position)
+        token = max(self._first_token, writes.send_tokens.get(position, 0)) + 1
+        writes.send_tokens[position] = token
         return QueryAnswer(ReplayOutcome.NOT_APPLIED, token)
 
     def handle_write(
         self, number: WriteNumber, send_token: int, epoch: int, idempotent: bool
     ) -> ReplayOutcome:
-        """That write came; with START it counts as running."""
-        known = self._branch_writes(number)
+        """Decides on a write that a branch gateway sent; with START it counts as running from now on."""
+        writes = self._branch_writes(number)
         position = number.position
-        refused = self._refusal(known, position, epoch, idempotent)
-        if refused is not None:
-            return refused
-        if send_token != known.send_tokens.get(position, 0):
+        refusal = self._refusal(writes, position, epoch, idempotent)
+        if refusal is not None:
+            return refusal
+        if send_token != writes.send_tokens.get(position, 0):
             return ReplayOutcome.STALE_TOKEN
-        remembered = len(known.applied) + len(known.unknown)
-        if self.running >= MAX_RUNNING or remembered >= MAX_REMEMBERED:
+        tracked = len(writes.applied) + len(writes.unknown)
+        if self.running >= MAX_RUNNING or tracked >= MAX_TRACKED:
             return ReplayOutcome.RETRY
-        known.unknown.discard(position)
-        known.running.add(position)
+        writes.unknown.discard(position)
+        writes.running.add(position)
         return ReplayOutcome.START
 
     def _refusal(
-        self, known: BranchWrites, position: Position, epoch: int, idempotent: bool
+        self, writes: BranchWrites, position: Position, epoch: int, idempotent: bool
     ) -> ReplayOutcome | None:
-        """Why a write that came is not begun, whatever its send token."""
-        if epoch < known.epoch:
+        """Returns why a received write is not started whatever its send token; None if the token decides."""
+        if epoch < writes.epoch:
             return ReplayOutcome.FENCED
-        if self._is_applied(known, position):
+        if self._is_applied(writes, position):
             return ReplayOutcome.APPLIED
-        if position in known.running:
+        if position in writes.running:
             return ReplayOutcome.PENDING
-        if position in known.unknown and not idempotent:
+        if position in writes.unknown and not idempotent:
             return ReplayOutcome.UNKNOWN
         return None
 
     def finish(self, number: WriteNumber, outcome: ReplayOutcome) -> None:
-        """A running write ended: APPLIED, UNKNOWN, or any other where it has not run."""
-        known = self._branch_writes(number)
+        """Records the end of a running write: APPLIED, UNKNOWN, or any other outcome if it has not run."""
+        writes = self._branch_writes(number)
         position = number.position
-        known.running.discard(position)
+        writes.running.discard(position)
         if outcome is ReplayOutcome.APPLIED:
-            known.applied.add(position)
-            known.exceptions -= {position}
-            known.send_tokens.pop(position, None)
+            writes.applied.add(position)
+            writes.exceptions -= {position}
+            writes.send_tokens.pop(position, None)
         elif outcome is ReplayOutcome.UNKNOWN:
-            known.unknown.add(position)
+            writes.unknown.add(position)
 
     def release(self, number: WriteNumber) -> None:
-        """A person says that a write which may have run is to be sent again."""
+        """Lets a write that may have run be sent again, as an operator decided."""
         self._branch_writes(number).unknown.discard(number.position)
 
     def epoch_of(self, gateway: int) -> int:
-        """The latest epoch under which that gateway's writes were replayed."""
+        """Returns the latest epoch under which the gateway's writes were replayed."""
         return self._branches[gateway].epoch
 
     @property
     def running(self) -> int:
-        """Writes that run now."""
-        return sum(len(known.running) for known in self._branches.values())
+        """The number of writes that run now."""
+        return sum(len(writes.running) for writes in self._branches.values())
 
-    def _is_applied(self, known: BranchWrites, position: Position) -> bool:
-        return position in known.applied or known.is_completed(position)
+    def _is_applied(self, writes: BranchWrites, position: Position) -> bool:
+        return position in writes.applied or writes.is_completed(position)
 
     def _branch_writes(self, number: WriteNumber) -> BranchWrites:
         return self._branches.setdefault(number.gateway, BranchWrites())
--- a/gorsethread/offline_writes/epoch_fence.py
+++ b/gorsethread/offline_writes/epoch_fence.py
@@ -1,38 +1,38 @@
-"""Under which epoch a gateway replays its queue, and when it holds off as another one replays it."""
+"""Keeps the epoch under which a gateway replays its queue, and fences it while another one replays it."""
 
-FENCE_DURATION = 5.0  # seconds from being fenced to the next look at whether the other still replays
+FENCE_DURATION = 5.0  # seconds from being fenced until the gateway may try to resume
 
 
 class EpochFence:
-    """Owns the epoch: the incarnation at first, or later after it was fenced by a later one."""
+    """Owns the epoch: the log's incarnation at first, and a later one after a fence was resumed from."""
 
     def __init__(self) -> None:
         self._epoch = 0
-        self._later_epoch = 0  # by which it was fenced
+        self._later_epoch = 0  # the epoch that fenced this gateway; 0 for none
         self._fenced_until = 0.0
 
     @property
     def epoch(self) -> int:
-        """Under which it replays."""
+        """The epoch under which this gateway replays its queue."""
         return self._epoch
 
     def start(self, epoch: int) -> None:
-        """Begins to replay."""
+        """Sets the first epoch."""
         self._epoch = epoch
 
     def fence(self, later_epoch: int, now: float) -> None:
-        """The main site knows a later epoch: nothing more is sent from here."""
+        """Stops sending, as the main site knows a later epoch; `now` in seconds."""
         self._later_epoch = later_epoch
         self._fenced_until = now + FENCE_DURATION
 
     def is_fenced(self, now: float) -> bool:
-        """Nothing is sent now."""
+        """Returns whether the gateway may not send now."""
         return not self.may_resume(now) or self._later_epoch > self._epoch
 
     def may_resume(self, now: float) -> bool:
-        """The time to hold off is over."""
+        """Returns whether FENCE_DURATION has passed since the fence."""
         return now >= self._fenced_until
 
     def resume(self) -> None:
-        """Goes on under an epoch later than the one that fenced it."""
+        """Moves to an epoch later than the one that fenced this gateway."""
         self._epoch = self._later_epoch + 1
--- a/gorsethread/offline_writes/messages.py
+++ b/gorsethread/offline_writes/messages.py
@@ -1,7 +1,7 @@
-"""What a branch's gateways, the main site's gateways and operators send each other about queued writes.
+"""Messages about queued writes between branch gateways, gateways of the main site, and operators.
 
-They travel as messages of the gateways' own streams (`durable_log/replication_messages.py`). Tags and the
-order of the fields are the wire format and stay; the names of classes and fields are not on the wire.
+They use the framing of the replication streams (`durable_log/replication_messages.py`). Tags and the order of
+the fields are the wire format and must not change; the names of classes and fields are not on the wire.
 """
 
 from typing import Any
@@ -15,14 +15,14 @@
 
 
 class BranchHello(msgspec.Struct, frozen=True, tag="greet", array_like=True):
-    """The first message of a branch's gateway, with the fleet of its site."""
+    """The first message of a branch gateway, with the fleet id of its site file."""
 
     fleet: int
     gateway: int
 
 
 class Heartbeat(msgspec.Struct, frozen=True, tag="here", array_like=True):
-    """Answered by a HeartbeatReply of the same count: a sign that both directions are open."""
+    """A probe, answered by a HeartbeatReply of the same count; the answer shows that both directions work."""
 
     count: int
 
@@ -34,13 +34,13 @@
 
 
 class ReplayProgress(msgspec.Struct, frozen=True, tag="marked", array_like=True):
-    """How far the replay of a gateway's writes has come.
+    """The progress of the replay of one branch gateway's writes.
 
     Attributes:
-        gateway: Whose writes are replayed.
-        epoch: Under which they are.
-        completed_up_to: All up to there is finished, but the exceptions.
-        exceptions: Writes that are or once were dead-lettered.
+        gateway: The branch gateway that accepted the writes.
+        epoch: The epoch under which they are replayed.
+        completed_up_to: All writes up to this position, except for `exceptions`, are finished.
+        exceptions: Positions of writes that are or once were dead-lettered.
     """
 
     gateway: int
@@ -50,7 +50,7 @@
 
 
 class StatusQuery(msgspec.Struct, frozen=True, tag="ask", array_like=True):
-    """Is that write applied?"""
+    """Asks whether a write is applied."""
 
     number: NumberOnWire
     epoch: int
@@ -58,21 +58,21 @@
 
 
 class ReplayWrite(msgspec.Struct, frozen=True, tag="send", array_like=True):
-    """Apply that write.
+    """Asks to apply a write.
 
     Attributes:
-        number: Of the write.
-        epoch: Under which it is replayed.
-        send_token: That the last StatusQuery gave; 0 where there was none.
-        request_class: Its index in the site file.
+        number: The write's number.
+        epoch: The epoch under which it is replayed.
+        send_token: The token from the reply to the last StatusQuery; 0 if there was no query.
+        request_class: Index of its request class in the site file.
         volume: Number of the volume.
         block: First block.
         hints: The command's data set management byte.
-        idempotency_key: The client's; 0 for none.
+        idempotency_key: The client's key; 0 for none.
         attempt: The client's count of its attempts.
-        base_version: Of the blocks as the branch saw them; 0 where it is applied whatever they hold.
-        forced: A person said so, though it may have run.
-        data: The blocks' new bytes.
+        base_version: Version of the blocks as the branch last saw them; 0 to apply it whatever they hold.
+        forced: Whether an operator decided to apply it although it may have run.
+        data: The new data of the blocks.
     """
 
     number: NumberOnWire
@@ -93,11 +93,11 @@
     """The answer to a StatusQuery or a ReplayWrite.
 
     Attributes:
-        number: Of the write.
+        number: The write's number.
         outcome: A ReplayOutcome of `applied_writes.py`.
-        send_token: With NOT_APPLIED the only one that is accepted from now on; with FENCED the later epoch;
-            else the token that it answers.
-        retry_after: Seconds, with RETRY.
+        send_token: With NOT_APPLIED, the only token that is accepted from now on; with FENCED, the later
+            epoch; otherwise the token of the message that is answered.
+        retry_after: Seconds to wait, with RETRY.
     """
 
     number: NumberOnWire
@@ -107,12 +107,12 @@
 
 
 class OperatorQuery(msgspec.Struct, frozen=True, tag="question", array_like=True):
-    """The first message of an operator's command on this machine.
+    """The first message of an operator's command, which runs on this machine.
 
     Attributes:
-        fleet: Of the site file that the operator named.
-        command: show, history, parked, release or discard.
-        number: The write that is released or discarded.
+        fleet: Fleet id of the site file that the operator named.
+        command: One of show, history, parked, release, and discard.
+        number: The write to release or discard.
     """
 
     fleet: int
@@ -121,7 +121,7 @@
 
 
 class OperatorReply(msgspec.Struct, frozen=True, tag="shown", array_like=True):
-    """The answer to an OperatorQuery: a JSON object; with `error` where it could not be done."""
+    """The answer to an OperatorQuery: a JSON object, with the key `error` if the command failed."""
 
     json: bytes
 
--- a/gorsethread/offline_writes/queued_write.py
+++ b/gorsethread/offline_writes/queued_write.py
@@ -1,4 +1,4 @@
-"""A write in the queue: the stages of its replay, the limits that it counts against."""
+"""Types of the write queue: a queued write with the state of its replay, the queue's limits and refusals."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -8,18 +8,18 @@
 
 
 class WriteStage(Enum):
-    """How far a queued write has come; the values are in records and in operators' output."""
+    """The stage of a queued write; the values are stored in records and shown to operators."""
 
-    PERSISTING = "being kept"  # on its way to the disks; not accepted yet
+    PERSISTING = "being kept"  # being written to the disks; not accepted yet
     WAITING = "waits"
-    QUERIED = "asked"  # whether it is applied, before it is sent
+    QUERIED = "asked"  # the main site was asked whether it is applied
     SENT = "sent"
-    UNKNOWN = "unknown"  # was sent, and whether it ran is not known: it is queried first
+    UNKNOWN = "unknown"  # may have run; must be queried before it is sent again
     DEAD_LETTERED = "parked"
 
 
 class Refusal(Enum):
-    """Why the queue does not take a write; the values name counters."""
+    """Why the queue refuses a write; the values are part of counter names."""
 
     FULL = "the queue is full"
     LOW_PRIORITY = "room is kept for dearer writes"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class QueueLimits:
-    """Bytes, writes, and seconds that the oldest may have waited."""
+    """Limits of a queue: bytes of data, number of writes, and age of the oldest write in seconds."""
 
     max_bytes: int
     max_writes: int
@@ -37,7 +37,7 @@
 
 
 class ReadyWrite(NamedTuple):
-    """A write that may go to the main site now, and whether it is queried before it is sent."""
+    """A write that may go to the main site now, and whether it must be queried rather than sent."""
 
     number: WriteNumber
     query_first: bool
@@ -48,15 +48,15 @@
     """A write and the state of its replay, as `WriteQueue` keeps it.
 
     Attributes:
-        write: What is applied.
-        stage: How far it has come.
-        reason: Why it is dead-lettered; later, that it was released.
-        sent_to: The gateway of the main site that it went to last, -1 for none.
-        send_tokens: For each gateway of the main site which token it accepts; each query voids those before.
-        suspects: Gateways that may have run it; all are queried.
-        forced: A person said that it is applied whatever is known.
-        not_before: Seconds by the caller's clock, at which it may go again.
-        pending_since: When it was sent or first queried, by the caller's clock; 0 for neither.
+        write: The write itself.
+        stage: The stage of its replay.
+        reason: Why it is dead-lettered; after a release, that it was released.
+        sent_to: The gateway of the main site that it was last sent to; -1 for none.
+        send_tokens: The token that each queried gateway of the main site accepts; a new query replaces it.
+        suspects: Gateways that may have run it; each of them must be queried.
+        forced: Whether an operator decided that it is applied although it may have run.
+        not_before: Earliest time to send or query it again, in seconds of the caller's clock.
+        pending_since: When it was sent or first queried, in seconds of the caller's clock; 0 for neither.
     """
 
     write: Write
@@ -71,23 +71,23 @@
 
     @property
     def is_dead_lettered(self) -> bool:
-        """It waits for a person."""
+        """Whether it waits for an operator's decision."""
         return self.stage is WriteStage.DEAD_LETTERED
 
     @property
     def is_under_way(self) -> bool:
-        """It, or a query about it, went to the main site."""
+        """Whether it, or a query about it, was sent to the main site and is not answered yet."""
         return self.stage in (WriteStage.QUERIED, WriteStage.SENT)
 
     @property
     def may_be_dead_lettered(self) -> bool:
-        """Nothing of it is under way or being persisted."""
+        """Whether it is neither under way, being persisted, nor dead-lettered already."""
         return self.stage in (WriteStage.WAITING, WriteStage.UNKNOWN)
 
     def send_token(self, gateway: int) -> int:
-        """The token that a gateway of the main site accepts."""
+        """Returns the token that a gateway of the main site accepts; 0 if it was not queried."""
         return self.send_tokens.get(gateway, 0)
 
     def is_answered_by(self, send_token: int) -> bool:
-        """It is sent, and an answer with that token is about this sending and no earlier one."""
+        """Returns whether an answer with this token refers to the current transmission."""
         return self.stage is WriteStage.SENT and self.send_token(self.sent_to) == send_token
--- a/gorsethread/offline_writes/writes.py
+++ b/gorsethread/offline_writes/writes.py
@@ -1,28 +1,28 @@
-"""Writes that a branch accepted while it was disconnected: their numbers, and what each depends on.
+"""Types of the writes that a branch accepts while it is disconnected, and collection of their dependencies.
 
-A write depends on the one before it of the same ordering key, on those whose blocks it overwrites, on what
-its client had been acknowledged before, and on what its client had read that was queued. It names those of
-them that are not applied yet and that no other of them follows as far as its client shows. The names are
-exact, not a highest sequence number, as a later sequence depends on an earlier one only if it names it.
-Clocks order nothing.
+A write depends on the previous write of the same ordering key, on the queued writes whose blocks it
+overwrites, on the writes its client was acknowledged before, and on the queued writes its client had read. It
+lists those that are not applied yet, except for those that a later write of the client depends on. The list
+holds exact numbers rather than a highest sequence number, as a later write depends on an earlier one only if
+it lists it. Clocks are not used for ordering.
 """
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-MAX_DEPENDENCIES = 64  # that one write names; one that needs more is admitted once some are applied
+MAX_DEPENDENCIES = 64  # of one write; a write that needs more is rejected until some of them are applied
 
 Position = tuple[int, int]  # incarnation and sequence of a write of one gateway
 
 
 class WriteNumber(NamedTuple):
-    """Names one write for ever.
+    """Identifies a write permanently.
 
     Attributes:
-        gateway: The branch's gateway that accepted it.
-        incarnation: Later at each start of that gateway's queue.
-        sequence: Within the incarnation.
+        gateway: The branch gateway that accepted it.
+        incarnation: The gateway's incarnation; increases with each start.
+        sequence: Sequence number within the incarnation.
     """
 
     gateway: int
@@ -31,28 +31,28 @@
 
     @property
     def position(self) -> Position:
-        """Where it stands among the writes of its gateway."""
+        """Its position among the writes of its gateway."""
         return self.incarnation, self.sequence
 
 
 @dataclass(frozen=True)
 class Write:
-    """A write as the queue sees it, without its data.
+    """A write in the queue, without its data.
 
     Attributes:
-        number: Its name.
+        number: Its identifier.
         volume: Number of the volume.
         block: First block that it overwrites.
-        ordering_key: Writes of one key are applied in the order of their acceptance.
-        priority_weight: Of its request class.
+        ordering_key: Writes of the same key are applied in the order of their acceptance.
+        priority_weight: The weight of its request class.
         size: Bytes of data.
-        accepted_at: Seconds of the wall clock; for its age and for people.
-        own_dependencies: Writes of the same gateway that come first.
-        other_dependencies: Writes of the branch's standby gateway that come first.
-        base_version: Of its blocks as the branch last saw them; 0 where it did not.
-        stops_on_conflict: Dead-lettered where its blocks changed at the main site meanwhile.
-        idempotent: May be applied twice without harm.
-        idempotency_key: The client's; 0 for none.
+        accepted_at: Wall clock time in seconds; used for its age and for display only.
+        own_dependencies: Writes of the same gateway that must be applied first.
+        other_dependencies: Writes of the branch's standby gateway that must be applied first.
+        base_version: Version of its blocks as the branch last saw them; 0 if it did not see them.
+        stops_on_conflict: Whether it is dead-lettered if its blocks have changed at the main site.
+        idempotent: Whether it may be applied twice without harm.
+        idempotency_key: The client's key; 0 for none.
     """
 
     number: WriteNumber
@@ -71,59 +71,61 @@
 
     @property
     def dependencies(self) -> tuple[WriteNumber, ...]:
-        """All writes that come first."""
+        """All writes that must be applied first."""
         return self.own_dependencies + self.other_dependencies
 
 
 @dataclass
 class ClientContext:
-    """What one client knows of queued writes.
+    """The queued writes whose effects one client has seen.
 
-    Owns `seen`; emptied as writes finish, and as a write that the client is acknowledged depends on them.
+    Owns `seen`; a write leaves it when it is finished, or when a write that depends on it is acknowledged to
+    the client.
     """
 
     seen: set[WriteNumber] = field(default_factory=set)
 
     def observe(self, number: WriteNumber) -> None:
-        """The client read that write, or may have been acknowledged it."""
+        """Adds a write that the client read, or that may have been acknowledged to it."""
         self.seen.add(number)
 
     def acknowledge(self, write: Write) -> None:
-        """The client was answered that the write is accepted."""
+        """Adds a write that was acknowledged to the client, in place of the writes it depends on."""
         self.seen.difference_update(write.dependencies)
         self.seen.add(write.number)
 
     def forget(self, is_finished: Callable[[WriteNumber], bool]) -> None:
-        """Drops the writes that are finished."""
+        """Removes the writes that are finished."""
         self.seen = {number for number in self.seen if not is_finished(number)}
 
 
 class Dependencies(NamedTuple):
-    """What a new write depends on: writes of its own gateway, and those of others."""
+    """The dependencies of a new write: writes of its own gateway, and writes of other gateways."""
 
     own: tuple[WriteNumber, ...]
     others: tuple[WriteNumber, ...]
 
 
-def _nothing(_number: WriteNumber) -> Iterable[WriteNumber]:
+def _no_dependencies(_number: WriteNumber) -> Iterable[WriteNumber]:
     return ()
 
 
 def collect_dependencies(
     gateway: int,
     known: Iterable[WriteNumber],
-    uncertain: Callable[[WriteNumber], Iterable[WriteNumber]] = _nothing,
+    uncertain: Callable[[WriteNumber], Iterable[WriteNumber]] = _no_dependencies,
 ) -> Dependencies | None:
-    """What a new write names as its dependencies.
+    """Returns the dependencies that a new write lists.
 
     Args:
-        gateway: That accepts the write.
-        known: Writes that must come first.
-        uncertain: For a write that may yet be withdrawn, as it is still being persisted, what that one
-            depends on. These are named too, as nothing else would name them without it.
+        gateway: The gateway that accepts the write.
+        known: Writes that must be applied first.
+        uncertain: Returns the dependencies of a write that is still being persisted and may yet be
+            withdrawn; empty for any other write. They are listed too, as the new write would lose them if
+            that write is withdrawn.
 
     Returns:
-        None where they are more than MAX_DEPENDENCIES.
+        The dependencies in order; None if there are more than MAX_DEPENDENCIES.
     """
     found = set(known)
     unexplored = list(found)
