--- a/gorsethread/nvme_gateway/offline/offline_writes.py
+++ b/gorsethread/nvme_gateway/offline/offline_writes.py
@@ -1,4 +1,4 @@
-"""A branch gateway's offline writes: assembles the parts, and is what the rest of the gateway calls."""
+"""The facade of a branch gateway's offline writes: assembles the parts; the rest of the gateway calls it."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -34,17 +34,17 @@
 
 
 class OfflineWrites:
-    """Owns the parts of a branch gateway's offline writes, and the tick that drives them.
+    """Owns the parts of a branch gateway's offline writes, and the periodic tick that drives them.
 
     Args:
-        transport: Time, chance, streams.
+        transport: Provides time, random numbers, and streams.
         site: The site file.
-        gateway: This one's number, which stands in a branch.
-        log: Its durable log.
-        alive_gateways: Those that the membership does not hold dead.
-        has_open_write: Whether a forwarded write of that place is still open here.
-        copied_up_to: Up to where this gateway holds the records of another one completely.
-        logger: For changes and faults.
+        gateway: Number of this gateway, which belongs to a branch.
+        log: This gateway's durable log.
+        alive_gateways: Returns the gateways that membership does not consider dead.
+        has_open_write: Returns whether a forwarded write to the extent is still open at this gateway.
+        copied_up_to: Returns the position up to which this gateway has all records of another gateway.
+        logger: Logs changes and faults.
     """
 
     def __init__(
@@ -180,23 +180,23 @@
     # ---- The gateway's start and end
 
     def start(self) -> None:
-        """Restores the queue and begins to replay; call it once the durable log was read."""
+        """Restores the queue and starts the replay; call it after the durable log is read."""
         self._log.on_records_recovered = self._records_recovered
         if self.settings.standby is not None:
-            # What is held of the other gateway is known before anything is admitted.
+            # Loads the copies of the other gateway's records before any command is admitted.
             self._copied_up_to(self.settings.standby)
         self._recovery.recover(not self._persistence.trusts_own_records)
         self._transport.spawn(self._run())
 
     def stop(self) -> None:
-        """Ends the replay and the connections."""
+        """Stops the replay and closes the connections."""
         self._stopped = True
         self._replay.stop()
         self._persistence.stop()
         self._connections.close()
 
     def _records_recovered(self) -> None:
-        """Others held more of this gateway's records: how far these writes had come is not known."""
+        """Restores writes whose records came back from replicas; their later progress may be lost."""
         self._recovery.recover(True)
 
     async def _run(self) -> None:
@@ -224,56 +224,56 @@
         self._replay.advance()
         self._dead_letters.add_overdue(now)
 
-    # ---- What the rest of the gateway tells
+    # ---- Events from the rest of the gateway
 
     def admit(self, io: IoCommand, waiting: Any, extent: int, data: bytes) -> bool:
-        """Decides on a client's command; False where it is forwarded as usual."""
+        """Handles a client's command; returns False if the caller is to forward it as usual."""
         command = ClientCommand(waiting, io.command, io.host, waiting.profile, waiting.deadline, extent, data)
         return self._admission.admit(command)
 
     def client_left(self, waiting: BranchClient) -> None:
-        """Nobody waits for that command's answer any more."""
+        """Notes that the client of this command no longer waits for the answer."""
         self._admission.client_left(waiting)
 
     def blocks_observed(self, volume: int, block: int, data: bytes) -> None:
-        """Those blocks held the data, by a backend's answer to this gateway."""
+        """Notes the contents of blocks that a backend's answer has shown."""
         self.block_view.observe(volume, block, data)
 
     def request_sent(self) -> None:
-        """Something went out that is answered where the link is up."""
+        """Notes that a request was sent which the main site answers if the link is up."""
         self.link.request_sent(self._transport.now())
 
     def answer_received(self) -> None:
-        """An answer came over the link."""
+        """Notes that an answer arrived over the link."""
         self.link.answer_received(self._transport.now())
 
     def records_stored(self, origin: int, records: list[Record], replaces_all: bool, last: Position) -> None:
-        """Records of another gateway are on this one's disk, and all that holds up to the last."""
+        """Handles records of another gateway that are now on this one's disk; see StandbyReplication."""
         if origin == self.settings.standby:
             self._standby.records_stored(records, replaces_all, last)
 
     def answer(self, query: OperatorQuery) -> JsonObject:
-        """The answer to an operator."""
+        """Returns the answer to an operator's command."""
         return self._operator_queries.answer(query)
 
-    # ---- What is asked of it
+    # ---- State
 
     @property
     def history(self) -> list[dict[str, Any]]:
-        """The last changes, the oldest first."""
+        """The recent changes, oldest first."""
         return self._history.changes
 
     @property
     def counts(self) -> Counter[str]:
-        """How often each event was counted."""
+        """The number of times each event was counted."""
         return self._history.counts
 
     @property
     def pending_admissions(self) -> int:
-        """Writes on their way to the disks."""
+        """The number of writes that are being persisted or withdrawn."""
         return self._admission.pending_writes
 
-    # ---- Between the parts
+    # ---- Callbacks of the parts
 
     def _reply_received(self, gateway: int, reply: ReplayReply) -> None:
         self._replay.reply_received(gateway, reply)
@@ -282,7 +282,7 @@
         return number not in self.queue and number not in self.standby_writes
 
     def _is_standby_write_finished(self, number: WriteNumber) -> bool:
-        # A disk that was lost took the copies too: until they are there again nobody here can say.
+        # After a disk loss the copies are missing too; until they are back, no write counts as finished.
         standby = self.settings.standby
         if number in self.standby_writes or standby is None:
             return False
--- a/gorsethread/nvme_gateway/offline/queue_persistence.py
+++ b/gorsethread/nvme_gateway/offline/queue_persistence.py
@@ -1,4 +1,4 @@
-"""The write queue in this gateway's durable log."""
+"""Stores the write queue in this gateway's durable log."""
 
 from collections.abc import Callable
 from functools import partial
@@ -22,14 +22,14 @@
 from gorsethread.recovery.stages import Stage as RecoveryStage
 from gorsethread.transport.base import Transport
 
-RETRY_DELAY = 0.5  # seconds until what the disk did not take is written again
+RETRY_DELAY = 0.5  # seconds until a record that the disk failed to store is written again
 
-Stored = Callable[[bool], None]  # told whether it is on the disk
+Stored = Callable[[bool], None]  # called with whether the record is on the disk
 RecordSource = Callable[[], Fact | None]
 
 
 class StoredWrite(NamedTuple):
-    """A queued write in the log, and its progress where that was recorded."""
+    """A queued write in the log, with its progress if any was recorded."""
 
     number: WriteNumber
     record: WriteQueued
@@ -37,14 +37,14 @@
 
 
 class QueuePersistence:
-    """Writes the queue's records and finds them again; the durable log owns them.
+    """Writes and reads the records of queued writes; the durable log owns them.
 
     Args:
-        transport: For the delay of a retry.
-        log: The gateway's durable log.
-        gateway: This one's number.
-        queue: Its writes.
-        standby_writes: Those of the branch's other gateway.
+        transport: Provides the time and timers.
+        log: This gateway's durable log.
+        gateway: Number of this gateway.
+        queue: This gateway's own queue.
+        standby_writes: Writes of the branch's other gateway.
     """
 
     def __init__(
@@ -67,49 +67,49 @@
 
     @property
     def log_is_started(self) -> bool:
-        """The log takes records of this incarnation."""
+        """Whether the log accepts records of this incarnation."""
         return self._log.store.started
 
     @property
     def incarnation(self) -> int:
-        """Of the log."""
+        """The incarnation of the log."""
         return self._log.incarnation
 
     @property
     def trusts_own_records(self) -> bool:
-        """The own records are complete, as far as reading them showed."""
+        """Whether reading this gateway's own records found them complete."""
         return self._log.recovery.trusts_own_records
 
     @property
     def is_recovered(self) -> bool:
-        """Nothing that this gateway had persisted is missing."""
+        """Whether recovery is complete, so that nothing this gateway persisted is missing."""
         return self._log.recovery.stage is RecoveryStage.COMPLETE
 
     @property
     def is_ready(self) -> bool:
-        """The queue's records are written now."""
+        """Whether records of the queue are being written."""
         return self._ready
 
     def start_recording(self) -> None:
-        """The log has begun: from now on progress is recorded."""
+        """Starts to record progress; call it once the log is started."""
         self._ready = True
 
     def stop(self) -> None:
-        """Writes no more of its own accord."""
+        """Stops writing progress and retrying."""
         self._stopped = True
 
     def retry_after(self) -> float:
-        """Seconds after which a client may retry as nothing can be persisted now; 0 where it can."""
+        """Returns the seconds after which a client may retry if nothing can be persisted now, otherwise 0."""
         return self._log.retry_after() if self._ready else RETRY_AFTER_RECOVERY
 
     # ---- Reading
 
     def next_number(self) -> WriteNumber:
-        """The number of the write whose record is persisted next."""
+        """Returns the number that the next persisted write gets."""
         return WriteNumber(self._gateway, *self._log.next_sequence)
 
     def record_of(self, number: WriteNumber) -> WriteQueued:
-        """The record of a write that is queued, at either gateway of the branch."""
+        """Returns the record of a queued write of either gateway of the branch."""
         if number.gateway != self._gateway:
             return self._standby_writes.record_of(number)
         record = self._log.store.table.records[QUEUED, number.incarnation, number.sequence].fact
@@ -117,7 +117,7 @@
         return record
 
     def stored_writes(self) -> list[StoredWrite]:
-        """What the log holds, in the order of acceptance."""
+        """Returns the queued writes in the log, in order of acceptance."""
         facts = [record.fact for record in self._log.store.table.records.values()]
         progress = {
             (fact.incarnation, fact.position): fact for fact in facts if isinstance(fact, WriteProgress)
@@ -133,13 +133,13 @@
     # ---- Writing
 
     def persist(self, record: WriteQueued, stored: Stored) -> None:
-        """Stores a new write here and at the branch's other gateway."""
+        """Stores a new write on this gateway's disk and at the branch's other gateway."""
         self._log.append(record, stored)
 
     def withdraw(self, record: WriteQueued, done: Callable[[], None]) -> None:
-        """Takes back a write that could not be stored in time.
+        """Deletes the record of a write that could not be stored in time.
 
-        It may be on a disk all the same: it must not come back with the next start.
+        The record may be on a disk nevertheless, and must not be restored at the next start.
         """
 
         def tombstone() -> Tombstone:
@@ -153,23 +153,23 @@
         self._log.append(tombstone(), withdrawn, True)
 
     def persist_progress(self, number: WriteNumber) -> None:
-        """Records how far an own write has come; before the log begins nothing is recorded."""
+        """Records the progress of an own write, unless the log is not started yet."""
         if self._ready:
             self._persist_until_stored(lambda: self._progress_of(number))
 
     def persist_progress_then(self, number: WriteNumber, stored: Stored) -> None:
-        """Records how far an own queued write has come, and tells whether that is on the disk."""
+        """Records the progress of an own queued write; `stored` is called with whether it is on the disk."""
         progress = self._progress_of(number)
         assert progress is not None
         self._log.append(progress, stored, True)
 
     def persist_dead_letters(self) -> None:
-        """Records the own writes that are dead-lettered."""
+        """Records the progress of all own dead letters."""
         for queued in self._queue.dead_letters:
             self.persist_progress(queued.write.number)
 
     def persist_discarded(self, number: WriteNumber, record: WriteQueued, reason: str) -> None:
-        """Records that a person gave a write up."""
+        """Records that an operator discarded a write."""
         self._persist_until_stored(
             lambda: WriteDiscarded(
                 number.incarnation,
@@ -182,7 +182,7 @@
         )
 
     def remove(self, number: WriteNumber) -> None:
-        """Removes the records of an own write that is finished, here and wherever copies are."""
+        """Deletes the records of a finished own write from the log and from its replicas."""
         for kind in (QUEUED, STEP):
             self._persist_until_stored(partial(Tombstone, [kind, number.incarnation, number.sequence]))
 
@@ -200,7 +200,10 @@
         )
 
     def _persist_until_stored(self, record_source: RecordSource) -> None:
-        """Asks for the record anew at each try; None: it need not be written any more."""
+        """Writes a record until it is stored.
+
+        Each attempt calls `record_source` for the current record; None ends the attempts.
+        """
         record = record_source()
         if record is None or self._stopped:
             return
--- a/gorsethread/nvme_gateway/offline/queue_recovery.py
+++ b/gorsethread/nvme_gateway/offline/queue_recovery.py
@@ -1,4 +1,4 @@
-"""The write queue after a start, or as others held more of this gateway's records than it did."""
+"""Restores the write queue from stored records, after a start or after replicas returned lost records."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -17,7 +17,7 @@
 
 
 class RecoveredProgress(NamedTuple):
-    """With what state a write comes back into the queue."""
+    """The state in which a write is restored to the queue."""
 
     stage: WriteStage
     reason: str = ""
@@ -27,15 +27,15 @@
 def recovered_progress(
     progress: WriteProgress | None, in_doubt: bool, primaries: tuple[int, ...]
 ) -> RecoveredProgress:
-    """The state in which a stored write comes back.
+    """Returns the state in which a stored write is restored.
 
     Args:
-        progress: That was recorded last; None where there is none.
-        in_doubt: Later progress may be lost.
-        primaries: The main site's gateways that might have run it.
+        progress: Its last recorded progress; None if there is none.
+        in_doubt: Whether records of later progress may be lost.
+        primaries: Gateways of the main site that may have run it.
     """
     if progress is None:
-        # Its client may have been told that it failed: it is neither applied for that, nor dropped.
+        # Its client may have received a failure, so it is neither applied automatically nor dropped.
         return RecoveredProgress(WriteStage.DEAD_LETTERED, UNCONFIRMED) if in_doubt else _waiting()
     stage = WriteStage(progress.stage)
     suspects = tuple(progress.suspects)
@@ -52,17 +52,17 @@
 
 
 class QueueRecovery:
-    """Restores the queue from the durable log; owns nothing.
+    """Restores the queue from the durable log; owns no state.
 
     Args:
-        settings: Of this branch.
-        persistence: Has the stored writes.
-        queue: Restored.
-        standby_writes: Those of the branch's other gateway.
-        block_view: Shows what is restored.
-        contexts: Told what clients know of the restored writes.
-        is_being_admitted: Whether a write is on its way to the disks.
-        logger: Told how many came back.
+        settings: Settings of this gateway.
+        persistence: Reads the stored writes.
+        queue: This gateway's own queue, which is restored.
+        standby_writes: Writes of the branch's other gateway.
+        block_view: Shows the restored writes to reads.
+        contexts: Restored too: the writes that each client has seen.
+        is_being_admitted: Returns whether a write is being persisted or withdrawn.
+        logger: Logs the number of restored writes.
     """
 
     def __init__(
@@ -86,7 +86,11 @@
         self._logger = logger
 
     def recover(self, in_doubt: bool) -> None:
-        """Restores the stored writes that are not in the queue; in_doubt: their progress may be lost."""
+        """Restores the stored writes that are not in the queue.
+
+        Args:
+            in_doubt: Whether records of their progress may be lost.
+        """
         stored_writes = self._persistence.stored_writes()
         for stored in stored_writes:
             if stored.number not in self._queue and not self._is_being_admitted(stored.number):
--- a/gorsethread/nvme_gateway/offline/replay.py
+++ b/gorsethread/nvme_gateway/offline/replay.py
@@ -1,4 +1,4 @@
-"""Sends queued writes to the main site's gateways, in causal order, and acts on their answers."""
+"""Sends queued writes to gateways of the main site in causal order, and handles the replies."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -34,28 +34,28 @@
 
     @property
     def number(self) -> WriteNumber:
-        """Of the write."""
+        """The number of the write."""
         return self.queued.write.number
 
 
 class Replay:
-    """Drives the replay of the sources' queues; owns the window, and shares the fence with the sources.
+    """Replays the queues of the sources; owns the window, and shares the fence with the sources.
 
     Args:
-        transport: Tells the time.
-        settings: Of this branch.
-        link: Nothing is replayed unless it is connected.
-        fence: Of the own epoch.
+        transport: Provides the time.
+        settings: Settings of this gateway.
+        link: State of the link; nothing is replayed unless it is connected.
+        fence: Fence of this gateway's epoch.
         sources: The queues that this gateway replays.
-        connections: To the main site's gateways.
-        persistence: Records an own write as sent before it goes.
-        standby_writes: Those of the branch's other gateway.
-        block_view: Shows applied writes no more.
-        dead_letters: Where writes that a person must decide on go.
-        history: For people.
-        alive_gateways: Those that the membership does not hold dead.
-        has_open_write: Whether a forwarded write of that place is still open here.
-        logger: Warned as this gateway is fenced.
+        connections: Connections to gateways of the main site.
+        persistence: Records that an own write is sent, before it is.
+        standby_writes: Writes of the branch's other gateway.
+        block_view: Stops showing applied writes.
+        dead_letters: Takes the writes that an operator must decide on.
+        history: Records changes for operators.
+        alive_gateways: Returns the gateways that membership does not consider dead.
+        has_open_write: Returns whether a forwarded write to the extent is still open at this gateway.
+        logger: Logs a warning when this gateway is fenced.
     """
 
     def __init__(
@@ -103,17 +103,17 @@
 
     @property
     def window_size(self) -> int:
-        """Writes that may be under way at once."""
+        """The number of writes that may be under way at once."""
         return self._window.size
 
     def stop(self) -> None:
-        """Sends no more."""
+        """Stops sending."""
         self._stopped = True
 
     # ---- Sending
 
     def advance(self) -> None:
-        """Sends, or queries, what may go now."""
+        """Sends or queries the writes that are ready."""
         now = self._transport.now()
         if self._link.queueing or not self._persistence.is_ready or self._stopped:
             return
@@ -131,15 +131,15 @@
                 continue
             if query_first:
                 self._query(source, queued, now)
-            elif not self._has_open_write(self._place_of(queued.write)):
-                # A forwarded write of that place that is still open was there first.
+            elif not self._has_open_write(self._extent_of(queued.write)):
+                # A forwarded write to the same extent that is still open came first, so it must end first.
                 self._send(source, queued, now)
 
-    def _place_of(self, write: Write) -> Extent:
+    def _extent_of(self, write: Write) -> Extent:
         return Extent(write.volume, write.block // self._settings.volumes[write.volume].extent_blocks)
 
     def _query(self, source: ReplaySource, queued: QueuedWrite, now: float) -> None:
-        """Of all that may have run it one after the other, whoever can be reached first."""
+        """Queries the first reachable gateway that may have run the write; the others follow in turn."""
         number = queued.write.number
         for gateway in queued.suspects:
             self._connections.keep_open(gateway, now)
@@ -176,7 +176,7 @@
             else:
                 self._defer(source, queued, gateway)
 
-        # On disk before it goes: what is sent and not answered is unknown after a crash.
+        # Persisted before sending, so that after a crash an unanswered write is known to have been sent.
         self._persistence.persist_progress_then(number, persisted)
 
     def _is_still_sent(self, source: ReplaySource, queued: QueuedWrite) -> bool:
@@ -213,11 +213,11 @@
     # ---- Answers
 
     def reply_received(self, gateway: int, reply: ReplayReply) -> None:
-        """A gateway of the main site answered; ProtocolError where the outcome is none."""
+        """Handles a reply of a main-site gateway; raises ProtocolError if its outcome is invalid."""
         try:
             outcome = ReplayOutcome(reply.outcome)
         except ValueError:
-            raise ProtocolError(f"an outcome of {reply.outcome}") from None
+            raise ProtocolError(f"invalid replay outcome {reply.outcome}") from None
         number = WriteNumber(*reply.number)
         source = self._sources.of_gateway(number.gateway)
         queued = source.queue.get(number) if source is not None else None
@@ -268,10 +268,10 @@
     # ---- Epochs
 
     def _on_fenced(self, received: ReceivedReply) -> None:
-        """Whoever else replays goes on; nothing more is sent from here."""
+        """Stops replaying the queue, as another gateway replays it under a later epoch."""
         received.source.queue.mark_connection_lost()
         if received.source.gateway != self._settings.gateway:
-            self._sources.give_back()  # the other gateway is back, under a later epoch
+            self._sources.give_back()  # the other gateway is back and replays under a later epoch
             return
         later_epoch = received.reply.send_token
         self._fence.fence(later_epoch, self._transport.now())
@@ -281,7 +281,7 @@
         )
 
     def _check_fence(self, now: float) -> None:
-        """Goes on under a later epoch once the other gateway is in sight, which then leaves off."""
+        """Resumes under a later epoch once the other gateway is alive, which then stops its replay."""
         standby = self._settings.standby
         if self._fence.may_resume(now) and (standby is None or standby in self._alive_gateways()):
             self._fence.resume()
--- a/gorsethread/nvme_gateway/offline/replay_sources.py
+++ b/gorsethread/nvme_gateway/offline/replay_sources.py
@@ -1,4 +1,4 @@
-"""The queues that this gateway replays: its own, and the other gateway's while that is away."""
+"""The queues that this gateway replays: its own, and the other gateway's while that one is dead."""
 
 from typing import NamedTuple
 
@@ -17,7 +17,7 @@
 
 
 class ReplaySources:
-    """Owns the queue that was taken over, until it is given back."""
+    """Owns the queue taken over from the other gateway, until it is given back."""
 
     def __init__(self, own_queue: WriteQueue, gateway: int, fence: EpochFence) -> None:
         self._own_queue = own_queue
@@ -26,40 +26,40 @@
         self._taken_over: ReplaySource | None = None
 
     def all(self) -> list[ReplaySource]:
-        """The own queue first."""
+        """Returns all sources, this gateway's own first."""
         sources = [ReplaySource(self._own_queue, self._gateway, self._fence.epoch)]
         if self._taken_over is not None:
             sources.append(self._taken_over)
         return sources
 
     def of_gateway(self, gateway: int) -> ReplaySource | None:
-        """The source whose writes that gateway accepted."""
+        """Returns the source with the writes that the gateway accepted."""
         return next((source for source in self.all() if source.gateway == gateway), None)
 
     def queue_with(self, number: WriteNumber | None) -> WriteQueue | None:
-        """The queue that has that write."""
+        """Returns the queue that contains the write."""
         return next((source.queue for source in self.all() if number in source.queue), None)
 
     @property
     def taken_over(self) -> WriteQueue | None:
-        """The other gateway's queue, while this one replays it."""
+        """The other gateway's queue while this gateway replays it, otherwise None."""
         return self._taken_over.queue if self._taken_over is not None else None
 
     def take_over(self, source: ReplaySource) -> None:
-        """Replays the other gateway's queue too."""
+        """Adds the other gateway's queue to the sources."""
         self._taken_over = source
 
     def give_back(self) -> None:
-        """Replays the own queue only."""
+        """Removes the other gateway's queue from the sources."""
         self._taken_over = None
 
     def mark_connection_lost(self, gateway: int | None = None) -> None:
-        """Of what was under way to that gateway of the main site, or to any, the fate is unknown."""
+        """Marks the writes under way to a gateway of the main site, or to any, as unknown."""
         for source in self.all():
             source.queue.mark_connection_lost(gateway)
 
     def progress(self) -> list[ReplayProgress]:
-        """What the main site's gateways are told of each queue."""
+        """Returns the progress message for each source."""
         return [
             ReplayProgress(
                 source.gateway,
--- a/gorsethread/nvme_gateway/offline/site_connections.py
+++ b/gorsethread/nvme_gateway/offline/site_connections.py
@@ -1,4 +1,4 @@
-"""Heartbeats and streams to the main site's gateways."""
+"""Streams to gateways of the main site, with heartbeats."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -16,18 +16,18 @@
 from gorsethread.transport.base import Stream, StreamClosed, Transport, Unreachable
 
 HEARTBEAT_INTERVAL = 0.5  # seconds
-MAX_SILENCE = 2.0  # seconds without any message on a stream, after which it is made anew
-RECONNECT_INTERVAL = 0.5  # seconds between two tries at a stream
+MAX_SILENCE = 2.0  # seconds without any message, after which a stream is closed and reopened
+RECONNECT_INTERVAL = 0.5  # seconds between two attempts to open a stream
 
 
 @dataclass(frozen=True)
 class ConnectionEvents:
-    """Whom the connections notify.
+    """Callbacks of the connections.
 
     Attributes:
-        reply_received: A gateway of the main site answered a query or a write; raises ProtocolError.
-        connection_lost: A stream to that gateway ended.
-        progress: The messages that each gateway of the main site is sent at first, and as they change.
+        reply_received: Called with a gateway's reply to a query or a write; raises ProtocolError if invalid.
+        connection_lost: Called with a gateway when the stream to it has ended.
+        progress: Returns the progress messages, sent on each new stream and whenever they change.
     """
 
     reply_received: Callable[[int, messages.ReplayReply], None]
@@ -37,26 +37,26 @@
 
 @dataclass
 class SiteConnection:
-    """To one gateway of the main site; times in seconds of the transport's clock."""
+    """A connection to one gateway of the main site; times in seconds of the transport's clock."""
 
     stream: Stream | None = None
     is_connecting: bool = False
     last_message_at: float = 0.0
     last_heartbeat_at: float = 0.0
-    last_try_at: float = float("-inf")
+    last_attempt_at: float = float("-inf")
     heartbeats: int = 0
 
 
 class SiteConnections:
-    """Owns a connection to each gateway of the main site that was needed so far, as many as there are.
+    """Owns the connections to gateways of the main site, at most one for each.
 
     Args:
-        transport: Opens streams, tells the time.
-        settings: Of this branch.
-        link: Told what is sent and what is answered.
-        alive_gateways: Those that the membership does not hold dead.
-        events: Whom the connections notify.
-        logger: For what ends a connection.
+        transport: Provides streams and the time.
+        settings: Settings of this gateway.
+        link: Notified of requests sent and answers received.
+        alive_gateways: Returns the gateways that membership does not consider dead.
+        events: Callbacks.
+        logger: Logs why a connection failed or ended.
     """
 
     def __init__(
@@ -77,34 +77,34 @@
         self._connections: dict[int, SiteConnection] = {}
 
     def is_open(self, gateway: int) -> bool:
-        """Messages can be sent to that gateway."""
+        """Returns whether messages can be sent to the gateway."""
         connection = self._connections.get(gateway)
         return connection is not None and connection.stream is not None
 
     def send(self, gateway: int, message: msgspec.Struct) -> None:
-        """Sends a message where the connection is open."""
+        """Sends a message if the connection is open; drops it otherwise."""
         connection = self._connections.get(gateway)
         if connection is not None and connection.stream is not None:
             connection.stream.write(encode(message))
 
     def announce_progress(self) -> None:
-        """Tells the gateways that are connected how far the replay has come."""
+        """Sends the replay progress to all connected gateways."""
         for gateway in self._connections:
             self._send_progress(gateway)
 
     def maintain(self, now: float) -> None:
-        """Keeps up the open connections and those to the probed gateways; call it several times a second."""
+        """Maintains the open connections and those to the probed gateways; call it several times a second."""
         is_open = [gateway for gateway, known in self._connections.items() if known.stream is not None]
         for gateway in sorted({*self._gateways_to_probe(), *is_open}):
             self.keep_open(gateway, now)
 
     def keep_open(self, gateway: int, now: float) -> None:
-        """Opens the connection, sends a heartbeat, or closes a silent one, as it is due."""
+        """Opens the connection, sends a heartbeat on it, or closes it after MAX_SILENCE, whatever is due."""
         connection = self._connections.setdefault(gateway, SiteConnection())
         if connection.stream is None:
-            if not connection.is_connecting and now >= connection.last_try_at + RECONNECT_INTERVAL:
+            if not connection.is_connecting and now >= connection.last_attempt_at + RECONNECT_INTERVAL:
                 connection.is_connecting = True
-                connection.last_try_at = now
+                connection.last_attempt_at = now
                 self._link.request_sent(now)
                 self._transport.spawn(self._connect(gateway, connection))
         elif now - connection.last_message_at > MAX_SILENCE:
@@ -122,9 +122,10 @@
                 connection.stream.close()
 
     def _gateways_to_probe(self) -> list[int]:
-        """Those that are alive first, so that one that is down shows as no disconnect.
+        """Returns the gateways to probe, alive ones first.
 
-        Not the same for all, as there may be many branches.
+        Probing a dead gateway would look like a disconnected link. The choice also depends on this gateway's
+        number, to spread the probes of many branches.
         """
         alive = set(self._alive_gateways())
         ranked = sorted(
@@ -138,13 +139,13 @@
             stream = await self._transport.connect(*self._settings.main_site[gateway], CONNECT_TIMEOUT)
         except Unreachable as error:
             connection.is_connecting = False
-            self._logger.debug("main site not reached", gateway=gateway, reason=str(error))
+            self._logger.debug("main site is unreachable", gateway=gateway, reason=str(error))
             return
         connection.stream = stream
         connection.is_connecting = False
         connection.last_message_at = self._transport.now()
         try:
-            await self._converse(gateway, connection, stream)
+            await self._exchange_messages(gateway, connection, stream)
         except (StreamClosed, ProtocolError) as error:
             self._logger.debug("connection to the main site ended", gateway=gateway, reason=str(error))
         finally:
@@ -152,8 +153,8 @@
             stream.close()
             self._events.connection_lost(gateway)
 
-    async def _converse(self, gateway: int, connection: SiteConnection, stream: Stream) -> None:
-        """Until the stream ends: StreamClosed, ProtocolError."""
+    async def _exchange_messages(self, gateway: int, connection: SiteConnection, stream: Stream) -> None:
+        """Exchanges messages until the stream ends with StreamClosed or ProtocolError."""
         reader = MessageReader(messages.DECODER)
         stream.write(encode(messages.BranchHello(self._settings.fleet, self._settings.gateway)))
         self._send_progress(gateway)
--- a/gorsethread/nvme_gateway/offline/standby_replication.py
+++ b/gorsethread/nvme_gateway/offline/standby_replication.py
@@ -1,4 +1,4 @@
-"""The branch's other gateway: what its records that this gateway holds show, and replay in its place."""
+"""Follows the replicated records of the branch's other gateway, and replays its queue while it is dead."""
 
 from collections.abc import Callable
 
@@ -19,20 +19,20 @@
 
 
 class StandbyReplication:
-    """Follows the other gateway's records, and takes over its queue while it is away.
+    """Follows the other gateway's records, and takes over its queue while it is dead.
 
-    The writes are in `StandbyWrites`, the queue that was taken over in `ReplaySources`.
+    `StandbyWrites` owns the writes, `ReplaySources` the queue that was taken over.
 
     Args:
-        settings: Of this branch.
-        queue: This gateway's own.
-        writes: The other gateway's.
+        settings: Settings of this gateway.
+        queue: This gateway's own queue.
+        writes: Writes of the other gateway.
         sources: The queues that this gateway replays.
-        block_view: Shows the other gateway's writes too.
-        dead_letters: Told what is dead-lettered and released by its writes.
-        history: For people.
-        write_finished: Called as a write of the other gateway is finished.
-        announce_progress: Tells the main site how far the replay has come.
+        block_view: Shows the other gateway's writes to reads too.
+        dead_letters: Notified of own writes that are dead-lettered or released with the other gateway's.
+        history: Records changes for operators.
+        write_finished: Called when a write of the other gateway is finished.
+        announce_progress: Sends the replay progress to the main site.
     """
 
     def __init__(
@@ -58,16 +58,22 @@
         self._announce_progress = announce_progress
         self._takeover = StandbyTakeover()
 
-    # ---- Its records
+    # ---- The other gateway's records
 
     def records_stored(self, records: list[Record], replaces_all: bool, last: Position) -> None:
-        """Records of the other gateway are on this one's disk, and all that holds up to the last."""
+        """Handles records of the other gateway that are now on this one's disk.
+
+        Args:
+            records: The records.
+            replaces_all: Whether the other gateway starts to send all of its records again.
+            last: The position up to which this gateway now has all of its records.
+        """
         if replaces_all:
             self._writes.begin_resync()
         for record in records:
             if isinstance(record.fact, WriteQueued):
                 self._add(record.fact)
-        # Tombstones are dropped in time: a gateway that begins anew does not name what is finished any more.
+        # Tombstones expire, so a gateway that sends all its records again omits finished writes.
         for number in self._writes.pop_not_resent(last):
             self._finish(number)
         for record in records:
@@ -116,13 +122,13 @@
         released = self._queue.release_dependents_of(number, self._writes.is_dead_lettered)
         self._dead_letters.record_dependency_releases(released)
 
-    # ---- Replay in its place
+    # ---- Replay for the other gateway
 
     def check_takeover(self, is_alive: bool, now: float) -> None:
         """Takes over the other gateway's queue, or gives it back; call it several times a second.
 
         Args:
-            is_alive: Whether the membership does not hold the other gateway dead.
+            is_alive: Whether membership considers the other gateway not dead.
             now: Seconds of the transport's clock.
         """
         if not self._takeover.should_replay(is_alive, now):
--- a/gorsethread/nvme_gateway/offline/standby_writes.py
+++ b/gorsethread/nvme_gateway/offline/standby_writes.py
@@ -1,4 +1,4 @@
-"""The writes of the branch's other gateway, as its records that this gateway holds show them."""
+"""The queued writes of the branch's other gateway, known from its replicated records."""
 
 from collections.abc import Iterable
 
@@ -9,10 +9,10 @@
 
 
 class StandbyWrites:
-    """Owns the other gateway's queued writes, and what its clients know of them.
+    """Owns the other gateway's queued writes, and the writes that each of its clients has seen.
 
-    A write is confirmed once a record of its progress came: it was accepted and not withdrawn. All but the
-    contexts (as many as the site names clients) is emptied as the writes are finished.
+    A write is confirmed once a record of its progress arrives: it was accepted and not withdrawn. Entries are
+    removed when a write is finished, except for the client contexts, which the site file bounds.
     """
 
     def __init__(self, settings: BranchSettings) -> None:
@@ -20,8 +20,8 @@
         self._records: dict[WriteNumber, WriteQueued] = {}
         self._confirmed: set[WriteNumber] = set()
         self._dead_letters: set[WriteNumber] = set()
-        self._not_resent: set[WriteNumber] = set()  # by the records that begin anew, so far
-        self._contexts: dict[str, ClientContext] = {}  # by client's host
+        self._not_resent: set[WriteNumber] = set()  # since the resync began
+        self._contexts: dict[str, ClientContext] = {}  # by the client's host name
 
     def __len__(self) -> int:
         return len(self._records)
@@ -30,53 +30,53 @@
         return number in self._records
 
     def numbers(self) -> list[WriteNumber]:
-        """All of them, in their order."""
+        """Returns the numbers of all writes, in order."""
         return sorted(self._records)
 
     def get(self, number: WriteNumber) -> WriteQueued | None:
-        """The record of a write, while it is queued."""
+        """Returns the record of a write, or None if it is not queued."""
         return self._records.get(number)
 
     def record_of(self, number: WriteNumber) -> WriteQueued:
-        """The record of a write that is queued."""
+        """Returns the record of a queued write."""
         return self._records[number]
 
     def writes_of_key(self, ordering_key: str) -> set[WriteNumber]:
-        """The writes of one ordering key."""
+        """Returns the writes with an ordering key."""
         return {number for number, record in self._records.items() if record.key == ordering_key}
 
     def known_to(self, host: str) -> set[WriteNumber]:
-        """What a client knows through the other gateway."""
+        """Returns the writes that a client has seen through the other gateway."""
         context = self._contexts.get(host)
         return context.seen if context is not None else set()
 
     def is_confirmed(self, number: WriteNumber) -> bool:
-        """It was accepted for certain."""
+        """Returns whether the write is known to be accepted."""
         return number in self._confirmed
 
     def is_dead_lettered(self, number: WriteNumber) -> bool:
-        """It waits for a person."""
+        """Returns whether the write waits for an operator's decision."""
         return number in self._dead_letters
 
     @property
     def dead_letters(self) -> set[WriteNumber]:
-        """All that wait for a person."""
+        """The writes that wait for an operator's decision."""
         return set(self._dead_letters)
 
     def unconfirmed_dependencies(self, number: WriteNumber) -> list[WriteNumber]:
-        """Of a write that may yet be withdrawn, what it depends on."""
+        """Returns the dependencies of a write that may yet be withdrawn, otherwise none."""
         record = self._records.get(number)
         return [] if record is None or self.is_confirmed(number) else dependencies_of(record)
 
     def begin_resync(self) -> None:
-        """The other gateway names all its writes again; what it does not name is finished."""
+        """Begins a resync: the other gateway sends all its writes again, except for finished ones."""
         self._not_resent = set(self._records)
 
     def add(self, number: WriteNumber, record: WriteQueued) -> bool:
-        """The other gateway names a write.
+        """Adds a write that the other gateway sent.
 
         Returns:
-            Whether it is a new one.
+            Whether it was not here yet.
         """
         self._not_resent.discard(number)
         if number in self._records:
@@ -86,13 +86,13 @@
         return True
 
     def pop_not_resent(self, last: Position) -> Iterable[WriteNumber]:
-        """The writes up to there that were not named since its records began anew: they are finished."""
-        unnamed = [number for number in self._not_resent if number.position <= last]
-        self._not_resent.difference_update(unnamed)
-        return unnamed
+        """Returns, once, the writes up to a position that the resync left out, so that they are finished."""
+        left_out = [number for number in self._not_resent if number.position <= last]
+        self._not_resent.difference_update(left_out)
+        return left_out
 
     def confirm(self, number: WriteNumber) -> None:
-        """A queued write was accepted for certain."""
+        """Notes that a queued write is known to be accepted."""
         if number in self._confirmed:
             return
         self._confirmed.add(number)
@@ -100,19 +100,22 @@
         self._contexts[record.host].acknowledge(write_of(number, record, self._settings))
 
     def dead_letter(self, number: WriteNumber) -> None:
-        """A write waits for a person."""
+        """Notes that a write waits for an operator's decision."""
         self._dead_letters.add(number)
 
     def release(self, number: WriteNumber) -> None:
-        """A write waits for a person no more."""
+        """Notes that a write no longer waits for an operator's decision."""
         self._dead_letters.discard(number)
 
     def mark_applied(self, number: WriteNumber) -> None:
-        """This gateway replayed a write; the other one's records will say that it is finished."""
+        """Removes the record of a write that this gateway replayed.
+
+        The rest of its state goes once the other gateway's records show that it is finished.
+        """
         self._records.pop(number, None)
 
     def remove(self, number: WriteNumber) -> None:
-        """A write is finished."""
+        """Removes a finished write."""
         self._records.pop(number, None)
         self._dead_letters.discard(number)
         self._confirmed.discard(number)
--- a/gorsethread/nvme_gateway/offline/write_admission.py
+++ b/gorsethread/nvme_gateway/offline/write_admission.py
@@ -1,4 +1,4 @@
-"""What becomes of a client's command at a branch: forwarded, queued, served from the queue, or rejected."""
+"""Admits client commands at a branch: forwards, queues, serves from the queue, or rejects each one."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -32,36 +32,36 @@
 
 
 class BranchClient(Protocol):
-    """Whoever is owed the answer to a command; one call of these answers it."""
+    """The client of a command; exactly one of these methods is called to answer it."""
 
     def served(self, shard: int, data: bytes) -> None:
-        """A read, from what is queued."""
+        """Answers a read with data from the queue."""
         ...
 
     def accepted(self) -> None:
-        """A write: it is queued, and will be applied."""
+        """Answers a write that is queued and will be applied."""
         ...
 
-    def rejected(self, return_after: float) -> None:
-        """Not taken; it may come again after that many seconds."""
+    def rejected(self, retry_after: float) -> None:
+        """Rejects the command; the client may retry after that many seconds."""
         ...
 
     def failed(self) -> None:
-        """A write that could not be persisted in time."""
+        """Fails a write that could not be persisted in time."""
         ...
 
 
 class ClientCommand(NamedTuple):
-    """A read or write as it came.
+    """A read or write received from a client.
 
     Attributes:
-        client: Is owed the answer.
-        command: With volume, blocks and the vendor fields.
+        client: Receives the answer.
+        command: The command, with volume, blocks, and the vendor fields.
         host: The client's host name.
-        request_class: Its index in the site file.
-        deadline: Seconds of the transport's clock.
-        extent: Of the volume, where the command begins.
-        data: Of a write.
+        request_class: Index of its request class in the site file.
+        deadline: Time in seconds of the transport's clock.
+        extent: Number of the volume's extent in which the command begins.
+        data: Data of a write.
     """
 
     client: BranchClient
@@ -74,44 +74,44 @@
 
     @property
     def ordering_key(self) -> str:
-        """Writes of one key are applied in the order of their acceptance."""
+        """The ordering key; writes of the same key are applied in the order of their acceptance."""
         return f"{self.command.nsid}/{self.extent}"
 
 
 @dataclass
 class PendingAdmission:
-    """A write on its way to the disks; no client where it left."""
+    """A write that is being persisted; `client` is None if the client left."""
 
     record: WriteQueued
     client: BranchClient | None
     timer: Timer | None = None
-    is_withdrawn: bool = False  # it can't be persisted, and is being taken back
+    is_withdrawn: bool = False  # it could not be persisted, and its record is being deleted
 
 
 class Rejection(NamedTuple):
-    """Why a write is not queued, and the Retry-After where the log names one, else 0."""
+    """Why a write is not queued, and the Retry-After in seconds if the log requires one, otherwise 0."""
 
     reason: str
     retry_after: float
 
 
 class WriteAdmission:
-    """Owns the writes that are on their way to the disks, until each is there or withdrawn.
+    """Owns the writes that are being persisted, until each is on the disks or withdrawn.
 
     Args:
-        transport: Time, timers, chance.
-        settings: Of this branch.
-        link: Whether writes are queued.
-        fence: A fenced gateway queues nothing.
-        queue: Takes the writes.
-        standby_writes: Those of the branch's other gateway.
-        standby_has_copies: Whether this gateway holds the other one's records.
+        transport: Provides time, timers, and random numbers.
+        settings: Settings of this gateway.
+        link: State of the link; decides whether writes are queued.
+        fence: Fence of this gateway's epoch; a fenced gateway queues nothing.
+        queue: This gateway's own queue.
+        standby_writes: Writes of the branch's other gateway.
+        standby_has_copies: Returns whether this gateway has copies of the other gateway's records.
         persistence: Stores the writes.
-        block_view: What reads see.
-        contexts: What clients know.
-        dead_letters: Told of what is dead-lettered as it is accepted.
-        history: For people.
-        is_finished: Whether a write of either gateway is finished.
+        block_view: Provides the data of queued writes to reads.
+        contexts: The writes that each client has seen.
+        dead_letters: Takes writes that are dead-lettered on acceptance.
+        history: Records changes and counters for operators.
+        is_finished: Returns whether a write of either gateway is finished.
     """
 
     def __init__(
@@ -147,25 +147,25 @@
         self._pending: dict[WriteNumber, PendingAdmission] = {}
 
     def is_pending(self, number: WriteNumber) -> bool:
-        """A write is on its way to the disks, or being withdrawn."""
+        """Returns whether a write is being persisted or withdrawn."""
         return number in self._pending
 
     @property
     def pending_writes(self) -> int:
-        """Writes on their way to the disks, or being withdrawn."""
+        """The number of writes that are being persisted or withdrawn."""
         return len(self._pending)
 
     def admit(self, request: ClientCommand) -> bool:
-        """Decides on a command.
+        """Handles a command.
 
         Returns:
-            False where it is forwarded as usual; else it is answered here, at once or later.
+            False if the caller is to forward it as usual; otherwise it is answered here, at once or later.
         """
         command = request.command
         if not self._settings.volumes[command.nsid].has_fixed_placement:
             return False
         if not self._persistence.is_recovered:
-            # What was accepted may be missing: nothing may be read past, or overtake it.
+            # Accepted writes may be missing: reads would miss their data, and writes would overtake them.
             self._reject(request, self._retry_after())
             return True
         latest_writes = self._block_view.latest_writes(command.nsid, command.first_block, command.blocks)
@@ -201,9 +201,9 @@
     def _known_dependencies(
         self, host: str, ordering_key: str, latest_writes: list[WriteNumber | None]
     ) -> set[WriteNumber]:
-        """The queued writes that a new one must come after.
+        """Returns the queued writes that must be applied before a new write.
 
-        A dead letter is for a person, who may never decide: nothing that is new comes after it.
+        Dead letters are left out: an operator may never decide on them, so no new write may wait for them.
         """
         candidates = (
             *self._contexts.current(host).seen,
@@ -221,19 +221,19 @@
         return own or self._standby_writes.is_dead_lettered(number)
 
     def client_left(self, client: BranchClient) -> None:
-        """Nobody waits for that client's answer any more."""
+        """Forgets a client that no longer waits for its answer."""
         for pending in self._pending.values():
             if pending.client is client:
                 pending.client = None
 
     def _retry_after(self) -> float:
-        least = RETRY_AFTER_DISCONNECTED if self._link.queueing else RETRY_AFTER_PENDING
-        return spread_retry_after(least, self._chance.random())
+        min_retry_after = RETRY_AFTER_DISCONNECTED if self._link.queueing else RETRY_AFTER_PENDING
+        return spread_retry_after(min_retry_after, self._chance.random())
 
     def _reject(self, request: ClientCommand, retry_after: float) -> None:
         self._history.count("pushed back")
-        longest = max(self._settings.max_retry_after, RETRY_AFTER_PENDING)
-        request.client.rejected(min(retry_after, longest))
+        max_retry_after = max(self._settings.max_retry_after, RETRY_AFTER_PENDING)
+        request.client.rejected(min(retry_after, max_retry_after))
 
     # ---- Queueing
 
@@ -259,7 +259,7 @@
     def _rejection(
         self, request: ClientCommand, accepted_at: float, dependencies: Dependencies | None
     ) -> Rejection | None:
-        """Why a write is not queued; None where it is."""
+        """Returns why a write is not queued; None if it is."""
         weight = self._settings.request_classes[request.request_class].priority_weight
         refusal = self._queue.refusal(weight, len(request.data), accepted_at)
         can_persist = self._persistence.is_ready and self._standby_has_copies()
@@ -273,13 +273,13 @@
         return None
 
     def _uncertain_dependencies(self, number: WriteNumber) -> list[WriteNumber]:
-        """Of a write that may yet be withdrawn, what it depends on."""
+        """Returns the unfinished dependencies of a write that may yet be withdrawn, otherwise none."""
         queued = self._queue.get(number)
         if number in self._pending and queued is not None:
-            named = list(queued.write.dependencies)
+            dependencies = list(queued.write.dependencies)
         else:
-            named = self._standby_writes.unconfirmed_dependencies(number)
-        return [dependency for dependency in named if not self._is_finished(dependency)]
+            dependencies = self._standby_writes.unconfirmed_dependencies(number)
+        return [dependency for dependency in dependencies if not self._is_finished(dependency)]
 
     def _persist(self, request: ClientCommand, accepted_at: float, dependencies: Dependencies) -> None:
         number = self._persistence.next_number()
@@ -345,7 +345,7 @@
         self._history.count("accepted")
         self._history.note("accepted", number)
         self._dead_letter_with_dependencies(queued)
-        self._persistence.persist_progress(number)  # the other gateway learns that it was not withdrawn
+        self._persistence.persist_progress(number)  # tells the other gateway that it was not withdrawn
         if pending.client is not None:
             pending.client.accepted()
 
@@ -365,6 +365,6 @@
             pending.client.failed()
 
     def _deadline_passed(self, number: WriteNumber) -> None:
-        """Disk or standby are slower than the client waits: it gets its answer now."""
+        """Fails a write that the disk or the standby gateway did not store before its deadline."""
         self._stored(number, False)
         self._fail(number)
