--- a/tests/offline_writes/test_cores.py
+++ b/tests/offline_writes/test_cores.py
@@ -1,4 +1,4 @@
-"""The branch's pure cores: when it is cut off, what it takes, causal order, each effect once."""
+"""Tests the I/O-free modules of offline writes: link state, admission, causal order, applying writes once."""
 
 import unittest
 from collections.abc import Callable
@@ -33,269 +33,292 @@
     collect_dependencies,
 )
 
-ROOM = QueueLimits(1 << 20, 1000, 600.0)
+LIMITS = QueueLimits(1 << 20, 1000, 600.0)
 
 
-def number(place: int, branch: int = 1, life: int = 1) -> WriteNumber:
-    return WriteNumber(branch, life, place)
+def write_number(sequence: int, gateway: int = 1, incarnation: int = 1) -> WriteNumber:
+    return WriteNumber(gateway, incarnation, sequence)
 
 
-def write(
-    place: int, *own: int, key: str = "", parks: bool = False, size: int = 100, block: int = 0
+def make_write(
+    sequence: int,
+    *own_dependencies: int,
+    key: str = "",
+    stops_on_conflict: bool = False,
+    size: int = 100,
+    block: int = 0,
 ) -> Write:
     return Write(
-        number(place),
+        write_number(sequence),
         1,
-        block or place,
-        key or f"k{place}",
+        block or sequence,
+        key or f"key {sequence}",
         1.0,
         size,
         0.0,
-        tuple(number(n) for n in own),
-        stops_on_conflict=parks,
+        tuple(write_number(dependency) for dependency in own_dependencies),
+        stops_on_conflict=stops_on_conflict,
     )
 
 
-class Links(unittest.TestCase):
-    def asked(self, link: LinkMonitor, begin: float, end: float, answers: bool) -> None:
-        for n in range(int((end - begin) * 10)):
-            now = begin + n / 10
+class LinkMonitorTests(unittest.TestCase):
+    def exchange(self, link: LinkMonitor, start: float, end: float, answers: bool) -> None:
+        for step in range(int((end - start) * 10)):
+            now = start + step / 10
             link.request_sent(now)
             if answers:
                 link.answer_received(now)
             link.tick(now)
 
-    def test_silence_under_questions_cuts_it_off_and_idleness_does_not(self) -> None:
+    def test_unanswered_requests_disconnect_and_an_idle_link_stays_connected(self) -> None:
         link = LinkMonitor(0.0)
         link.tick(1000.0)
         self.assertIs(LinkState.CONNECTED, link.state)
-        self.asked(link, 1000.0, 1000.0 + DISCONNECT_AFTER, False)
+        self.exchange(link, 1000.0, 1000.0 + DISCONNECT_AFTER, False)
         self.assertTrue(link.queueing)
 
-    def test_a_slow_link_that_answers_is_not_cut_off(self) -> None:
+    def test_a_slow_link_that_answers_stays_connected(self) -> None:
         link = LinkMonitor(0.0)
-        for n in range(100):
-            link.request_sent(n * 1.0)
-            link.answer_received(n * 1.0 + DISCONNECT_AFTER - 0.5)
-            link.tick(n * 1.0 + DISCONNECT_AFTER - 0.5)
+        for second in range(100):
+            link.request_sent(float(second))
+            link.answer_received(float(second) + DISCONNECT_AFTER - 0.5)
+            link.tick(float(second) + DISCONNECT_AFTER - 0.5)
         self.assertIs(LinkState.CONNECTED, link.state)
 
-    def test_a_way_that_is_cut_in_one_direction_is_cut_off(self) -> None:
+    def test_a_link_broken_in_one_direction_disconnects(self) -> None:
         link = LinkMonitor(0.0)
-        self.asked(link, 0.0, 3.0, False)  # what is said here is heard there; nothing comes
+        self.exchange(link, 0.0, 3.0, False)  # requests arrive at the main site, but no answer does
         self.assertIs(LinkState.DISCONNECTED, link.state)
 
-    def test_it_is_back_after_signs_without_a_gap(self) -> None:
+    def test_the_link_reconnects_after_answers_without_a_gap(self) -> None:
         link = LinkMonitor(0.0)
-        self.asked(link, 0.0, 3.0, False)
-        self.asked(link, 3.0, 3.0 + STABLE_FOR / 2, True)
+        self.exchange(link, 0.0, 3.0, False)
+        self.exchange(link, 3.0, 3.0 + STABLE_FOR / 2, True)
         self.assertIs(LinkState.RECOVERING, link.state)
-        self.asked(link, 4.0, 4.0 + MAX_GAP + 0.3, False)
+        self.exchange(link, 4.0, 4.0 + MAX_GAP + 0.3, False)
         self.assertIs(LinkState.DISCONNECTED, link.state)
-        self.asked(link, 6.0, 6.2 + STABLE_FOR, True)
+        self.exchange(link, 6.0, 6.2 + STABLE_FOR, True)
         self.assertIs(LinkState.CONNECTED, link.state)
 
-    def test_one_that_flaps_must_hold_for_longer_up_to_a_bound(self) -> None:
+    def test_a_flapping_link_needs_longer_stability_up_to_a_maximum(self) -> None:
         link, now, changes = LinkMonitor(0.0), 0.0, 0
-        for _ in range(40):  # three seconds away, three seconds back, four minutes long
+        for _ in range(40):  # three seconds down, three seconds up, for four minutes
             for answers in (False, True):
-                before = link.state is LinkState.CONNECTED
-                self.asked(link, now, now + 3.0, answers)
+                was_connected = link.state is LinkState.CONNECTED
+                self.exchange(link, now, now + 3.0, answers)
                 now += 3.0
-                changes += before != (link.state is LinkState.CONNECTED)
+                changes += was_connected != (link.state is LinkState.CONNECTED)
         self.assertLess(changes, 20)
         self.assertLessEqual(link.required_stability, MAX_STABLE_FOR)
 
 
-class Queues(unittest.TestCase):
-    def queue(self, bounds: QueueLimits = ROOM, *writes: Write) -> WriteQueue:
-        q = WriteQueue(bounds, (1.0, 2.0, 3.0))
-        for w in writes:
-            q.restore(w)
-        return q
+class WriteQueueTests(unittest.TestCase):
+    def make_queue(self, limits: QueueLimits = LIMITS, *writes: Write) -> WriteQueue:
+        queue = WriteQueue(limits, (1.0, 2.0, 3.0))
+        for write in writes:
+            queue.restore(write)
+        return queue
 
-    def test_the_cheapest_are_refused_first_and_nothing_accepted_goes(self) -> None:
-        q = self.queue(QueueLimits(10_000, 1000, 600.0))
-        taken: list[float] = []
-        place = 0
+    def test_a_filling_queue_refuses_low_weights_first_and_drops_nothing(self) -> None:
+        queue = self.make_queue(QueueLimits(10_000, 1000, 600.0))
+        accepted: list[float] = []
+        sequence = 0
         for _ in range(200):
-            for value in (1.0, 2.0, 3.0):
-                if q.refusal(value, 100, 0.0) is None:
-                    place += 1
-                    q.restore(write(place))
-                    taken.append(value)
-        self.assertEqual(100, len(q))
-        self.assertEqual([3.0] * 5, taken[-5:])
-        self.assertEqual(Refusal.FULL, q.refusal(3.0, 100, 0.0))
-        self.assertEqual(Refusal.TOO_LARGE, q.refusal(3.0, 10_001, 0.0))
-        self.assertEqual(Refusal.STALE, self.queue(ROOM, write(1)).refusal(3.0, 1, 601.0))
-
-    def test_the_same_key_goes_in_turn_and_others_side_by_side_within_the_window(self) -> None:
-        q = self.queue(
-            ROOM, write(1, key="a"), write(2, 1, key="a"), *(write(n) for n in range(3, 4 + MAX_WINDOW))
+            for priority_weight in (1.0, 2.0, 3.0):
+                if queue.refusal(priority_weight, 100, 0.0) is None:
+                    sequence += 1
+                    queue.restore(make_write(sequence))
+                    accepted.append(priority_weight)
+        self.assertEqual(100, len(queue))
+        self.assertEqual([3.0] * 5, accepted[-5:])
+        self.assertEqual(Refusal.FULL, queue.refusal(3.0, 100, 0.0))
+        self.assertEqual(Refusal.TOO_LARGE, queue.refusal(3.0, 10_001, 0.0))
+        self.assertEqual(Refusal.STALE, self.make_queue(LIMITS, make_write(1)).refusal(3.0, 1, 601.0))
+
+    def test_writes_of_a_key_are_serialized_and_others_run_concurrently_within_the_window(self) -> None:
+        queue = self.make_queue(
+            LIMITS,
+            make_write(1, key="a"),
+            make_write(2, 1, key="a"),
+            *(make_write(sequence) for sequence in range(3, 4 + MAX_WINDOW)),
         )
-        ready = [n.sequence for n, _ in q.ready_writes()]
+        ready = [number.sequence for number, _ in queue.ready_writes()]
         self.assertEqual([1, *range(3, 2 + MAX_WINDOW)], ready)
-        for n, _ in q.ready_writes():
-            q.mark_sent(n)
-        self.assertEqual([], q.ready_writes())
-        q.mark_applied(number(1))
-        self.assertEqual([2], [n.sequence for n, _ in q.ready_writes()])
-
-    def test_what_is_unknown_is_asked_about_and_what_depends_on_it_waits(self) -> None:
-        q = self.queue(ROOM, write(1), write(2, 1))
-        q.mark_sent(number(1))
-        q.mark_connection_lost()
-        self.assertEqual([(number(1), True)], q.ready_writes())
-        q.mark_queried(number(1))
-        q.mark_not_applied(number(1), 0, 1)
-        self.assertEqual([(number(1), False)], q.ready_writes())
-        self.assertEqual(1, q._writes[number(1)].send_token(0))
-
-    def test_all_heads_that_may_have_run_it_are_asked(self) -> None:
-        q = self.queue()
-        q.restore(write(1), WriteStage.UNKNOWN, "", (3, 5))
-        q.mark_queried(number(1))
-        q.mark_not_applied(number(1), 5, 9)
-        self.assertEqual([(number(1), True)], q.ready_writes())
-        q.mark_queried(number(1))
-        q.mark_not_applied(number(1), 3, 4)
-        self.assertEqual([(number(1), False)], q.ready_writes())
-        self.assertEqual((9, 4, 0), tuple(q._writes[number(1)].send_token(via) for via in (5, 3, 8)))
-
-    def test_only_what_went_that_way_is_unknown_as_the_way_breaks(self) -> None:
-        q = self.queue(ROOM, write(1), write(2))
-        q.mark_sent(number(1), 7)
-        q.mark_sent(number(2), 8)
-        q.mark_connection_lost(7)
-        self.assertEqual([WriteStage.UNKNOWN, WriteStage.SENT], [h.stage for h in q])
-
-    def test_what_is_on_its_way_to_the_disks_takes_room_and_is_not_replayed(self) -> None:
-        q = self.queue()
-        q.add_persisting(write(1, key="a"))
-        q.add_persisting(write(2, 1, key="a"))
-        self.assertEqual((200, []), (q.size, q.ready_writes()))
-        q.mark_persisted(number(2))
-        self.assertEqual([], q.ready_writes(), "its cause is not accepted yet")
-        q.withdraw(number(1))
-        self.assertEqual([2], [n.sequence for n, _ in q.ready_writes()])
-        self.assertEqual(number(2), q.last_of_key("a"))
-
-    def test_a_clients_repeat_is_the_one_that_was_accepted(self) -> None:
-        q = self.queue(ROOM, replace(write(1), idempotency_key=77))
-        self.assertEqual(number(1), q.duplicate_of(77, 1, 1))
+        for number, _ in queue.ready_writes():
+            queue.mark_sent(number)
+        self.assertEqual([], queue.ready_writes())
+        queue.mark_applied(write_number(1))
+        self.assertEqual([2], [number.sequence for number, _ in queue.ready_writes()])
+
+    def test_an_unknown_write_is_queried_first_and_its_dependents_wait(self) -> None:
+        queue = self.make_queue(LIMITS, make_write(1), make_write(2, 1))
+        queue.mark_sent(write_number(1))
+        queue.mark_connection_lost()
+        self.assertEqual([(write_number(1), True)], queue.ready_writes())
+        queue.mark_queried(write_number(1))
+        queue.mark_not_applied(write_number(1), 0, 1)
+        self.assertEqual([(write_number(1), False)], queue.ready_writes())
+        self.assertEqual(1, queue._writes[write_number(1)].send_token(0))
+
+    def test_every_gateway_that_may_have_run_a_write_is_queried(self) -> None:
+        queue = self.make_queue()
+        queue.restore(make_write(1), WriteStage.UNKNOWN, "", (3, 5))
+        queue.mark_queried(write_number(1))
+        queue.mark_not_applied(write_number(1), 5, 9)
+        self.assertEqual([(write_number(1), True)], queue.ready_writes())
+        queue.mark_queried(write_number(1))
+        queue.mark_not_applied(write_number(1), 3, 4)
+        self.assertEqual([(write_number(1), False)], queue.ready_writes())
         self.assertEqual(
-            (None, None, None), (q.duplicate_of(77, 1, 2), q.duplicate_of(78, 1, 1), q.duplicate_of(0, 1, 1))
+            (9, 4, 0), tuple(queue._writes[write_number(1)].send_token(gateway) for gateway in (5, 3, 8))
         )
 
-    def test_what_is_turned_away_waits_its_time(self) -> None:
-        q = self.queue(ROOM, write(1))
-        q.mark_sent(number(1))
-        q.mark_rejected(number(1), 3, 4.0)  # of another sending
-        self.assertIs(WriteStage.SENT, q._writes[number(1)].stage)
-        q.mark_rejected(number(1), 0, 5.0)
-        self.assertEqual(([], 1), (q.ready_writes(4.9), len(q.ready_writes(5.0))))
-
-    def test_the_mark_is_below_all_that_is_not_over_but_what_is_parked(self) -> None:
-        q = self.queue(ROOM, write(1), write(2), write(3))
-        q.dead_letter(number(1), "x")
-        self.assertEqual((1, 1), q.completed_up_to)
-        q.mark_applied(number(2))
-        q.mark_applied(number(3))
-        self.assertEqual((1, 3), q.completed_up_to)
-
-    def test_parked_with_all_that_depends_on_it_released_and_discarded_by_a_person(self) -> None:
-        q = self.queue(ROOM, write(1, parks=True), write(2, 1), write(3, 2), write(4))
-        self.assertFalse(q.handle_conflict(number(1), "changed at the main site"))
-        self.assertEqual([1, 2, 3], [h.write.number.sequence for h in q.dead_letters])
-        self.assertTrue(all(h.reason for h in q.dead_letters))
-        q.restore(write(5, 3))
-        self.assertIs(WriteStage.DEAD_LETTERED, q._writes[number(5)].stage)
-        q.mark_applied(number(4))
-        self.assertTrue(q.is_drained)
-        self.assertFalse(q.discard(number(1)), "others depend on it")
-        self.assertTrue(q.discard(number(5)))
-        self.assertEqual([1, 2, 3], [n.sequence for n in q.release(number(1))])
-        self.assertTrue(q.handle_conflict(number(1), "changed"), "a person said so")
-        self.assertEqual([1], [n.sequence for n, _ in q.ready_writes()])
-
-    def test_what_comes_after_a_write_parked_at_the_other_head_is_parked_and_freed_with_it(self) -> None:
-        other = number(4, branch=2)
-        q = self.queue()
-        q.restore(replace(write(1), other_dependencies=(other,)))
-        q.restore(write(2, 1))
-        q.restore(write(3))
-        q.dead_letter_dependents_of(other)
-        self.assertEqual([1, 2], [h.write.number.sequence for h in q.dead_letters])
-        self.assertEqual([], q.release_dependents_of(other, lambda n: n == other), "it is parked still")
-        self.assertEqual([1, 2], [n.sequence for n in q.release_dependents_of(other)])
-        q.handle_conflict(number(3), "x")
-        q.dead_letter(number(3), "for itself")
-        self.assertEqual([], q.release_dependents_of(number(9)))
-
-    def test_what_was_parked_for_anothers_sake_is_asked_about_once_it_is_released(self) -> None:
-        q = self.queue(ROOM, write(1, parks=True))
-        q.restore(write(2, 1), WriteStage.UNKNOWN, "", (4,))
-        q.handle_conflict(number(1), "changed")
-        self.assertEqual([1, 2], [n.sequence for n in q.release(number(1))])
-        self.assertEqual([WriteStage.WAITING, WriteStage.UNKNOWN], [h.stage for h in q])
-        self.assertEqual([True, False], [h.forced for h in q])
-
-    def test_another_branchs_write_comes_first(self) -> None:
-        there: set[WriteNumber] = set()
-        q = WriteQueue(ROOM, (1.0,), there.__contains__)
-        other = number(4, branch=2)
-        q.restore(Write(number(1), 1, 1, "k", 1.0, 1, 0.0, (), (other,)))
-        self.assertEqual([], q.ready_writes())
-        there.add(other)
-        self.assertEqual(1, len(q.ready_writes()))
-
-    def test_causes_are_all_that_a_client_knows_and_no_more(self) -> None:
+    def test_a_lost_connection_makes_only_writes_sent_over_it_unknown(self) -> None:
+        queue = self.make_queue(LIMITS, make_write(1), make_write(2))
+        queue.mark_sent(write_number(1), 7)
+        queue.mark_sent(write_number(2), 8)
+        queue.mark_connection_lost(7)
+        self.assertEqual([WriteStage.UNKNOWN, WriteStage.SENT], [queued.stage for queued in queue])
+
+    def test_a_write_being_persisted_counts_against_the_limits_and_is_not_replayed(self) -> None:
+        queue = self.make_queue()
+        queue.add_persisting(make_write(1, key="a"))
+        queue.add_persisting(make_write(2, 1, key="a"))
+        self.assertEqual((200, []), (queue.size, queue.ready_writes()))
+        queue.mark_persisted(write_number(2))
+        self.assertEqual([], queue.ready_writes(), "its dependency is not accepted yet")
+        queue.withdraw(write_number(1))
+        self.assertEqual([2], [number.sequence for number, _ in queue.ready_writes()])
+        self.assertEqual(write_number(2), queue.last_of_key("a"))
+
+    def test_a_clients_retry_is_recognized_as_a_duplicate(self) -> None:
+        queue = self.make_queue(LIMITS, replace(make_write(1), idempotency_key=77))
+        self.assertEqual(write_number(1), queue.duplicate_of(77, 1, 1))
+        self.assertEqual(
+            (None, None, None),
+            (queue.duplicate_of(77, 1, 2), queue.duplicate_of(78, 1, 1), queue.duplicate_of(0, 1, 1)),
+        )
+
+    def test_a_rejected_write_waits_for_its_retry_delay(self) -> None:
+        queue = self.make_queue(LIMITS, make_write(1))
+        queue.mark_sent(write_number(1))
+        queue.mark_rejected(write_number(1), 3, 4.0)  # answers another transmission
+        self.assertIs(WriteStage.SENT, queue._writes[write_number(1)].stage)
+        queue.mark_rejected(write_number(1), 0, 5.0)
+        self.assertEqual(([], 1), (queue.ready_writes(4.9), len(queue.ready_writes(5.0))))
+
+    def test_completed_up_to_stops_before_unfinished_writes_but_skips_dead_letters(self) -> None:
+        queue = self.make_queue(LIMITS, make_write(1), make_write(2), make_write(3))
+        queue.dead_letter(write_number(1), "x")
+        self.assertEqual((1, 1), queue.completed_up_to)
+        queue.mark_applied(write_number(2))
+        queue.mark_applied(write_number(3))
+        self.assertEqual((1, 3), queue.completed_up_to)
+
+    def test_dead_letters_include_dependents_and_can_be_released_or_discarded(self) -> None:
+        queue = self.make_queue(
+            LIMITS, make_write(1, stops_on_conflict=True), make_write(2, 1), make_write(3, 2), make_write(4)
+        )
+        self.assertFalse(queue.handle_conflict(write_number(1), "changed at the main site"))
+        self.assertEqual([1, 2, 3], [queued.write.number.sequence for queued in queue.dead_letters])
+        self.assertTrue(all(queued.reason for queued in queue.dead_letters))
+        queue.restore(make_write(5, 3))
+        self.assertIs(WriteStage.DEAD_LETTERED, queue._writes[write_number(5)].stage)
+        queue.mark_applied(write_number(4))
+        self.assertTrue(queue.is_drained)
+        self.assertFalse(queue.discard(write_number(1)), "other writes depend on it")
+        self.assertTrue(queue.discard(write_number(5)))
+        self.assertEqual([1, 2, 3], [number.sequence for number in queue.release(write_number(1))])
+        self.assertTrue(queue.handle_conflict(write_number(1), "changed"), "an operator forced it")
+        self.assertEqual([1], [number.sequence for number, _ in queue.ready_writes()])
+
+    def test_dependents_of_a_standby_dead_letter_are_dead_lettered_and_released_with_it(self) -> None:
+        standby_write = write_number(4, gateway=2)
+        queue = self.make_queue()
+        queue.restore(replace(make_write(1), other_dependencies=(standby_write,)))
+        queue.restore(make_write(2, 1))
+        queue.restore(make_write(3))
+        queue.dead_letter_dependents_of(standby_write)
+        self.assertEqual([1, 2], [queued.write.number.sequence for queued in queue.dead_letters])
+        self.assertEqual(
+            [],
+            queue.release_dependents_of(standby_write, lambda number: number == standby_write),
+            "it is still dead-lettered",
+        )
+        self.assertEqual([1, 2], [number.sequence for number in queue.release_dependents_of(standby_write)])
+        queue.handle_conflict(write_number(3), "x")
+        queue.dead_letter(write_number(3), "a reason of its own")
+        self.assertEqual([], queue.release_dependents_of(write_number(9)))
+
+    def test_a_released_dependent_that_may_have_run_is_queried(self) -> None:
+        queue = self.make_queue(LIMITS, make_write(1, stops_on_conflict=True))
+        queue.restore(make_write(2, 1), WriteStage.UNKNOWN, "", (4,))
+        queue.handle_conflict(write_number(1), "changed")
+        self.assertEqual([1, 2], [number.sequence for number in queue.release(write_number(1))])
+        self.assertEqual([WriteStage.WAITING, WriteStage.UNKNOWN], [queued.stage for queued in queue])
+        self.assertEqual([True, False], [queued.forced for queued in queue])
+
+    def test_a_write_waits_for_a_dependency_at_the_standby_gateway(self) -> None:
+        finished: set[WriteNumber] = set()
+        queue = WriteQueue(LIMITS, (1.0,), finished.__contains__)
+        standby_write = write_number(4, gateway=2)
+        queue.restore(Write(write_number(1), 1, 1, "k", 1.0, 1, 0.0, (), (standby_write,)))
+        self.assertEqual([], queue.ready_writes())
+        finished.add(standby_write)
+        self.assertEqual(1, len(queue.ready_writes()))
+
+    def test_dependencies_are_exactly_the_writes_the_client_has_seen(self) -> None:
         context = ClientContext()
-        context.observe(number(3))
-        context.acknowledge(write(5))
-        context.observe(number(2))  # read after a later one was answered: it is no cause of that
-        self.assertEqual((number(2), number(3), number(5)), collect_dependencies(1, context.seen)[0])  # type: ignore[index]
-        context.acknowledge(write(6, 2, 3, 5))
-        self.assertEqual({number(6)}, context.seen)
-        context.forget(lambda n: n.sequence == 6)
+        context.observe(write_number(3))
+        context.acknowledge(make_write(5))
+        context.observe(write_number(2))  # read after the acknowledgement, so 5 does not depend on it
+        dependencies = collect_dependencies(1, context.seen)
+        assert dependencies is not None
+        self.assertEqual((write_number(2), write_number(3), write_number(5)), dependencies.own)
+        context.acknowledge(make_write(6, 2, 3, 5))
+        self.assertEqual({write_number(6)}, context.seen)
+        context.forget(lambda number: number.sequence == 6)
         self.assertEqual(set(), context.seen)
 
-    def test_what_may_be_taken_back_brings_its_own_causes(self) -> None:
-        unsure = {number(4): [number(3)], number(3): [number(1, branch=2)]}
-        named = collect_dependencies(1, [number(4)], lambda n: unsure.get(n, []))
-        self.assertEqual(((number(3), number(4)), (number(1, branch=2),)), named)
+    def test_dependencies_include_those_of_a_write_that_may_be_withdrawn(self) -> None:
+        uncertain = {write_number(4): [write_number(3)], write_number(3): [write_number(1, gateway=2)]}
+        dependencies = collect_dependencies(1, [write_number(4)], lambda number: uncertain.get(number, []))
+        self.assertEqual(((write_number(3), write_number(4)), (write_number(1, gateway=2),)), dependencies)
 
-    def test_too_many_causes_are_refused(self) -> None:
-        self.assertIsNone(collect_dependencies(1, [number(n) for n in range(MAX_DEPENDENCIES + 1)]))
+    def test_too_many_dependencies_are_refused(self) -> None:
+        self.assertIsNone(
+            collect_dependencies(1, [write_number(sequence) for sequence in range(MAX_DEPENDENCIES + 1)])
+        )
 
 
-class Parts(unittest.TestCase):
+class SmallerModules(unittest.TestCase):
     def test_a_read_sees_the_last_queued_write_of_each_block(self) -> None:
         overlay = PendingWriteOverlay(2)
-        overlay.add(number(1), 1, 7, b"aabb", ())
-        overlay.add(number(2), 1, 8, b"cc", (number(1),))
-        self.assertEqual([number(1), number(2), None], overlay.latest_writes(1, 7, 3))
-        self.assertEqual((b"aa", b"cc"), (overlay.block_data(number(1), 7), overlay.block_data(number(2), 8)))
-        overlay.remove(number(2))
-        self.assertEqual([number(1), number(1)], overlay.latest_writes(1, 7, 2))
-
-    def test_one_that_is_heard_of_late_goes_before_what_comes_after_it(self) -> None:
+        overlay.add(write_number(1), 1, 7, b"aabb", ())
+        overlay.add(write_number(2), 1, 8, b"cc", (write_number(1),))
+        self.assertEqual([write_number(1), write_number(2), None], overlay.latest_writes(1, 7, 3))
+        self.assertEqual(
+            (b"aa", b"cc"), (overlay.block_data(write_number(1), 7), overlay.block_data(write_number(2), 8))
+        )
+        overlay.remove(write_number(2))
+        self.assertEqual([write_number(1), write_number(1)], overlay.latest_writes(1, 7, 2))
+
+    def test_a_late_write_is_inserted_before_its_dependents(self) -> None:
         overlay = PendingWriteOverlay(1)
-        overlay.add(number(2), 1, 0, b"b", (number(1, branch=2),))
-        overlay.add(number(1, branch=2), 1, 0, b"a", ())
-        self.assertEqual([number(2)], overlay.latest_writes(1, 0, 1))
+        overlay.add(write_number(2), 1, 0, b"b", (write_number(1, gateway=2),))
+        overlay.add(write_number(1, gateway=2), 1, 0, b"a", ())
+        self.assertEqual([write_number(2)], overlay.latest_writes(1, 0, 1))
 
-    def test_what_becomes_of_a_command(self) -> None:
-        one = number(1)
+    def test_admission_of_reads_and_writes(self) -> None:
+        queued_write = write_number(1)
         self.assertEqual(
             [Admission.FORWARD, Admission.REJECT, Admission.SERVE, Admission.SERVE, Admission.REJECT],
             [
                 admit_read(False, [None]),
                 admit_read(True, [None, None]),
-                admit_read(True, [one]),
-                admit_read(False, [one]),
-                admit_read(False, [one, None]),
+                admit_read(True, [queued_write]),
+                admit_read(False, [queued_write]),
+                admit_read(False, [queued_write, None]),
             ],
         )
         self.assertEqual(
@@ -309,291 +332,354 @@
             ],
         )
 
-    def test_bases_know_blocks_that_were_seen_and_tell_changes(self) -> None:
-        bases = BaseVersions(2)
-        bases.observe(1, 5, b"aabb")
-        self.assertEqual(combined_version(block_digests(b"aabb", 2)), bases.version_of(1, 5, 2))
-        self.assertNotEqual(combined_version(block_digests(b"aabc", 2)), bases.version_of(1, 5, 2))
-        self.assertEqual(0, bases.version_of(1, 5, 3))
-        bases.forget(1, 6, 1)
-        self.assertEqual(0, bases.version_of(1, 5, 2))
+    def test_base_versions_cover_seen_blocks_and_detect_changes(self) -> None:
+        base_versions = BaseVersions(2)
+        base_versions.observe(1, 5, b"aabb")
+        self.assertEqual(combined_version(block_digests(b"aabb", 2)), base_versions.version_of(1, 5, 2))
+        self.assertNotEqual(combined_version(block_digests(b"aabc", 2)), base_versions.version_of(1, 5, 2))
+        self.assertEqual(0, base_versions.version_of(1, 5, 3))
+        base_versions.forget(1, 6, 1)
+        self.assertEqual(0, base_versions.version_of(1, 5, 2))
 
-    def test_replay_yields_and_takes_room_again(self) -> None:
+    def test_the_window_grows_with_fast_answers_and_shrinks_on_rejections_and_slow_answers(self) -> None:
         window = ReplayWindow()
         for _ in range(200):
             window.record_success(0.1, 1.0)
         self.assertEqual(MAX_WINDOW, window.size)
-        waits = [window.record_rejection(0.0) for _ in range(8)]
-        self.assertEqual((1, True), (window.size, sorted(waits) == waits and waits[-1] <= 3.0))
-        self.assertEqual(9.0, window.record_rejection(9.0), "the main site's word is not undercut")
+        delays = [window.record_rejection(0.0) for _ in range(8)]
+        self.assertEqual((1, True), (window.size, sorted(delays) == delays and delays[-1] <= 3.0))
+        self.assertEqual(9.0, window.record_rejection(9.0), "the main site's Retry-After is a minimum")
         window.record_success(5.0, 1.0)
         self.assertEqual(1, window.size)
 
-    def test_homes_are_one_order_and_the_other_head_is_stood_in_for_in_time(self) -> None:
+    def test_primary_order_ignores_input_order_and_takeover_waits_for_its_delay(self) -> None:
         self.assertEqual(primary_order(3, [2, 0, 1]), primary_order(3, [1, 2, 0]))
-        s = StandbyTakeover()
+        takeover = StandbyTakeover()
         self.assertEqual(
             [False, False, True, False, False],
             [
-                s.should_replay(True, 0.0),
-                s.should_replay(False, 1.0),
-                s.should_replay(False, 1.0 + TAKEOVER_AFTER),
-                s.should_replay(True, 20.0),
-                s.should_replay(False, 21.0),
+                takeover.should_replay(True, 0.0),
+                takeover.should_replay(False, 1.0),
+                takeover.should_replay(False, 1.0 + TAKEOVER_AFTER),
+                takeover.should_replay(True, 20.0),
+                takeover.should_replay(False, 21.0),
             ],
         )
 
 
-class Main(unittest.TestCase):
-    def runs(self, m: AppliedWrites, place: int, sending: int = 0, epoch: int = 1) -> ReplayOutcome:
-        return m.handle_write(number(place), sending, epoch, False)
-
-    def test_each_is_in_effect_once(self) -> None:
-        m = AppliedWrites(1)
-        self.assertIs(ReplayOutcome.START, self.runs(m, 2))
-        self.assertIs(ReplayOutcome.PENDING, self.runs(m, 2))
-        m.finish(number(2), ReplayOutcome.APPLIED)
-        self.assertIs(ReplayOutcome.APPLIED, self.runs(m, 2))
-        self.assertEqual((ReplayOutcome.APPLIED, 0), m.handle_query(number(2), 1, False))
-
-    def test_an_asking_closes_what_was_sent_before_it_also_of_an_earlier_life(self) -> None:
-        m = AppliedWrites(1)
-        answer, sending = m.handle_query(number(1), 1, False)
-        self.assertIs(ReplayOutcome.NOT_APPLIED, answer)
-        self.assertIs(ReplayOutcome.STALE_TOKEN, self.runs(m, 1), "it comes late")
-        later = AppliedWrites(2)
-        self.assertIs(ReplayOutcome.STALE_TOKEN, self.runs(later, 1, sending))
-        self.assertGreater(later.handle_query(number(1), 1, False)[1], sending)
-
-    def test_what_was_begun_in_an_earlier_life_is_not_known(self) -> None:
-        for redoable, answer in ((False, ReplayOutcome.UNKNOWN), (True, ReplayOutcome.NOT_APPLIED)):
-            m = AppliedWrites(2)
-            m.restore(number(1), False)
-            self.assertIs(answer, m.handle_query(number(1), 1, redoable)[0])
-        m.restore(number(1), True)
-        self.assertIs(ReplayOutcome.APPLIED, m.handle_query(number(1), 1, False)[0])
-
-    def test_a_person_may_say_that_it_is_sent_again(self) -> None:
-        m = AppliedWrites(2)
-        m.restore(number(1), False)
-        self.assertIs(ReplayOutcome.UNKNOWN, self.runs(m, 1))
-        m.release(number(1))
-        self.assertIs(ReplayOutcome.START, self.runs(m, 1))
-
-    def test_below_the_mark_all_is_over_but_what_is_parked(self) -> None:
-        m = AppliedWrites(1)
-        m.restore(number(3), True)
-        self.assertEqual([(1, 3)], m.handle_progress(1, 1, (1, 4), frozenset({(1, 2)})))
+class AppliedWritesTests(unittest.TestCase):
+    def send(
+        self, applied_writes: AppliedWrites, sequence: int, send_token: int = 0, epoch: int = 1
+    ) -> ReplayOutcome:
+        return applied_writes.handle_write(write_number(sequence), send_token, epoch, False)
+
+    def test_each_write_is_applied_once(self) -> None:
+        applied_writes = AppliedWrites(1)
+        self.assertIs(ReplayOutcome.START, self.send(applied_writes, 2))
+        self.assertIs(ReplayOutcome.PENDING, self.send(applied_writes, 2))
+        applied_writes.finish(write_number(2), ReplayOutcome.APPLIED)
+        self.assertIs(ReplayOutcome.APPLIED, self.send(applied_writes, 2))
+        self.assertEqual((ReplayOutcome.APPLIED, 0), applied_writes.handle_query(write_number(2), 1, False))
+
+    def test_a_query_invalidates_earlier_send_tokens_also_of_an_earlier_incarnation(self) -> None:
+        applied_writes = AppliedWrites(1)
+        outcome, send_token = applied_writes.handle_query(write_number(1), 1, False)
+        self.assertIs(ReplayOutcome.NOT_APPLIED, outcome)
+        self.assertIs(ReplayOutcome.STALE_TOKEN, self.send(applied_writes, 1), "it was sent before the query")
+        restarted = AppliedWrites(2)
+        self.assertIs(ReplayOutcome.STALE_TOKEN, self.send(restarted, 1, send_token))
+        self.assertGreater(restarted.handle_query(write_number(1), 1, False)[1], send_token)
+
+    def test_a_write_started_in_an_earlier_incarnation_is_unknown_unless_idempotent(self) -> None:
+        for idempotent, outcome in ((False, ReplayOutcome.UNKNOWN), (True, ReplayOutcome.NOT_APPLIED)):
+            applied_writes = AppliedWrites(2)
+            applied_writes.restore(write_number(1), False)
+            self.assertIs(outcome, applied_writes.handle_query(write_number(1), 1, idempotent)[0])
+        applied_writes.restore(write_number(1), True)
+        self.assertIs(ReplayOutcome.APPLIED, applied_writes.handle_query(write_number(1), 1, False)[0])
+
+    def test_a_released_unknown_write_may_be_sent_again(self) -> None:
+        applied_writes = AppliedWrites(2)
+        applied_writes.restore(write_number(1), False)
+        self.assertIs(ReplayOutcome.UNKNOWN, self.send(applied_writes, 1))
+        applied_writes.release(write_number(1))
+        self.assertIs(ReplayOutcome.START, self.send(applied_writes, 1))
+
+    def test_writes_up_to_the_completed_position_are_applied_except_dead_letters(self) -> None:
+        applied_writes = AppliedWrites(1)
+        applied_writes.restore(write_number(3), True)
+        self.assertEqual([(1, 3)], applied_writes.handle_progress(1, 1, (1, 4), frozenset({(1, 2)})))
         self.assertEqual(
             [ReplayOutcome.APPLIED, ReplayOutcome.START, ReplayOutcome.APPLIED, ReplayOutcome.START],
-            [self.runs(m, place) for place in (1, 2, 4, 5)],
+            [self.send(applied_writes, sequence) for sequence in (1, 2, 4, 5)],
         )
 
-    def test_what_was_parked_and_is_released_is_not_over(self) -> None:
-        q = WriteQueue(ROOM, (1.0,))
-        for place in (1, 2):
-            q.restore(write(place))
-        q.dead_letter(number(1), "x")
-        q.mark_applied(number(2))
-        m = AppliedWrites(1)
-        m.handle_progress(1, 1, q.completed_up_to, frozenset(q.completed_exceptions))
-        q.release(number(1))
-        m.handle_progress(1, 1, q.completed_up_to, frozenset(q.completed_exceptions))
-        self.assertIs(ReplayOutcome.START, self.runs(m, 1))
-        m.finish(number(1), ReplayOutcome.APPLIED)
-        m.handle_progress(1, 1, (1, 2), frozenset())
-        self.assertIs(ReplayOutcome.APPLIED, self.runs(m, 1))
-
-    def test_an_earlier_epoch_is_shut_out(self) -> None:
-        m = AppliedWrites(1)
-        m.handle_progress(1, 7, (0, 0), frozenset())
-        self.assertIsNone(m.handle_progress(1, 6, (0, 0), frozenset()))
-        self.assertIs(ReplayOutcome.FENCED, self.runs(m, 1, epoch=6))
-        self.assertEqual((ReplayOutcome.FENCED, 7), m.handle_query(number(1), 6, False))
-        self.assertIs(ReplayOutcome.START, self.runs(m, 1, epoch=7))
-
-    def test_no_more_run_at_once_than_the_main_site_bears(self) -> None:
-        m = AppliedWrites(1)
-        answers = [m.handle_write(number(1, branch=b), 0, 1, False) for b in range(MAX_RUNNING + 1)]
-        self.assertEqual([ReplayOutcome.START] * MAX_RUNNING + [ReplayOutcome.RETRY], answers)
-
-
-class Checked(unittest.TestCase):
-    """State by state: two or three writes (the second after the first, the third apart), sendings and answers
-    that are late or lost, a crash of the branch or of the main site's head at every point, also between the
-    shelf's work and its answer. The cores decide."""
-
-    WRITES = (write(1, key="a"), write(2, 1, key="a"), write(3))
+    def test_a_released_dead_letter_is_not_taken_for_applied(self) -> None:
+        queue = WriteQueue(LIMITS, (1.0,))
+        for sequence in (1, 2):
+            queue.restore(make_write(sequence))
+        queue.dead_letter(write_number(1), "x")
+        queue.mark_applied(write_number(2))
+        applied_writes = AppliedWrites(1)
+        applied_writes.handle_progress(1, 1, queue.completed_up_to, frozenset(queue.completed_exceptions))
+        queue.release(write_number(1))
+        applied_writes.handle_progress(1, 1, queue.completed_up_to, frozenset(queue.completed_exceptions))
+        self.assertIs(ReplayOutcome.START, self.send(applied_writes, 1))
+        applied_writes.finish(write_number(1), ReplayOutcome.APPLIED)
+        applied_writes.handle_progress(1, 1, (1, 2), frozenset())
+        self.assertIs(ReplayOutcome.APPLIED, self.send(applied_writes, 1))
+
+    def test_an_earlier_epoch_is_fenced(self) -> None:
+        applied_writes = AppliedWrites(1)
+        applied_writes.handle_progress(1, 7, (0, 0), frozenset())
+        self.assertIsNone(applied_writes.handle_progress(1, 6, (0, 0), frozenset()))
+        self.assertIs(ReplayOutcome.FENCED, self.send(applied_writes, 1, epoch=6))
+        self.assertEqual((ReplayOutcome.FENCED, 7), applied_writes.handle_query(write_number(1), 6, False))
+        self.assertIs(ReplayOutcome.START, self.send(applied_writes, 1, epoch=7))
+
+    def test_concurrently_running_writes_are_limited(self) -> None:
+        applied_writes = AppliedWrites(1)
+        outcomes = [
+            applied_writes.handle_write(write_number(1, gateway=gateway), 0, 1, False)
+            for gateway in range(MAX_RUNNING + 1)
+        ]
+        self.assertEqual([ReplayOutcome.START] * MAX_RUNNING + [ReplayOutcome.RETRY], outcomes)
+
+
+class ReplayModelCheck(unittest.TestCase):
+    """Explores every state of a small model of the replay.
+
+    It has two or three writes; the second depends on the first, the third on none. Messages and answers may be
+    late or lost. The branch or the gateway of the main site may crash at any point, also after a backend ran a
+    write and before it answered. The modules under test make all decisions.
+    """
+
+    WRITES = (make_write(1, key="a"), make_write(2, 1, key="a"), make_write(3))
 
     def check(
         self,
-        crashes: int = 1,
-        mains: int = 1,
-        blind: bool = False,
-        plant: Callable[[AppliedWrites], None] = lambda m: None,
-        causal: bool = True,
+        branch_failures: int = 1,
+        main_site_crashes: int = 1,
+        skip_queries: bool = False,
+        plant: Callable[[AppliedWrites], None] = lambda applied_writes: None,
+        keep_dependencies: bool = True,
         writes: int = 2,
     ) -> dict[str, Any]:
-        def queue(held: Any) -> WriteQueue:
-            q = WriteQueue(ROOM, (1.0,))
-            for place, stage, sending in held:
-                w = self.WRITES[place - 1]
-                w = w if causal else replace(w, own_dependencies=())
-                known = WriteStage(stage) in (WriteStage.UNKNOWN, WriteStage.QUERIED, WriteStage.SENT)
-                q._writes[w.number] = QueuedWrite(
-                    w, WriteStage(stage), "", 0, {0: sending}, [0] if known else []
+        def load_queue(queued_writes: Any) -> WriteQueue:
+            queue = WriteQueue(LIMITS, (1.0,))
+            for sequence, stage, send_token in queued_writes:
+                write = self.WRITES[sequence - 1]
+                write = write if keep_dependencies else replace(write, own_dependencies=())
+                may_have_run = WriteStage(stage) in (WriteStage.UNKNOWN, WriteStage.QUERIED, WriteStage.SENT)
+                queue._writes[write.number] = QueuedWrite(
+                    write, WriteStage(stage), "", 0, {0: send_token}, [0] if may_have_run else []
                 )
-            return q
+            return queue
 
-        def kept(q: WriteQueue) -> Any:
-            return tuple((n.sequence, h.stage.value, h.send_token(0)) for n, h in q._writes.items())
+        def dump_queue(queue: WriteQueue) -> Any:
+            return tuple(
+                (number.sequence, queued.stage.value, queued.send_token(0))
+                for number, queued in queue._writes.items()
+            )
 
-        def landing(state: Any) -> AppliedWrites:
-            life, in_effect, unknown, running, closed = state
-            m = AppliedWrites(life)
-            m._branches[1] = BranchWrites(
+        def load_main_site(state: Any) -> AppliedWrites:
+            incarnation, applied, unknown, running, send_tokens = state
+            applied_writes = AppliedWrites(incarnation)
+            applied_writes._branches[1] = BranchWrites(
                 1,
                 (0, 0),
                 frozenset(),
-                *({(1, p) for p in places} for places in (in_effect, unknown, running)),
-                {(1, p): n for p, n in closed},
+                *({(1, sequence) for sequence in sequences} for sequences in (applied, unknown, running)),
+                {(1, sequence): token for sequence, token in send_tokens},
             )
-            plant(m)
-            return m
+            plant(applied_writes)
+            return applied_writes
 
-        def main(m: AppliedWrites) -> Any:
-            of = m._branches[1]
-            closed = tuple(sorted((p, n) for (_, p), n in of.send_tokens.items()))
+        def dump_main_site(applied_writes: AppliedWrites) -> Any:
+            branch = applied_writes._branches[1]
+            send_tokens = tuple(
+                sorted((sequence, token) for (_, sequence), token in branch.send_tokens.items())
+            )
             return (
-                m._first_token >> 12,
-                *(tuple(sorted(p for _, p in places)) for places in (of.applied, of.unknown, of.running)),
-                closed,
+                applied_writes._first_token >> 12,
+                *(
+                    tuple(sorted(sequence for _, sequence in positions))
+                    for positions in (branch.applied, branch.unknown, branch.running)
+                ),
+                send_tokens,
             )
 
         def transitions(state: Any) -> list[tuple[str, Any]]:
-            held, there, flying, ran, done, left, lives = state
+            queued, main, in_flight, ran, done, failures, crashes = state
             found: list[tuple[str, Any]] = []
-            q = queue(held)
-            for n, ask in q.ready_writes():
-                q = queue(held)
-                if ask and not blind:
-                    q.mark_queried(n)
-                    more = flying | {("ask", n.sequence, 0)}
-                    found.append(("asks", (kept(q), there, more, ran, done, left, lives)))
+            queue = load_queue(queued)
+            for number, query_first in queue.ready_writes():
+                queue = load_queue(queued)
+                if query_first and not skip_queries:
+                    queue.mark_queried(number)
+                    more = in_flight | {("ask", number.sequence, 0)}
+                    found.append(("query", (dump_queue(queue), main, more, ran, done, failures, crashes)))
                 else:
-                    q.mark_sent(n)
-                    more = flying | {("send", n.sequence, q._writes[n].send_token(0))}
-                    found.append(("sends", (kept(q), there, more, ran, done, left, lives)))
-            for message in flying:
-                what, place, sending = message
-                rest, n = flying - {message}, number(place)
-                m, q = landing(there), queue(held)
-                if what in ("send", "old send"):
-                    answer = m.handle_write(n, sending, 1, False)
-                    no_word = what == "old send" or answer in (ReplayOutcome.START, ReplayOutcome.PENDING)
-                    more = rest if no_word else rest | {(answer.name, place, sending)}
-                    found.append(("comes", (held, main(m), more, ran, done, left, lives)))
-                elif what in ("ask", "old ask"):
-                    answer, taken = m.handle_query(n, 1, False)
-                    if answer is not ReplayOutcome.PENDING or what == "old ask":
-                        more = rest if what == "old ask" else rest | {(answer.name, place, taken)}
-                        found.append(("is asked", (held, main(m), more, ran, done, left, lives)))
+                    queue.mark_sent(number)
+                    token = queue._writes[number].send_token(0)
+                    more = in_flight | {("send", number.sequence, token)}
+                    found.append(("send", (dump_queue(queue), main, more, ran, done, failures, crashes)))
+            for message in in_flight:
+                kind, sequence, token = message
+                rest, number = in_flight - {message}, write_number(sequence)
+                main_site, queue = load_main_site(main), load_queue(queued)
+                if kind in ("send", "old send"):
+                    outcome = main_site.handle_write(number, token, 1, False)
+                    no_reply = kind == "old send" or outcome in (ReplayOutcome.START, ReplayOutcome.PENDING)
+                    more = rest if no_reply else rest | {(outcome.name, sequence, token)}
+                    found.append(
+                        (
+                            "write arrives",
+                            (queued, dump_main_site(main_site), more, ran, done, failures, crashes),
+                        )
+                    )
+                elif kind in ("ask", "old ask"):
+                    outcome, detail = main_site.handle_query(number, 1, False)
+                    if outcome is not ReplayOutcome.PENDING or kind == "old ask":
+                        more = rest if kind == "old ask" else rest | {(outcome.name, sequence, detail)}
+                        found.append(
+                            (
+                                "query arrives",
+                                (queued, dump_main_site(main_site), more, ran, done, failures, crashes),
+                            )
+                        )
                     continue
                 else:
-                    if what == "APPLIED":
-                        q.mark_applied(n)
-                    elif what == "NOT_APPLIED":
-                        q.mark_not_applied(n, 0, sending)
-                    elif what == "UNKNOWN":
-                        q.dead_letter(n, "")
-                    elif what == "STALE_TOKEN":
-                        q.mark_token_refused(n, sending)
+                    if kind == "APPLIED":
+                        queue.mark_applied(number)
+                    elif kind == "NOT_APPLIED":
+                        queue.mark_not_applied(number, 0, token)
+                    elif kind == "UNKNOWN":
+                        queue.dead_letter(number, "")
+                    elif kind == "STALE_TOKEN":
+                        queue.mark_token_refused(number, token)
                     else:
-                        q.mark_rejected(n, sending)
-                    found.append(("hears", (kept(q), there, rest, ran, done, left, lives)))
-                    found.append(("answer lost", (held, there, rest, ran, done, left, lives)))
-            for place in there[3]:
-                sent = dict(there[4]).get(place, 0)
-                if place not in done:  # the shelf works on it, or never gets it
-                    found.append(("runs", (held, there, flying, (*ran, place), (*done, place), left, lives)))
-                m = landing(there)
-                answer = ReplayOutcome.APPLIED if place in done else ReplayOutcome.RETRY
-                m.finish(number(place), answer)
-                more, rest = flying | {(answer.name, place, sent)}, tuple(p for p in done if p != place)
-                found.append(("ends", (held, main(m), more, ran, rest, left, lives)))
-            if left:
-                q = queue(held)
-                q.mark_connection_lost()
-                # What was on its way there may come late; its answers find nobody.
+                        queue.mark_rejected(number, token)
+                    found.append(
+                        ("answer arrives", (dump_queue(queue), main, rest, ran, done, failures, crashes))
+                    )
+                    found.append(("answer lost", (queued, main, rest, ran, done, failures, crashes)))
+            for sequence in main[3]:
+                token = dict(main[4]).get(sequence, 0)
+                if sequence not in done:  # the backend runs it now, or never receives it
+                    found.append(
+                        (
+                            "backend runs it",
+                            (queued, main, in_flight, (*ran, sequence), (*done, sequence), failures, crashes),
+                        )
+                    )
+                main_site = load_main_site(main)
+                outcome = ReplayOutcome.APPLIED if sequence in done else ReplayOutcome.RETRY
+                main_site.finish(write_number(sequence), outcome)
+                more = in_flight | {(outcome.name, sequence, token)}
+                rest = tuple(each for each in done if each != sequence)
+                found.append(
+                    (
+                        "write ends",
+                        (queued, dump_main_site(main_site), more, ran, rest, failures, crashes),
+                    )
+                )
+            if failures:
+                queue = load_queue(queued)
+                queue.mark_connection_lost()
+                # Messages on their way to the main site may arrive late; nobody receives their answers.
                 old = frozenset(
-                    (f"old {m[0].split(' ')[-1]}", *m[1:]) for m in flying if m[0].endswith(("send", "ask"))
+                    (f"old {message[0].split(' ')[-1]}", *message[1:])
+                    for message in in_flight
+                    if message[0].endswith(("send", "ask"))
+                )
+                found.append(
+                    (
+                        "branch crash or disconnect",
+                        (dump_queue(queue), main, old, ran, done, failures - 1, crashes),
+                    )
+                )
+            if crashes:
+                incarnation, applied, unknown, running, _ = main
+                queue = load_queue(queued)
+                queue.mark_connection_lost()
+                restarted = load_main_site((incarnation + 1, applied, (*unknown, *running), (), ()))
+                found.append(
+                    (
+                        "main site crash",
+                        (
+                            dump_queue(queue),
+                            dump_main_site(restarted),
+                            frozenset(),
+                            ran,
+                            (),
+                            failures,
+                            crashes - 1,
+                        ),
+                    )
                 )
-                found.append(("crash or cut", (kept(q), there, old, ran, done, left - 1, lives)))
-            if lives:
-                life, in_effect, unknown, running, _ = there
-                q = queue(held)
-                q.mark_connection_lost()
-                again = landing((life + 1, in_effect, (*unknown, *running), (), ()))
-                found.append(("main crash", (kept(q), main(again), frozenset(), ran, (), left, lives - 1)))
             return found
 
-        def causal_order(d: Any) -> bool:
-            return 2 not in d["ran"] or 1 in d["ran"][: d["ran"].index(2)]
+        def causal_order(state: Any) -> bool:
+            return 2 not in state["ran"] or 1 in state["ran"][: state["ran"].index(2)]
 
-        def not_lost(d: Any) -> bool:
-            """What the queue holds no more has run."""
-            return set(range(1, writes + 1)) - {place for place, _, _ in d["held"]} <= set(d["ran"])
+        def nothing_lost(state: Any) -> bool:
+            """Returns whether every write that left the queue has run."""
+            in_queue = {sequence for sequence, _, _ in state["queued"]}
+            return set(range(1, writes + 1)) - in_queue <= set(state["ran"])
 
         result: dict[str, Any] = check_safety(
             Protocol(
                 name="replay",
                 candidate=False,
-                fields=("held", "main", "flying", "ran", "done", "left", "lives"),
+                fields=("queued", "main", "in_flight", "ran", "done", "failures", "crashes"),
                 initial=(
-                    tuple((n + 1, WriteStage.WAITING.value, 0) for n in range(writes)),
+                    tuple((index + 1, WriteStage.WAITING.value, 0) for index in range(writes)),
                     (1, (), (), (), ()),
                     frozenset(),
                     (),
                     (),
-                    crashes,
-                    mains,
+                    branch_failures,
+                    main_site_crashes,
                 ),
                 transitions=transitions,
                 invariants={
-                    "each once": lambda d: len(set(d["ran"])) == len(d["ran"]),
+                    "applied once": lambda state: len(set(state["ran"])) == len(state["ran"]),
                     "causal order": causal_order,
-                    "nothing lost": not_lost,
+                    "nothing lost": nothing_lost,
                 },
             ),
             400_000,
         )
         return result
 
-    def test_every_order_of_crashes_and_late_messages_keeps_it(self) -> None:
-        for crashes, mains, writes in ((2, 1, 2), (1, 1, 3)):
-            result = self.check(crashes, mains, writes=writes)
+    def test_the_invariants_hold_for_every_order_of_crashes_and_late_messages(self) -> None:
+        for branch_failures, main_site_crashes, writes in ((2, 1, 2), (1, 1, 3)):
+            result = self.check(branch_failures, main_site_crashes, writes=writes)
             self.assertTrue(result["exhaustive"], result)
-            self.assertTrue(all(p["holds"] for p in result["properties"].values()), result["properties"])
+            self.assertTrue(
+                all(invariant["holds"] for invariant in result["properties"].values()), result["properties"]
+            )
 
-    def test_each_planted_flaw_is_found(self) -> None:
-        def forgets(m: AppliedWrites) -> None:
-            m._is_applied = lambda of, place: False  # type: ignore[method-assign]
+    def test_each_planted_defect_is_found(self) -> None:
+        def forget_applied(applied_writes: AppliedWrites) -> None:
+            applied_writes._is_applied = lambda writes, position: False  # type: ignore[method-assign]
 
-        def knows_nothing(m: AppliedWrites) -> None:
-            m._branches[1].unknown.clear()
+        def forget_unknown(applied_writes: AppliedWrites) -> None:
+            applied_writes._branches[1].unknown.clear()
 
-        self.assertFalse(self.check(1, 0, plant=forgets)["properties"]["each once"]["holds"])
-        self.assertFalse(self.check(0, 1, plant=knows_nothing)["properties"]["each once"]["holds"])
+        self.assertFalse(self.check(1, 0, plant=forget_applied)["properties"]["applied once"]["holds"])
+        self.assertFalse(self.check(0, 1, plant=forget_unknown)["properties"]["applied once"]["holds"])
         self.assertFalse(
-            self.check(0, 0, causal=False)["properties"]["causal order"]["holds"],
-            "replayed in order of arrival alone",
+            self.check(0, 0, keep_dependencies=False)["properties"]["causal order"]["holds"],
+            "replayed without regard to dependencies",
         )
 
-    def test_sending_again_blindly_is_dropped_by_the_main_site(self) -> None:
-        self.assertTrue(self.check(1, 0, blind=True)["properties"]["each once"]["holds"])
+    def test_the_main_site_drops_writes_sent_again_without_a_query(self) -> None:
+        self.assertTrue(self.check(1, 0, skip_queries=True)["properties"]["applied once"]["holds"])
 
 
-class Replayed(unittest.TestCase):
+class RandomHistories(unittest.TestCase):
     @given(
         st.lists(
             st.tuples(st.integers(0, 4), st.lists(st.integers(1, 5), max_size=3)), min_size=1, max_size=25
@@ -601,43 +687,49 @@
         st.randoms(use_true_random=False),
     )
     @settings(max_examples=150, deadline=None)
-    def test_any_history_is_replayed_once_each_in_causal_order(
-        self, said: list[tuple[int, list[int]]], chance: Any
+    def test_any_history_is_replayed_exactly_once_in_causal_order(
+        self, history: list[tuple[int, list[int]]], random: Any
     ) -> None:
-        q, m = WriteQueue(ROOM, (1.0,)), AppliedWrites(1)
-        all_causes: dict[WriteNumber, tuple[WriteNumber, ...]] = {}
-        for place, (key, back) in enumerate(said, 1):
-            last = q.last_of_key(str(key))
-            own = {number(place - b) for b in back if place > b} | ({last} if last is not None else set())
-            w = Write(number(place), 1, place, str(key), 1.0, 1, 0.0, tuple(sorted(own)))
-            all_causes[w.number] = w.own_dependencies
-            q.restore(w)
+        queue, applied_writes = WriteQueue(LIMITS, (1.0,)), AppliedWrites(1)
+        all_dependencies: dict[WriteNumber, tuple[WriteNumber, ...]] = {}
+        for sequence, (key, distances) in enumerate(history, 1):
+            last = queue.last_of_key(str(key))
+            own = {write_number(sequence - distance) for distance in distances if sequence > distance} | (
+                {last} if last is not None else set()
+            )
+            write = Write(write_number(sequence), 1, sequence, str(key), 1.0, 1, 0.0, tuple(sorted(own)))
+            all_dependencies[write.number] = write.own_dependencies
+            queue.restore(write)
         ran: list[WriteNumber] = []
-        flying: list[tuple[WriteNumber, int]] = []
+        in_flight: list[tuple[WriteNumber, int]] = []
         for _ in range(3000):
-            if q.is_drained:
+            if queue.is_drained:
                 break
-            for n, ask in q.ready_writes():
-                if ask:
-                    q.mark_queried(n)
-                    answer, sending = m.handle_query(n, 1, False)
-                    q.mark_applied(n) if answer is ReplayOutcome.APPLIED else q.mark_not_applied(
-                        n, 0, sending
-                    )
+            for number, query_first in queue.ready_writes():
+                if query_first:
+                    queue.mark_queried(number)
+                    outcome, send_token = applied_writes.handle_query(number, 1, False)
+                    if outcome is ReplayOutcome.APPLIED:
+                        queue.mark_applied(number)
+                    else:
+                        queue.mark_not_applied(number, 0, send_token)
                 else:
-                    q.mark_sent(n)
-                    flying.append((n, q._writes[n].send_token(0)))
-            if flying:
-                n, sending = flying.pop(chance.randrange(len(flying)))
-                if m.handle_write(n, sending, 1, False) is ReplayOutcome.START:
-                    m.finish(n, ReplayOutcome.APPLIED)
-                    ran.append(n)
-                if chance.random() < 0.7 and m.handle_write(n, sending, 1, False) is ReplayOutcome.APPLIED:
-                    q.mark_applied(n)
-            if chance.random() < 0.2 or not flying:
-                q.mark_connection_lost()
-        self.assertTrue(q.is_drained)
-        self.assertEqual(sorted(all_causes), sorted(ran))
-        for n in ran:
-            for cause in all_causes[n]:
-                self.assertLess(ran.index(cause), ran.index(n))
+                    queue.mark_sent(number)
+                    in_flight.append((number, queue._writes[number].send_token(0)))
+            if in_flight:
+                number, send_token = in_flight.pop(random.randrange(len(in_flight)))
+                if applied_writes.handle_write(number, send_token, 1, False) is ReplayOutcome.START:
+                    applied_writes.finish(number, ReplayOutcome.APPLIED)
+                    ran.append(number)
+                if (
+                    random.random() < 0.7
+                    and applied_writes.handle_write(number, send_token, 1, False) is ReplayOutcome.APPLIED
+                ):
+                    queue.mark_applied(number)
+            if random.random() < 0.2 or not in_flight:
+                queue.mark_connection_lost()
+        self.assertTrue(queue.is_drained)
+        self.assertEqual(sorted(all_dependencies), sorted(ran))
+        for number in ran:
+            for dependency in all_dependencies[number]:
+                self.assertLess(ran.index(dependency), ran.index(number))
--- a/tests/offline_writes/test_epoch_fence.py
+++ b/tests/offline_writes/test_epoch_fence.py
@@ -1,4 +1,4 @@
-"""When a gateway holds off its replay as another one replays its queue."""
+"""Tests how long a gateway stops its replay while another one replays its queue."""
 
 from gorsethread.offline_writes.epoch_fence import FENCE_DURATION, EpochFence
 
@@ -17,7 +17,7 @@
     assert not fence.is_fenced(10.0 + FENCE_DURATION)
 
 
-def test_an_epoch_that_is_not_later_holds_it_off_for_the_time_alone() -> None:
+def test_a_fence_by_an_epoch_that_is_not_later_ends_with_its_duration() -> None:
     fence = EpochFence()
     fence.start(7)
     fence.fence(7, 10.0)
--- a/tests/offline_writes/test_messages.py
+++ b/tests/offline_writes/test_messages.py
@@ -1,4 +1,4 @@
-"""The bytes of each kind of message about queued writes, as earlier versions send and read them."""
+"""Tests that messages about queued writes are encoded in the bytes that earlier versions send and read."""
 
 import msgspec
 import pytest
@@ -26,10 +26,10 @@
 
 
 @pytest.mark.parametrize(("message", "encoded"), ENCODED, ids=lambda value: type(value).__name__)
-def test_each_message_keeps_its_bytes(message: msgspec.Struct, encoded: str) -> None:
+def test_encoding_of_each_message_is_stable(message: msgspec.Struct, encoded: str) -> None:
     assert encode(message).hex() == encoded
     assert MessageReader(messages.DECODER).take(bytes.fromhex(encoded)) == [message]
 
 
-def test_no_kind_of_message_is_left_out() -> None:
+def test_every_message_class_has_an_encoding_here() -> None:
     assert {type(message) for message, _ in ENCODED} == set(messages.BRANCH_MESSAGES)
--- a/tests/offline_writes/test_queue_recovery.py
+++ b/tests/offline_writes/test_queue_recovery.py
@@ -1,4 +1,4 @@
-"""With what state a stored write comes back into the queue after a start."""
+"""Tests the state in which a stored write is restored to the queue after a start."""
 
 import pytest
 
@@ -37,7 +37,7 @@
         ),
     ],
 )
-def test_a_stored_write_comes_back_no_further_than_its_records_show(
+def test_a_stored_write_is_restored_at_most_as_far_as_its_records_prove(
     recorded: WriteProgress | None, in_doubt: bool, expected: RecoveredProgress
 ) -> None:
     assert recovered_progress(recorded, in_doubt, PRIMARIES) == expected
