--- a/tests/offline_writes/test_cores.py
+++ b/tests/offline_writes/test_cores.py
@@ -449,9 +449,9 @@
 class ReplayModelCheck(unittest.TestCase):
     """Explores every state of a small model of the replay.
 
-    It has two or three writes; the second depends on the first, the third on none. Messages and answers may be
-    late or lost. The branch or the gateway of the main site may crash at any point, also after a backend ran a
-    write and before it answered. The modules under test make all decisions.
+    It has two or three writes; the second depends on the first, the third on none. Messages and answers may
+    be late or lost. The branch or the gateway of the main site may crash at any point, also after a backend
+    ran a write and before it answered. The modules under test make all decisions.
     """
 
     WRITES = (make_write(1, key="a"), make_write(2, 1, key="a"), make_write(3))
--- a/tests/test_offline_writes.py
+++ b/tests/test_offline_writes.py
@@ -1,4 +1,4 @@
-"""A branch whose link goes: worlds with every fault, planted defects, a person's hand, real processes."""
+"""Tests offline writes of a branch in simulations with faults and mutants, and with real processes."""
 
 import asyncio
 import json
@@ -34,8 +34,8 @@
 
 PATH = Path(__file__).parent.parent / "deploy" / "branch.txtpb"
 SITE = read_site(PATH)
-# Heads of the main site die just as a shelf answers them, soon after replay begins.
-DIE_IN_REPLAY = """seed 3
+# Gateways of the main site crash when a backend answers them, soon after the replay starts.
+CRASHES_DURING_REPLAY = """seed 3
 heads 5
 shelves 6
 seconds 16
@@ -46,14 +46,14 @@
 7.1 crash head-1 -> shelf-2 by 4 for 0.5
 7.1 crash head-2 -> shelf-1 by 3 for 0.5
 """
-# A script, or the seed of one, whose world shows each planted defect.
-SHOWN: dict[str, int | str] = {
+# For each mutant a script, or the seed of one, whose simulation detects it.
+DETECTING_SCRIPTS: dict[str, int | str] = {
     "branch: accepted before it is on a disk": 0,
     "branch: accepted before the other head has it": 3,
     "branch: replayed in order of acceptance alone": 0,
     "branch: the queue goes with its process": 6,
     "branch: what is given up stays on the disks": 1,
-    "branch: reads do not see what is queued": DIE_IN_REPLAY,
+    "branch: reads do not see what is queued": CRASHES_DURING_REPLAY,
     "branch: live writes overtake what is queued": 3,
     "branch: once cut off, always cut off": 0,
     "branch: what the other head took is no cause": 0,
@@ -62,17 +62,18 @@
     "branch: the mark is past what waits": 3,
     "branch: copies come on any stream": 238,
     "main site: what is in effect is not known": 68,
-    "main site: what was begun is not known after a restart": DIE_IN_REPLAY,
+    "main site: what was begun is not known after a restart": CRASHES_DURING_REPLAY,
     "main site: told as in effect as it comes": 0,
 }
-FAILED_ONCE = (35, 41, 114, 172, 210, 277)  # by causes that are hard to meet
-ODD_ONES = "seed 8\nheads 5\nshelves 6\nseconds 16\n"
-STANDS_IN = (
+REGRESSION_SEEDS = (35, 41, 114, 172, 210, 277)  # failed once, by causes that occur rarely
+SCRIPT_START = "seed 8\nheads 5\nshelves 6\nseconds 16\n"
+DEAD_STANDBY = (
     "seed 8\nheads 5\nshelves 6\nseconds 34\n1 link head-3 by 0 for 4\n1 link head-4 by 0 for 4\n"
     "4.5 kill head-3 for 24\n"
 )
-# The link goes, a head of the branch dies meanwhile, one of the main site in replay; then a disk is lost.
-REAL = """
+# The link is lost. A branch gateway dies meanwhile, and one of the main site during the replay. Later the
+# link is lost again and a branch gateway loses its disk.
+REAL_PROCESSES = """
 seed 9
 heads 5
 shelves 6
@@ -87,280 +88,315 @@
 """
 
 
-def of_ten_branches() -> pb.Site:
-    """The same main site, and ten branches of one head, each with a tenant and a volume of its own."""
-    made = pb.Site()
-    made.CopyFrom(SITE)
-    shared = next(v for v in made.volume if 3 in v.head)
-    del made.branch[:], made.head[3:]
-    for n in range(3, 13):
-        made.head.add(number=n, address=f"127.0.0.1:{4420 + n}", peers=f"127.0.0.1:{4520 + n}", zone=n)
-        made.branch.add(name=f"quay {n}", head=[n], queue_bytes=1 << 24, queue_writes=2000, queue_age=86400)
-        made.tenant.add(name=f"quay {n}", host=[f"nqn.2026-12.org.gorsethread:host:quay-{n}"])
-        v = made.volume.add()
-        v.CopyFrom(shared)
-        v.number, v.name, v.tenant, v.plan = 20 + n, f"quay-{n}", f"quay {n}", "or"
-        v.head[:] = [n % 3, (n + 1) % 3, n]
-    for v in [v for v in made.volume if v.number in (8, 9)]:
-        made.volume.remove(v)
-    return made
-
-
-class Worlds(unittest.TestCase):
-    def test_drawn_worlds_lose_double_and_reorder_nothing(self) -> None:
-        played = play_many(SITE, [*range(24), *FAILED_ONCE])
-        failed = [(p.seed, p.reasons, p.first) for p in played if p.reasons]
+def site_with_ten_branches() -> pb.Site:
+    """Returns the same main site with ten branches of one gateway, each with its own tenant and volume."""
+    site = pb.Site()
+    site.CopyFrom(SITE)
+    template = next(volume for volume in site.volume if 3 in volume.head)
+    del site.branch[:], site.head[3:]
+    for gateway in range(3, 13):
+        name = f"quay {gateway}"
+        site.head.add(
+            number=gateway,
+            address=f"127.0.0.1:{4420 + gateway}",
+            peers=f"127.0.0.1:{4520 + gateway}",
+            zone=gateway,
+        )
+        site.branch.add(name=name, head=[gateway], queue_bytes=1 << 24, queue_writes=2000, queue_age=86400)
+        site.tenant.add(name=name, host=[f"nqn.2026-12.org.gorsethread:host:quay-{gateway}"])
+        volume = site.volume.add()
+        volume.CopyFrom(template)
+        volume.number, volume.name, volume.tenant, volume.plan = 20 + gateway, f"quay-{gateway}", name, "or"
+        volume.head[:] = [gateway % 3, (gateway + 1) % 3, gateway]
+    for volume in [volume for volume in site.volume if volume.number in (8, 9)]:
+        site.volume.remove(volume)
+    return site
+
+
+class Simulations(unittest.TestCase):
+    def test_random_faults_lose_duplicate_and_reorder_no_write(self) -> None:
+        outcomes = play_many(SITE, [*range(24), *REGRESSION_SEEDS])
+        failed = [(outcome.seed, outcome.reasons, outcome.first) for outcome in outcomes if outcome.reasons]
         self.assertEqual([], failed)
 
-    def test_each_planted_defect_is_seen(self) -> None:
-        self.assertEqual(set(BRANCH_MUTANTS), set(SHOWN))
-        for name, given in SHOWN.items():
-            with self.subTest(name):
-                script = read_script(given) if isinstance(given, str) else drawn(SITE, given)
-                self.assertFalse(play(SITE, script, name).good)
-        self.assertTrue(play(SITE, read_script(DIE_IN_REPLAY)).good)
-
-    def test_the_other_head_replays_for_one_that_does_not_come_back_and_leaves_off_once_it_does(self) -> None:
-        w = BranchWorld(SITE, read_script(STANDS_IN))
-        o = w.play()
-        self.assertEqual(([], []), (o.reasons, o.defects))
-        encode = [h["what"] for h in w.heads[4].branch.history if h["number"] is None]
-        self.assertIn("stands in", encode)
-        self.assertIn("gives back", encode[encode.index("stands in") :])
-        stood = [h for h in w.heads[4].branch.history if h["what"] == "in effect" and h["number"][0] == 3]
-        self.assertGreater(len(stood), 2)
-
-    def test_ten_branches_back_at_once_do_the_main_site_no_harm(self) -> None:
-        links = "".join(f"6 link head-{n} by 0 for 8\n" for n in range(3, 13))
-        w = BranchWorld(
-            of_ten_branches(), read_script(f"seed 3\nheads 13\nshelves 6\nseconds 24\nfactor 2\n{links}")
+    def test_each_mutant_is_detected(self) -> None:
+        self.assertEqual(set(BRANCH_MUTANTS), set(DETECTING_SCRIPTS))
+        for mutant, source in DETECTING_SCRIPTS.items():
+            with self.subTest(mutant):
+                script = read_script(source) if isinstance(source, str) else drawn(SITE, source)
+                self.assertFalse(play(SITE, script, mutant).good)
+        self.assertTrue(play(SITE, read_script(CRASHES_DURING_REPLAY)).good)
+
+    def test_a_gateway_replays_for_its_dead_standby_until_that_is_alive_again(self) -> None:
+        simulation = BranchWorld(SITE, read_script(DEAD_STANDBY))
+        outcome = simulation.play()
+        self.assertEqual(([], []), (outcome.reasons, outcome.defects))
+        history = simulation.heads[4].branch.history
+        events = [change["what"] for change in history if change["number"] is None]
+        self.assertIn("stands in", events)
+        self.assertIn("gives back", events[events.index("stands in") :])
+        applied_for_standby = [
+            change for change in history if change["what"] == "in effect" and change["number"][0] == 3
+        ]
+        self.assertGreater(len(applied_for_standby), 2)
+
+    def test_ten_branches_reconnecting_at_once_leave_the_main_sites_clients_served(self) -> None:
+        links = "".join(f"6 link head-{gateway} by 0 for 8\n" for gateway in range(3, 13))
+        simulation = BranchWorld(
+            site_with_ten_branches(),
+            read_script(f"seed 3\nheads 13\nshelves 6\nseconds 24\nfactor 2\n{links}"),
         )
-        o = w.play()
-        self.assertEqual(([], []), (o.reasons, o.defects))
-        self.assertGreater(len(w.accepted.replayed), 500)
-        sent = {(r["label"], r["attempt"]): r for r in o.records if r["e"] == "sent"}
-        replay = [r["t"] for r in o.records if r["e"] == "ran" and r["label"] in w.accepted.replayed]
-
-        def served(begin: float, end: float) -> float:
+        outcome = simulation.play()
+        self.assertEqual(([], []), (outcome.reasons, outcome.defects))
+        self.assertGreater(len(simulation.accepted.replayed), 500)
+        sent = {
+            (record["label"], record["attempt"]): record
+            for record in outcome.records
+            if record["e"] == "sent"
+        }
+        replay_times = [
+            record["t"]
+            for record in outcome.records
+            if record["e"] == "ran" and record["label"] in simulation.accepted.replayed
+        ]
+
+        def success_ratio(start: float, end: float) -> float:
+            """Returns the fraction of successes among requests sent to the main site in a period."""
             answers = [
-                r["how"]
-                for r in o.records
-                if r["e"] == "answer"
-                and (s := sent[r["label"], r["attempt"]])["head"] < 3
-                and begin <= s["t"] < end
+                record["how"]
+                for record in outcome.records
+                if record["e"] == "answer"
+                and (request := sent[record["label"], record["attempt"]])["head"] < 3
+                and start <= request["t"] < end
             ]
             return answers.count("honoured") / len(answers)
 
-        self.assertGreater(served(min(replay), max(replay)), 0.95 * served(w.zero + 1, w.zero + 6))
+        before_disconnect = success_ratio(simulation.zero + 1, simulation.zero + 6)
+        self.assertGreater(success_ratio(min(replay_times), max(replay_times)), 0.95 * before_disconnect)
 
-    def test_without_the_site_files_word_nothing_is_held(self) -> None:
+    def test_no_write_is_queued_unless_the_site_file_allows_it(self) -> None:
         site = type(SITE)()
         site.CopyFrom(SITE)
-        for p in site.profile:
-            p.held_when_cut_off, p.when_changed = False, 0
-        w = BranchWorld(site, read_script(ODD_ONES + "2 link head-3 by 0 for 4\n2 link head-4 by 0 for 4\n"))
-        o = w.play()
-        self.assertEqual(([], 0), (o.reasons, len(w.accepted.all)))
-
-    def test_a_head_of_the_branch_alone_keeps_nothing_it_could_lose(self) -> None:
-        """Its mate is cut off from it too: what it can't be sure of it pushes back."""
-        w = BranchWorld(
+        for profile in site.profile:
+            profile.held_when_cut_off, profile.when_changed = False, 0
+        simulation = BranchWorld(
+            site, read_script(SCRIPT_START + "2 link head-3 by 0 for 4\n2 link head-4 by 0 for 4\n")
+        )
+        outcome = simulation.play()
+        self.assertEqual(([], 0), (outcome.reasons, len(simulation.accepted.all)))
+
+    def test_a_gateway_without_its_standby_accepts_no_write(self) -> None:
+        """The gateway cannot replicate writes while its standby is unreachable, so it rejects them."""
+        simulation = BranchWorld(
             SITE,
             read_script(
-                ODD_ONES + "2 link head-3 by 0 for 6\n2 link head-4 by 0 for 6\n"
+                SCRIPT_START + "2 link head-3 by 0 for 6\n2 link head-4 by 0 for 6\n"
                 "1.5 cut head-3 <-> head-4 for 10\n"
             ),
         )
-        o = w.play()
-        early = [r for r in o.records if r["e"] == "accepted" and r["t"] < w.zero + 11.5]
-        self.assertEqual(([], []), (o.reasons, early))
-        self.assertGreater(w.heads[3].branch.counts["refused: records"], 0)
-
-    def test_a_full_queue_takes_the_dearest_and_throws_nothing_out(self) -> None:
+        outcome = simulation.play()
+        accepted_early = [
+            record
+            for record in outcome.records
+            if record["e"] == "accepted" and record["t"] < simulation.zero + 11.5
+        ]
+        self.assertEqual(([], []), (outcome.reasons, accepted_early))
+        self.assertGreater(simulation.heads[3].branch.counts["refused: records"], 0)
+
+    def test_a_full_queue_refuses_low_weights_first_and_drops_nothing(self) -> None:
         site = type(SITE)()
         site.CopyFrom(SITE)
         site.branch[0].queue_writes = 6
-        w = BranchWorld(site, read_script(ODD_ONES + "2 link head-3 by 0 for 6\n2 link head-4 by 0 for 6\n"))
-        o = w.play()
-        self.assertEqual([], o.reasons)
-        counts = w.heads[3].branch.counts
+        simulation = BranchWorld(
+            site, read_script(SCRIPT_START + "2 link head-3 by 0 for 6\n2 link head-4 by 0 for 6\n")
+        )
+        outcome = simulation.play()
+        self.assertEqual([], outcome.reasons)
+        counts = simulation.heads[3].branch.counts
         self.assertGreater(counts["refused: room is kept for dearer writes"], 0)
         self.assertLessEqual(counts["accepted"], 12)
 
 
-class Garbled(unittest.TestCase):
-    def test_words_that_no_honest_head_says_end_their_stream_and_nothing_else(self) -> None:
-        w = BranchWorld(SITE, read_script(ODD_ONES))
-        fleet, ended = fleet_of(w.site), list[str]()
-        process = VirtualTransport(w.network, w.disk, "stranger")
-        w.processes["stranger"] = process
+class InvalidMessages(unittest.TestCase):
+    def test_invalid_messages_end_their_own_stream_and_harm_nothing_else(self) -> None:
+        simulation = BranchWorld(SITE, read_script(SCRIPT_START))
+        fleet, ended = fleet_of(simulation.site), list[str]()
+        process = VirtualTransport(simulation.network, simulation.disk, "stranger")
+        simulation.processes["stranger"] = process
 
-        async def say(*words: Any) -> None:
+        async def send(*messages: Any) -> None:
             stream = await process.connect("head-0", 4520, 1.0)
-            for m in words:
-                stream.write(encode(m))
+            for message in messages:
+                stream.write(encode(message))
             try:
                 while True:
                     await stream.read()
             except StreamClosed as error:
                 ended.append(str(error))
 
-        greet = offline_messages.BranchHello(fleet, 3)
-        for words in (
+        hello = offline_messages.BranchHello(fleet, 3)
+        for messages in (
             (offline_messages.BranchHello(fleet + 1, 3),),
-            (greet, offline_messages.ReplayProgress(0, 9, (1, 1), [])),
+            (hello, offline_messages.ReplayProgress(0, 9, (1, 1), [])),
             (offline_messages.Heartbeat(1),),
-            (greet, offline_messages.StatusQuery((99, 1, 1), 1, 0)),
+            (hello, offline_messages.StatusQuery((99, 1, 1), 1, 0)),
             (offline_messages.OperatorQuery(fleet, "show"),),
         ):
-            w.loop.call_at(w.zero + 1.0, lambda words=words: process.spawn(say(*words)))
-        for odd in (
+            simulation.loop.call_at(
+                simulation.zero + 1.0, lambda messages=messages: process.spawn(send(*messages))
+            )
+        for write in (
             offline_messages.ReplayWrite((3, 1, 1), 1, 0, -1, 8, 0, 0, 0, 0, 0, False, bytes(4096)),
             offline_messages.ReplayWrite((3, 1, 2), 1, 0, 2, 8, -5, 0, 0, 0, 0, False, bytes(4096)),
             offline_messages.ReplayWrite((3, 1, 3), 1, 0, 2, 77, 0, 0, 0, 0, 0, False, b"x"),
         ):
-            w.loop.call_at(w.zero + 1.5, lambda odd=odd: process.spawn(say(greet, odd)))
-        o = w.play()
-        self.assertEqual(([], 5), (o.reasons, len(ended)), o.defects)
+            simulation.loop.call_at(
+                simulation.zero + 1.5, lambda write=write: process.spawn(send(hello, write))
+            )
+        outcome = simulation.play()
+        self.assertEqual(([], 5), (outcome.reasons, len(ended)), outcome.defects)
 
 
-class ByAPerson(unittest.TestCase):
-    """In a world in which blocks change at the main site meanwhile."""
+class OperatorDecisions(unittest.TestCase):
+    """Tests release and discard of dead letters, in simulations where blocks change at the main site."""
 
-    def world(self, what: str) -> tuple[BranchWorld, list[Any], Any]:
-        """Once writes are parked, the first is released, or the last discarded."""
+    def play_with_decision(self, command: str) -> tuple[BranchWorld, list[Any], Any]:
+        """Plays a simulation in which the first dead letter is released, or the last one discarded."""
         answers: list[Any] = []
         for seed in range(40):
-            w, answers = BranchWorld(SITE, drawn(SITE, seed)), []
-
-            def decide(w: BranchWorld = w, answers: list[Any] = answers) -> None:
-                for n in (3, 4):
-                    side = w.heads[n].branch
-                    parked = side.answer(OperatorQuery(0, "parked"))["parked"] if side else []
-                    if parked and w.processes[f"head {n}"].alive and not answers:
-                        first, last = parked[0], parked[-1]
-                        answers += [
-                            first,
-                            last,
-                            side.answer(
-                                OperatorQuery(
-                                    0, what, tuple((first if what == "release" else last)["number"])
-                                )
-                            ),
-                        ]
+            simulation, answers = BranchWorld(SITE, drawn(SITE, seed)), []
+
+            def decide(simulation: BranchWorld = simulation, answers: list[Any] = answers) -> None:
+                for number in (3, 4):
+                    branch = simulation.heads[number].branch
+                    dead_letters = branch.answer(OperatorQuery(0, "parked"))["parked"] if branch else []
+                    if dead_letters and simulation.processes[f"head {number}"].alive and not answers:
+                        first, last = dead_letters[0], dead_letters[-1]
+                        chosen = first if command == "release" else last
+                        query = OperatorQuery(0, command, tuple(chosen["number"]))
+                        answers += [first, last, branch.answer(query)]
                 if not answers:
-                    w.loop.call_later(0.5, decide)
+                    simulation.loop.call_later(0.5, decide)
 
-            w.loop.call_later(8.0, decide)
-            o = w.play()
+            simulation.loop.call_later(8.0, decide)
+            outcome = simulation.play()
             if answers and "changed" in answers[0]["reason"]:
-                return w, answers, o
-        raise AssertionError("no world parks anything")
+                return simulation, answers, outcome
+        raise AssertionError("no simulation dead-letters a write by a conflict")
 
-    def test_what_is_released_is_in_effect_with_what_waited_for_it(self) -> None:
-        w, (first, _, answer), o = self.world("release")
+    def test_a_released_dead_letter_is_applied_with_its_dependents(self) -> None:
+        simulation, (first, _, answer), outcome = self.play_with_decision("release")
         self.assertEqual(first["number"], answer["released"][0])
-        self.assertEqual(([], []), (o.reasons, o.defects))
-        parked = {
-            tuple(n)
-            for head in (3, 4)
-            for n in [h.write.number for h in w.heads[head].branch.queue.dead_letters]
+        self.assertEqual(([], []), (outcome.reasons, outcome.defects))
+        dead_letters = {
+            tuple(queued.write.number)
+            for gateway in (3, 4)
+            for queued in simulation.heads[gateway].branch.queue.dead_letters
         }
-        self.assertNotIn(tuple(first["number"]), parked)
+        self.assertNotIn(tuple(first["number"]), dead_letters)
 
-    def test_what_is_discarded_is_gone_and_leaves_a_record(self) -> None:
-        w, (_, last, answer), o = self.world("discard")
+    def test_a_discarded_dead_letter_is_removed_and_leaves_a_record(self) -> None:
+        simulation, (_, last, answer), outcome = self.play_with_decision("discard")
         self.assertEqual({"discarded": last["number"]}, answer)
-        self.assertEqual(["accepted and lost"], o.reasons, "the judge takes it for lost, as it is")
-        head = last["number"][0]
-        table = w.heads[head].promises.store.table
+        self.assertEqual(
+            ["accepted and lost"],
+            outcome.reasons,
+            "the invariant checker reports the discarded write as lost",
+        )
+        gateway = last["number"][0]
+        table = simulation.heads[gateway].promises.store.table
         self.assertIn((-3, *last["number"][1:]), table.records)
 
-    def test_questions_that_can_not_be_answered_say_so(self) -> None:
-        w = BranchWorld(SITE, read_script(ODD_ONES))
-        w.play()
-        side = w.heads[3].branch
-        self.assertIn("no parked write", side.answer(OperatorQuery(0, "release", (3, 1, 1)))["error"])
-        self.assertIn("no parked write", side.answer(OperatorQuery(0, "discard"))["error"])
+    def test_an_operator_command_for_an_unknown_write_returns_an_error(self) -> None:
+        simulation = BranchWorld(SITE, read_script(SCRIPT_START))
+        simulation.play()
+        branch = simulation.heads[3].branch
+        self.assertIn("no parked write", branch.answer(OperatorQuery(0, "release", (3, 1, 1)))["error"])
+        self.assertIn("no parked write", branch.answer(OperatorQuery(0, "discard"))["error"])
 
 
 class Commands(unittest.TestCase):
-    def run_it(self, *words: str) -> tuple[int, str]:
-        result = CliRunner().invoke(app, ["branch", *words])
+    def run_branch_command(self, *arguments: str) -> tuple[int, str]:
+        result = CliRunner().invoke(app, ["branch", *arguments])
         return result.exit_code, result.output
 
-    def test_bad_input(self) -> None:
-        for words, says in (
+    def test_invalid_arguments_are_reported(self) -> None:
+        for arguments, expected in (
             ("show 0", "Name a head that stands in a branch"),
             ("show 3", "See that the head runs"),
             ("release 3 --number x", "is not like"),
             ("discard 3 --number 3/1/1", "--yes"),
         ):
-            what, head, *rest = words.split()
-            status, text = self.run_it(what, "--site", str(PATH), "--head", head, *rest)
-            self.assertEqual((2, True), (status, says in text), text)
+            command, gateway, *options = arguments.split()
+            status, text = self.run_branch_command(command, "--site", str(PATH), "--head", gateway, *options)
+            self.assertEqual((2, True), (status, expected in text), text)
 
-    def test_what_a_site_says_of_branches_is_checked(self) -> None:
+    def test_branch_settings_of_the_site_file_are_validated(self) -> None:
         text = PATH.read_text()
-        reads = "promised: 0.3 cut_off: 2 effect: REDOABLE value: 2"
-        for change, says in (
+        read_class = "promised: 0.3 cut_off: 2 effect: REDOABLE value: 2"
+        for (original, changed), expected in (
             (('"harbour" head: 3 head: 4', '"harbour" head: 3 head: 4 head: 2'), "one or two"),
             (('"harbour" head: 3 head: 4', '"harbour" head: 3 head: 9'), "there is no head 9"),
             (("queue_bytes: 16777216", "queue_bytes: 5"), "branch[0].queue_bytes"),
             (("held_by: 1", "held_by: 0"), "records.held_by is 0"),
             (("shard: 4 head: 0 head: 1 head: 3 head: 4", "shard: 4 head: 3 head: 4"), "no head of the"),
-            ((reads, f"{reads} held_when_cut_off: true"), "only writes"),
+            ((read_class, f"{read_class} held_when_cut_off: true"), "only writes"),
         ):
-            with self.subTest(says), self.assertRaises(BadSite) as caught:
-                self.assertIn(change[0], text)
-                parse_site(text.replace(*change))
-            self.assertIn(says, str(caught.exception))
+            with self.subTest(expected), self.assertRaises(BadSite) as caught:
+                self.assertIn(original, text)
+                parse_site(text.replace(original, changed))
+            self.assertIn(expected, str(caught.exception))
 
 
 @pytest.mark.processes
-class Real(unittest.TestCase):
-    def played(self, text: str, plant: str = "") -> tuple[Result, list[dict[str, Any]]]:
+class RealProcesses(unittest.TestCase):
+    def play(self, script: str, mutation: str = "") -> tuple[Result, list[dict[str, Any]]]:
         start_logs(True, "critical")
-        shown: list[dict[str, Any]] = []
+        branch_states: list[dict[str, Any]] = []
 
         class Trial(BranchTrial):
             async def _settled(self) -> None:
-                """As an operator would, from a process of its own."""
+                """Also runs `branch show` in a process of its own, as an operator would."""
                 await super()._settled()
                 path = self.processes.folder / "site-of-heads.txtpb"
-                words = ["branch", "show", "--site", str(path), "--head", "3", "--json", "-"]
-                asked = await asyncio.to_thread(
+                arguments = ["branch", "show", "--site", str(path), "--head", "3", "--json", "-"]
+                shown = await asyncio.to_thread(
                     subprocess.run,
-                    [sys.executable, "-m", "gorsethread", *words],
+                    [sys.executable, "-m", "gorsethread", *arguments],
                     capture_output=True,
                     text=True,
                     timeout=60,
                 )
-                shown.append(json.loads(asked.stdout) if asked.returncode == 0 else {"failed": asked.stderr})
+                branch_states.append(
+                    json.loads(shown.stdout) if shown.returncode == 0 else {"failed": shown.stderr}
+                )
 
-        async def work() -> Result:
+        async def play_trial() -> Result:
             with tempfile.TemporaryDirectory() as folder:
-                found = await Trial(
-                    RealTransport(3), Processes(Path(folder), SITE), SITE, log_for(), read_script(text), plant
+                processes = Processes(Path(folder), SITE)
+                result = await Trial(
+                    RealTransport(3), processes, SITE, log_for(), read_script(script), mutation
                 ).play()
-                assert isinstance(found, Result)
-                return found
-
-        return asyncio.run(work()), shown
-
-    def test_the_link_goes_and_heads_of_both_sides_die(self) -> None:
-        self.assertEqual([], unplayable(read_script(REAL), PLAYED, PARTIES))
-        r, shown = self.played(REAL)
-        self.assertTrue(r.good, r)
-        self.assertGreater(r.accepted, 10)
-        self.assertEqual((1, "harbour"), (len(shown), shown[0].get("branch")), shown)
-
-    def test_the_judge_sees_replay_in_order_of_acceptance_alone(self) -> None:
-        text = "".join(line + "\n" for line in REAL.splitlines() if not line.startswith(("14", "17.5")))
-        r, _ = self.played(
-            text.replace("seconds 30", "seconds 14"),
+                assert isinstance(result, Result)
+                return result
+
+        return asyncio.run(play_trial()), branch_states
+
+    def test_link_loss_and_crashes_on_both_sides(self) -> None:
+        self.assertEqual([], unplayable(read_script(REAL_PROCESSES), PLAYED, PARTIES))
+        result, states = self.play(REAL_PROCESSES)
+        self.assertTrue(result.good, result)
+        self.assertGreater(result.accepted, 10)
+        self.assertEqual((1, "harbour"), (len(states), states[0].get("branch")), states)
+
+    def test_replay_that_ignores_dependencies_is_detected(self) -> None:
+        script = "".join(
+            line + "\n" for line in REAL_PROCESSES.splitlines() if not line.startswith(("14", "17.5"))
+        )
+        result, _ = self.play(
+            script.replace("seconds 30", "seconds 14"),
             "from gorsethread.offline_writes.write_queue import WriteQueue\n"
-            "WriteQueue._dependencies_finished = lambda q, write: True\n",
+            "WriteQueue._dependencies_finished = lambda queue, write: True\n",
         )
-        self.assertGreater(r.causal_breaks, 0, r)
-        self.assertFalse(r.good)
+        self.assertGreater(result.causal_breaks, 0, result)
+        self.assertFalse(result.good)
