--- a/gorsethread/offline_writes/write_queue.py
+++ b/gorsethread/offline_writes/write_queue.py
@@ -111,7 +111,7 @@
         forced: bool = False,
     ) -> None:
         """Adds a write that was read from the disks, with its last recorded progress."""
-        self.persisting(write)
+        self.add_persisting(write)
         queued = self._writes[write.number]
         queued.stage = stage
         queued.reason = reason
