--- a/gorsethread/nvme_gateway/offline/dead_letters.py
+++ b/gorsethread/nvme_gateway/offline/dead_letters.py
@@ -71,9 +71,9 @@
             self._persistence.persist_progress(number)
 
     def add_overdue(self, now: float) -> None:
-        """Dead-letters writes that got no answer for DEAD_LETTER_AFTER.
+        """Dead-letters writes that may have run and got no answer for DEAD_LETTER_AFTER.
 
-        They would wait forever if the gateway of the main site that may have run them never comes back.
+        They would wait forever for a gateway of the main site that never comes back.
         """
         for source in self._sources.all():
             for queued in list(source.queue):
@@ -95,7 +95,7 @@
         """Releases a dead letter to be applied, as an operator decided.
 
         Returns:
-            All writes that are released with it, itself first.
+            The released writes: this one, then its dependents.
         """
         released = queue.release(number)
         for each in released:
--- a/gorsethread/nvme_gateway/offline/offline_writes.py
+++ b/gorsethread/nvme_gateway/offline/offline_writes.py
@@ -211,10 +211,10 @@
 
     def _tick(self) -> None:
         now = self._transport.now()
-        before = self.link.state
+        previous_state = self.link.state
         self.link.tick(now)
         self._connections.maintain(now)
-        if self.link.state is not before:
+        if self.link.state is not previous_state:
             self._history.note("link", None, self.link.state.value)
             if self.link.state is LinkState.DISCONNECTED:
                 self._sources.mark_connection_lost()
@@ -226,14 +226,14 @@
 
     # ---- Events from the rest of the gateway
 
-    def admit(self, io: IoCommand, waiting: Any, extent: int, data: bytes) -> bool:
+    def admit(self, io: IoCommand, client: Any, extent: int, data: bytes) -> bool:
         """Handles a client's command; returns False if the caller is to forward it as usual."""
-        command = ClientCommand(waiting, io.command, io.host, waiting.profile, waiting.deadline, extent, data)
+        command = ClientCommand(client, io.command, io.host, client.profile, client.deadline, extent, data)
         return self._admission.admit(command)
 
-    def client_left(self, waiting: BranchClient) -> None:
-        """Notes that the client of this command no longer waits for the answer."""
-        self._admission.client_left(waiting)
+    def client_left(self, client: BranchClient) -> None:
+        """Notes that a client no longer waits for the answer to its command."""
+        self._admission.client_left(client)
 
     def blocks_observed(self, volume: int, block: int, data: bytes) -> None:
         """Notes the contents of blocks that a backend's answer has shown."""
--- a/gorsethread/nvme_gateway/offline/standby_writes.py
+++ b/gorsethread/nvme_gateway/offline/standby_writes.py
@@ -86,10 +86,10 @@
         return True
 
     def pop_not_resent(self, last: Position) -> Iterable[WriteNumber]:
-        """Returns, once, the writes up to a position that the resync left out, so that they are finished."""
-        left_out = [number for number in self._not_resent if number.position <= last]
-        self._not_resent.difference_update(left_out)
-        return left_out
+        """Returns, once each, the writes up to `last` that the resync omitted, as they are finished."""
+        omitted = [number for number in self._not_resent if number.position <= last]
+        self._not_resent.difference_update(omitted)
+        return omitted
 
     def confirm(self, number: WriteNumber) -> None:
         """Notes that a queued write is known to be accepted."""
