--- a/gorsethread/nvme_gateway/offline/write_admission.py
+++ b/gorsethread/nvme_gateway/offline/write_admission.py
@@ -217,8 +217,8 @@
 
     def _is_dead_lettered(self, number: WriteNumber) -> bool:
         queued = self._queue.get(number)
-        own = queued is not None and queued.is_dead_lettered
-        return own or self._standby_writes.is_dead_lettered(number)
+        own_dead_letter = queued is not None and queued.is_dead_lettered
+        return own_dead_letter or self._standby_writes.is_dead_lettered(number)
 
     def client_left(self, client: BranchClient) -> None:
         """Forgets a client that no longer waits for its answer."""
@@ -344,12 +344,12 @@
         self._contexts.current(record.host).acknowledge(queued.write)
         self._history.count("accepted")
         self._history.note("accepted", number)
-        self._dead_letter_with_dependencies(queued)
+        self._dead_letter_if_dependency_is(queued)
         self._persistence.persist_progress(number)  # tells the other gateway that it was not withdrawn
         if pending.client is not None:
             pending.client.accepted()
 
-    def _dead_letter_with_dependencies(self, queued: QueuedWrite) -> None:
+    def _dead_letter_if_dependency_is(self, queued: QueuedWrite) -> None:
         others = queued.write.other_dependencies
         if any(self._standby_writes.is_dead_lettered(number) for number in others):
             reason = f"{DEPENDS_ON} one of the other head, which is parked"
--- a/gorsethread/offline_writes/queued_write.py
+++ b/gorsethread/offline_writes/queued_write.py
@@ -80,7 +80,7 @@
         return self.stage in (WriteStage.QUERIED, WriteStage.SENT)
 
     @property
-    def may_be_dead_lettered(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether it is neither under way, being persisted, nor dead-lettered already."""
         return self.stage in (WriteStage.WAITING, WriteStage.UNKNOWN)
 
--- a/gorsethread/offline_writes/write_queue.py
+++ b/gorsethread/offline_writes/write_queue.py
@@ -100,7 +100,7 @@
         """Accepts a write that is now on the disks."""
         queued = self._writes[number]
         queued.stage = WriteStage.WAITING
-        self._dead_letter_with_dependencies(queued)
+        self._dead_letter_if_dependency_is(queued)
 
     def restore(
         self,
@@ -118,13 +118,13 @@
         queued.suspects = list(suspects)
         queued.forced = forced
         if not queued.is_dead_lettered:
-            self._dead_letter_with_dependencies(queued)
+            self._dead_letter_if_dependency_is(queued)
 
     def withdraw(self, number: WriteNumber) -> None:
         """Removes a write that could not be persisted reliably and that its client is told has failed."""
         self._remove(number)
 
-    def _dead_letter_with_dependencies(self, queued: QueuedWrite) -> None:
+    def _dead_letter_if_dependency_is(self, queued: QueuedWrite) -> None:
         if any(self._is_dead_lettered(number) for number in queued.write.own_dependencies):
             self.dead_letter(queued.write.number, f"{DEPENDS_ON} a parked write")
 
@@ -142,9 +142,9 @@
             return None
         for number, queued in self._writes.items():
             write = queued.write
-            same_place = (write.volume, write.block) == (volume, block)
+            same_block = (write.volume, write.block) == (volume, block)
             accepted = queued.stage is not WriteStage.PERSISTING
-            if accepted and same_place and write.idempotency_key == idempotency_key:
+            if accepted and same_block and write.idempotency_key == idempotency_key:
                 return number
         return None
 
@@ -157,14 +157,16 @@
         for number, queued in self._writes.items():
             if len(ready) >= capacity:
                 break
-            due = queued.may_be_dead_lettered and queued.not_before <= now
+            due = queued.is_idle and queued.not_before <= now
             if due and self._dependencies_finished(queued.write):
                 ready.append(ReadyWrite(number, queued.stage is WriteStage.UNKNOWN))
         return ready
 
     def _dependencies_finished(self, write: Write) -> bool:
-        own = all(number not in self._writes for number in write.own_dependencies)
-        return own and all(self._is_standby_write_finished(number) for number in write.other_dependencies)
+        own_finished = all(number not in self._writes for number in write.own_dependencies)
+        return own_finished and all(
+            self._is_standby_write_finished(number) for number in write.other_dependencies
+        )
 
     def mark_queried(self, number: WriteNumber, now: float = 0.0) -> None:
         """Records that the main site is being asked whether a write is applied."""
@@ -175,8 +177,8 @@
     def mark_sent(self, number: WriteNumber, gateway: int = 0, now: float = 0.0) -> None:
         """Records that a write is being sent to a gateway of the main site.
 
-        Call it, and persist the progress, before sending: after a crash, a write that was sent and not
-        answered must be known to be so.
+        Call it, and persist the progress, before sending, so that after a crash an unanswered write is known
+        to have been sent.
         """
         queued = self._writes[number]
         queued.stage = WriteStage.SENT
@@ -225,14 +227,14 @@
             queued.suspects = []
 
     def defer_query(self, number: WriteNumber, not_before: float) -> None:
-        """Schedules a query again that could not be answered yet."""
+        """Schedules another query about a write, as the last one could not be answered yet."""
         queued = self._writes.get(number)
         if queued is not None and queued.stage is WriteStage.QUERIED:
             queued.stage = WriteStage.UNKNOWN
             queued.not_before = not_before
 
     def mark_unanswered(self, number: WriteNumber, now: float) -> None:
-        """Records that no gateway that may have run a write is reachable, since the first such call."""
+        """Records that no gateway that may have run a write is reachable; the first call sets the time."""
         queued = self._writes[number]
         queued.pending_since = queued.pending_since or now
 
@@ -260,7 +262,7 @@
         queued.stage = WriteStage.DEAD_LETTERED
         queued.reason = reason
         for dependent_number, dependent in list(self._writes.items()):
-            if number in dependent.write.own_dependencies and dependent.may_be_dead_lettered:
+            if number in dependent.write.own_dependencies and dependent.is_idle:
                 self.dead_letter(dependent_number, f"{DEPENDS_ON} {number.sequence}, which is parked")
 
     def dead_letter_dependents_of(self, number: WriteNumber) -> None:
@@ -269,7 +271,7 @@
         Otherwise new writes would wait behind them until an operator decides.
         """
         for dependent_number, dependent in list(self._writes.items()):
-            if number in dependent.write.other_dependencies and dependent.may_be_dead_lettered:
+            if number in dependent.write.other_dependencies and dependent.is_idle:
                 self.dead_letter(
                     dependent_number, f"{DEPENDS_ON} one of head {number.gateway}, which is parked"
                 )
