--- a/gorsethread/nvme_gateway/offline/write_admission.py
+++ b/gorsethread/nvme_gateway/offline/write_admission.py
@@ -143,7 +143,7 @@
         self._dead_letters = dead_letters
         self._history = history
         self._is_finished = is_finished
-        self._chance = transport.chance("branch")
+        self._random = transport.chance("branch")
         self._pending: dict[WriteNumber, PendingAdmission] = {}
 
     def is_pending(self, number: WriteNumber) -> bool:
@@ -228,7 +228,7 @@
 
     def _retry_after(self) -> float:
         min_retry_after = RETRY_AFTER_DISCONNECTED if self._link.queueing else RETRY_AFTER_PENDING
-        return spread_retry_after(min_retry_after, self._chance.random())
+        return spread_retry_after(min_retry_after, self._random.random())
 
     def _reject(self, request: ClientCommand, retry_after: float) -> None:
         self._history.count("pushed back")
--- a/gorsethread/offline_writes/write_queue.py
+++ b/gorsethread/offline_writes/write_queue.py
@@ -33,7 +33,7 @@
     Args:
         limits: Size and age limits of the queue.
         priority_weights: Weights of all request classes that may be queued; the lowest are refused first.
-        is_standby_write_finished: Whether a write of the branch's standby gateway is known to be finished.
+        is_standby_write_finished: Returns whether a write of the branch's standby gateway is known to be finished.
     """
 
     def __init__(
@@ -300,7 +300,7 @@
 
         Args:
             number: The released or finished write, of either gateway.
-            is_standby_write_dead_lettered: Whether a write of the standby gateway is dead-lettered.
+            is_standby_write_dead_lettered: Returns whether a write of the standby gateway is dead-lettered.
 
         Returns:
             The writes that are released.
