--- a/gorsethread/offline_writes/write_queue.py
+++ b/gorsethread/offline_writes/write_queue.py
@@ -33,7 +33,7 @@
     Args:
         limits: Size and age limits of the queue.
         priority_weights: Weights of all request classes that may be queued; the lowest are refused first.
-        is_standby_write_finished: Returns whether a write of the branch's standby gateway is known to be finished.
+        is_standby_write_finished: Returns whether a write of the standby gateway is known to be finished.
     """
 
     def __init__(
