--- a/gorsethread/gateway/driver.py
+++ b/gorsethread/gateway/driver.py
@@ -26,7 +26,7 @@
     AttemptEnded,
     AttemptOutcome,
     RequestOutcome,
-    RequestTaken,
+    RequestReceived,
     SchedulerSettings,
 )
 from gorsethread.scheduling.scheduler import Scheduler
@@ -124,7 +124,7 @@
         taken_at = self.transport.now() if awaited else arrived
         arrival = Arrival(volume, request_class, int(units), shard, key is not None, arrived, taken_at)
         self.accounting.taken(request.id, arrival)
-        taken = RequestTaken(
+        taken = RequestReceived(
             request.id,
             request_class,
             service_tier,
@@ -136,7 +136,7 @@
             gateways,
             is_retry,
         )
-        self.happened("request_taken", taken)
+        self.happened("request_received", taken)
         return request
 
     def _next_id(self) -> int:
--- a/gorsethread/lab/crowd/gateway.py
+++ b/gorsethread/lab/crowd/gateway.py
@@ -10,7 +10,7 @@
 from gorsethread.scheduling.model import (
     AttemptEnded,
     AttemptOutcome,
-    RequestTaken,
+    RequestReceived,
 )
 from gorsethread.scheduling.scheduler import Scheduler
 
@@ -82,8 +82,8 @@
             return
         store = self.world.day.stores[ask.volume]
         t = self.open[id] = Held(ask, self.world.now + DEADLINES[ask.profile])
-        self.scheduler.request_taken(
-            RequestTaken(
+        self.scheduler.request_received(
+            RequestReceived(
                 id,
                 ask.profile,
                 store.plan,
--- a/gorsethread/scheduling/fair_queueing.py
+++ b/gorsethread/scheduling/fair_queueing.py
@@ -7,7 +7,7 @@
 from bisect import insort
 from collections.abc import Callable, Iterable
 
-from gorsethread.scheduling.model import Request, RequestTaken, ServiceTier, TokenBucket, Volume
+from gorsethread.scheduling.model import Request, RequestReceived, ServiceTier, TokenBucket, Volume
 from gorsethread.scheduling.timers import Timers
 
 FADE_INTERVAL = 0.5  # seconds
@@ -38,7 +38,7 @@
         self._faded_at = timers.started_at
 
     def volume_of(
-        self, taken: RequestTaken, tier: ServiceTier, first_bucket: Callable[[], TokenBucket]
+        self, taken: RequestReceived, tier: ServiceTier, first_bucket: Callable[[], TokenBucket]
     ) -> Volume:
         """Returns the volume of a request, new with such a bucket if it is not known.
 
--- a/gorsethread/scheduling/load_shedding.py
+++ b/gorsethread/scheduling/load_shedding.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from gorsethread.scheduling.concurrency_limits import ConcurrencyLimits
-from gorsethread.scheduling.model import Backend, Request, RequestTaken, SchedulerSettings
+from gorsethread.scheduling.model import Backend, Request, RequestReceived, SchedulerSettings
 from gorsethread.scheduling.timers import Timers
 
 RATE_KNOWN_FOR = 5.0  # seconds after which a backend's rate tells nothing of its load now
@@ -39,7 +39,7 @@
         self._review_interval = REVIEW_PART * limits.shortest_objective
         self._longest_allowed = [0.0] * len(settings.request_classes)  # seconds
 
-    def objective_ends(self, taken: RequestTaken) -> float:
+    def objective_ends(self, taken: RequestReceived) -> float:
         """Returns when the latency objective of a request ends, which for a client's retry began earlier.
 
         How long ago shows in how little time the retry has left. It ends no later than the deadline.
--- a/gorsethread/scheduling/model.py
+++ b/gorsethread/scheduling/model.py
@@ -185,7 +185,7 @@
     may_send_messages: bool = False
 
 
-class RequestTaken(NamedTuple):
+class RequestReceived(NamedTuple):
     """A client's request has come.
 
     request_class, service_tier: places in the settings; deadline: in seconds of the process's clock; shard:
--- a/gorsethread/scheduling/retries.py
+++ b/gorsethread/scheduling/retries.py
@@ -23,7 +23,7 @@
         self._taken_at: deque[float] = deque()
         self._retried_at: deque[float] = deque()
 
-    def request_taken(self) -> None:
+    def request_received(self) -> None:
         """Counts a client's request."""
         if self.budget:
             self._taken_at.append(self._timers.now)
--- a/gorsethread/scheduling/scheduler.py
+++ b/gorsethread/scheduling/scheduler.py
@@ -17,7 +17,7 @@
     AttemptOutcome,
     Backend,
     Request,
-    RequestTaken,
+    RequestReceived,
     SchedulerSettings,
 )
 from gorsethread.scheduling.outlier_detection import OutlierDetection
@@ -75,7 +75,7 @@
 
     # ---- events: requests
 
-    def request_taken(self, taken: RequestTaken) -> None:
+    def request_received(self, taken: RequestReceived) -> None:
         """A client's request has come."""
         now = self.timers.advance()
         tier = self.settings.service_tiers[taken.service_tier]
@@ -93,7 +93,7 @@
             taken.shard,
         )
         self.requests[taken.id] = request
-        self.retries.request_taken()
+        self.retries.request_received()
         in_time_until = request.objective_ends - self.admission.expected_time(request)
         self.timers.schedule(max(now, in_time_until), request)
         if self.key_ordering.join(request):
--- a/gorsethread/simulator_adapter/events.py
+++ b/gorsethread/simulator_adapter/events.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Mapping
 
 from gorsethread.gateway.scheduler_settings import JsonObject, MalformedInputError, named_value
-from gorsethread.scheduling.model import AttemptEnded, AttemptOutcome, RequestTaken
+from gorsethread.scheduling.model import AttemptEnded, AttemptOutcome, RequestReceived
 from gorsethread.scheduling.scheduler import Scheduler
 
 ATTEMPT_OUTCOMES = {
@@ -44,9 +44,9 @@
         raise MalformedInputError(f"unknown verb {verb!r}")
 
 
-def _request_taken(scheduler: Scheduler, event: JsonObject) -> None:
-    scheduler.request_taken(
-        RequestTaken(
+def _request_received(scheduler: Scheduler, event: JsonObject) -> None:
+    scheduler.request_received(
+        RequestReceived(
             event["corr"],
             event["tierClass"],
             event["contract"],
@@ -109,7 +109,7 @@
 
 
 _NOTIFY: dict[str, Callable[[Scheduler, JsonObject], None]] = {
-    "order": _request_taken,
+    "order": _request_received,
     "done": _attempt_ended,
     "due": _timer_fired,
     "cancelledByClient": _client_left,
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -11,7 +11,7 @@
     Effect,
     IdempotencyScope,
     RequestClass,
-    RequestTaken,
+    RequestReceived,
     SchedulerSettings,
     ServiceTier,
     SlowStartRule,
@@ -99,8 +99,10 @@
         within: float = 2.0,
         heads: int = 1,
     ) -> None:
-        self.scheduler.request_taken(
-            RequestTaken(id, profile, plan, key, self.host.now + within, volume, units, shard, heads, False)
+        self.scheduler.request_received(
+            RequestReceived(
+                id, profile, plan, key, self.host.now + within, volume, units, shard, heads, False
+            )
         )
 
     def answer(
--- a/tests/http_gateway/test_clients.py
+++ b/tests/http_gateway/test_clients.py
@@ -114,7 +114,7 @@
             head.driver.recorder = told.append
             await self.call(wish("e9"))
             await self.call(wish("ea", more="Req-Retry: 1\r\n"))
-            marks = [entry[-1].is_retry for entry in told if entry[2:3] == ("request_taken",)]
+            marks = [entry[-1].is_retry for entry in told if entry[2:3] == ("request_received",)]
             self.assertEqual([False, True], marks)
 
         self.play(work)
--- a/tests/scheduling/test_same_decisions.py
+++ b/tests/scheduling/test_same_decisions.py
@@ -99,7 +99,7 @@
 
 def bench_event(method: str, facts: tuple[Any, ...], page: list[Any]) -> list[dict[str, Any]]:
     """One of the driver's calls as the bench's wire has it; a list is gathered until it ends."""
-    if method == "request_taken":
+    if method == "request_received":
         names = (
             "corr",
             "tierClass",
