--- a/gorsethread/accounts/stages.py
+++ b/gorsethread/accounts/stages.py
@@ -61,7 +61,7 @@
     HoldReason.NO_BACKEND: Stage.NO_SHELF,
     HoldReason.RETRY_BUDGET: Stage.BUDGET,
     HoldReason.UNKNOWN: Stage.HELD_UNKNOWN,
-    HoldReason.NOT: Stage.HELD_UNKNOWN,
+    HoldReason.NOT_HELD: Stage.HELD_UNKNOWN,
 }
 # Time that somebody or something made it wait; work and ways are what any transaction takes.
 WAITS = (
--- a/gorsethread/gateway/accounting.py
+++ b/gorsethread/gateway/accounting.py
@@ -61,5 +61,5 @@
     def _tell_reasons(self, accounts: RequestAccounting, unsent: list[int], now: float) -> None:
         for request in unsent:
             reason, backend = self._why_held(request)
-            if reason is not HoldReason.NOT:  # else the scheduler has not seen it yet
+            if reason is not HoldReason.NOT_HELD:  # else the scheduler has not seen it yet
                 accounts.held(request, reason, backend, now)
--- a/gorsethread/gateway/held_reasons.py
+++ b/gorsethread/gateway/held_reasons.py
@@ -10,7 +10,7 @@
     """Returns what kept a request back, and the backend that it is meant for, or NO_BACKEND."""
     request = scheduler.requests.get(request_id)
     if request is None or request.ended or request.in_flight:
-        return HoldReason.NOT, NO_BACKEND
+        return HoldReason.NOT_HELD, NO_BACKEND
     backend = scheduler.admission.preferred_backend(request)
     backend_id = backend.id if backend else NO_BACKEND
     if not request.waiting:
@@ -23,11 +23,11 @@
 
 def _reason_at(scheduler: Scheduler, request: Request, backend: Backend) -> HoldReason:
     """Asks the mechanisms in the order in which they decide."""
-    if scheduler.rate_limits.holds_back(request):
+    if scheduler.rate_limits.is_short_of_units(request):
         return HoldReason.RATE_LIMIT
     if scheduler.outliers.is_cooling_down(backend):
         return HoldReason.COOL_DOWN
-    if scheduler.slow_start.holds_back(request, backend):
+    if scheduler.slow_start.is_blocked(request, backend):
         return HoldReason.SLOW_START
     awaits_health_check = scheduler.outliers.has_failed(backend) or scheduler.outliers.is_silent(backend)
     if backend.in_flight and awaits_health_check:
--- a/gorsethread/scheduling/model.py
+++ b/gorsethread/scheduling/model.py
@@ -68,7 +68,7 @@
 class HoldReason(Enum):
     """What kept a request back at the gateway in the last search."""
 
-    NOT = "not held"
+    NOT_HELD = "not held"
     SLOTS = "slots taken"
     RATE = "rate of the shelf"
     RATE_LIMIT = "limit"
--- a/gorsethread/scheduling/rate_limits.py
+++ b/gorsethread/scheduling/rate_limits.py
@@ -48,7 +48,7 @@
         self._refill(volume)
         return volume.bucket.level >= volume.tier.burst / volume.gateways
 
-    def holds_back(self, request: Request) -> bool:
+    def is_short_of_units(self, request: Request) -> bool:
         """Whether the rate limit allows less than the request's units, as last filled."""
         volume = request.volume
         return bool(volume.tier.rate_limit) and not request.attempts and volume.bucket.level < request.units
--- a/gorsethread/scheduling/slow_start.py
+++ b/gorsethread/scheduling/slow_start.py
@@ -60,7 +60,7 @@
             return max(backend.first_attempt_at, self._timers.reevaluation_time())
         return backend.first_attempt_at
 
-    def holds_back(self, request: Request, backend: Backend) -> bool:
+    def is_blocked(self, request: Request, backend: Backend) -> bool:
         """Whether the backend may not get a request of that size now."""
         too_early = self._timers.now < backend.first_attempt_at
         return too_early or self.units_left(backend) < max(1.0, request.units)
