--- a/gorsethread/lab/allseeing.py
+++ b/gorsethread/lab/allseeing.py
@@ -11,7 +11,7 @@
 from gorsethread.lab.crowd.day import UNIT_WORK, Scene, draw
 from gorsethread.lab.crowd.score import USABLE, Score
 from gorsethread.lab.crowd.world import World
-from gorsethread.scheduling.concurrency_limits import LOWEST_RATE, UNLIMITED_RATE, WAIT_PART
+from gorsethread.scheduling.concurrency_limits import MAX_WAIT_PART, MIN_RATE, UNLIMITED_RATE
 from gorsethread.scheduling.model import AttemptOutcome, Backend, Request
 from gorsethread.scheduling.scheduler import Scheduler
 
@@ -29,9 +29,9 @@
         self, backend: Backend, outcome: AttemptOutcome, elapsed: float, request: Request, sent_at: float
     ) -> None:
         limits = backend.limits
-        rate, grown_at, cut_at = limits.rate, limits.grown_at, limits.cut_at
+        rate, rate_updated_at, cut_at = limits.rate, limits.rate_updated_at, limits.cut_at
         super()._record_outcome(backend, outcome, elapsed, request, sent_at)
-        limits.rate, limits.grown_at, limits.cut_at = rate, grown_at, cut_at
+        limits.rate, limits.rate_updated_at, limits.cut_at = rate, rate_updated_at, cut_at
 
 
 class EvenParts(Scheduler):
@@ -50,13 +50,13 @@
         limits = p.limits
         for s in p.shards.backends.values():
             wait = world.machines[s.id].behind
-            part = WAIT_PART * limits.shortest_objective / max(wait, 0.001)
+            part = MAX_WAIT_PART * limits.shortest_objective / max(wait, 0.001)
             if part >= 1.0:
-                grown = s.limits.rate * 2.0 ** min(1.0, world.now - s.limits.grown_at)
+                grown = s.limits.rate * 2.0 ** min(1.0, world.now - s.limits.rate_updated_at)
                 s.limits.rate = min(UNLIMITED_RATE, grown)
-            elif world.now - WAIT_PART >= s.limits.cut_at:
-                limits.cut(s, limits.first_rate, max(0.5, part))
-            s.limits.grown_at = world.now
+            elif world.now - MAX_WAIT_PART >= s.limits.cut_at:
+                limits.cut(s, limits.default_rate, max(0.5, part))
+            s.limits.rate_updated_at = world.now
             s.first_attempt_at = world.now + STEP if wait > HOLD * limits.shortest_objective else 0.0
         p.queueing.capacity_changed()
         p.batch_ended()
@@ -88,7 +88,7 @@
     """The rate for a unit of weight at which all that is let through is what the shelf bears."""
     if sum(asked.values()) <= bears:
         return UNLIMITED_RATE
-    low, high = LOWEST_RATE, UNLIMITED_RATE
+    low, high = MIN_RATE, UNLIMITED_RATE
     for _ in range(20):
         middle = 0.5 * (low + high)
         if sum(min(units, weights[v] * middle) for v, units in asked.items()) > bears:
--- a/gorsethread/scheduling/attempt_admission.py
+++ b/gorsethread/scheduling/attempt_admission.py
@@ -38,7 +38,7 @@
             service_time = self.limits.mean_service_time(backend)
             return 1 if self.outliers.health_check_due(backend, service_time) else 0
         if backend.in_flight and self._shows_queue(backend):
-            return self.limits.slots_at_a_queue() - len(backend.in_flight)
+            return self.limits.slots_when_queued() - len(backend.in_flight)
         return self.limits.slots(backend) - len(backend.in_flight)
 
     def _is_silent(self, backend: Backend) -> bool:
@@ -50,11 +50,11 @@
 
     def _shows_queue(self, backend: Backend) -> bool:
         """Whether the first attempt in flight waits in the backend's queue; a further one would behind it."""
-        shown_at = self.limits.queue_shown_at(backend, self.outliers.waiting_since(backend))
+        shown_at = self.limits.queue_detected_at(backend, self.outliers.waiting_since(backend))
         if self.timers.now <= shown_at:
             return False
         # No event may cause a search before the backend counts as silent.
-        self.timers.reevaluate_by(self.outliers.silence_shows_at(backend))
+        self.timers.reevaluate_by(self.outliers.silent_from(backend))
         return True
 
     def units_left(self, volume: Volume) -> float:
--- a/gorsethread/scheduling/load_shedding.py
+++ b/gorsethread/scheduling/load_shedding.py
@@ -81,6 +81,6 @@
         # A cut of long ago may be over; what comes alone would show that the backend is well again.
         now = self._timers.now
         cut_is_old = (
-            now < request.objective_ends and now > self._limits.last_moved_at(backend) + RATE_KNOWN_FOR
+            now < request.objective_ends and now > self._limits.rate_last_updated_at(backend) + RATE_KNOWN_FOR
         )
         return not cut_is_old
--- a/gorsethread/scheduling/model.py
+++ b/gorsethread/scheduling/model.py
@@ -262,7 +262,7 @@
     unit_time: float = float("inf")
     service_times: dict[RequestClass, float] = field(default_factory=dict)
     cut_at: float = 0.0
-    grown_at: float = 0.0
+    rate_updated_at: float = 0.0
 
 
 @dataclass(slots=True, eq=False)
--- a/gorsethread/scheduling/outlier_detection.py
+++ b/gorsethread/scheduling/outlier_detection.py
@@ -88,7 +88,7 @@
         since = max(self.waiting_since(backend), backend.health.answered_at)
         return self._timers.now - since > self._shortest_objective
 
-    def silence_shows_at(self, backend: Backend) -> float:
+    def silent_from(self, backend: Backend) -> float:
         """Returns when the backend counts as silent unless it answers until then."""
         since = max(self.waiting_since(backend), backend.health.answered_at)
         return since + self._shortest_objective + REEVALUATION_DELAY
--- a/gorsethread/scheduling/scheduler.py
+++ b/gorsethread/scheduling/scheduler.py
@@ -208,7 +208,7 @@
         self.polling.listed(id)
         backend = self.shards.backends.get(id)
         if backend is None:
-            state = self.limits.first_state()
+            state = self.limits.initial_state()
             backend = Backend(id, zone, shard, 0.0, ready, self.timers.now, state)
             self.shards.backends[id] = backend
         if started_at > max(backend.started_at, self.timers.started_at):
