--- a/gorsethread/faults/mutants.py
+++ b/gorsethread/faults/mutants.py
@@ -124,13 +124,13 @@
 def _loses_push_backs(head: Head) -> None:
     honest, now = head.driver.reject, sometimes(5)
 
-    def reject(request: int, return_after: float) -> None:
+    def reject(request: int, retry_after: float) -> None:
         t = head.driver.open.get(request)
         if t is not None and now():
             t.answered = True
             head.driver._close(t)
         else:
-            honest(request, return_after)
+            honest(request, retry_after)
 
     head.driver.reject = reject  # type: ignore[method-assign]
 
--- a/gorsethread/faults/webmutants.py
+++ b/gorsethread/faults/webmutants.py
@@ -216,14 +216,14 @@
 def _forgets_some(head: Gateway) -> None:
     honest, count = head.driver.reject, [0]
 
-    def reject(request: int, return_after: float) -> None:
+    def reject(request: int, retry_after: float) -> None:
         count[0] += 1
         t = head.driver.open.get(request)
         if t is not None and count[0] % 4 == 0:
             t.answered = True
             head.driver.open.pop(request)
         else:
-            honest(request, return_after)
+            honest(request, retry_after)
 
     head.driver.reject = reject  # type: ignore[method-assign]
 
--- a/gorsethread/gateway/driver.py
+++ b/gorsethread/gateway/driver.py
@@ -330,16 +330,16 @@
                 link.cancel(attempt)
             self._ended(attempt, AttemptOutcome.CANCELLED, EMPTY_RESULT)
 
-    def reject(self, request: int, return_after: float) -> None:
+    def reject(self, request: int, retry_after: float) -> None:
         """Ends a request whose client may try again, best after so many seconds (0: no advice)."""
         if self.recorder:
-            self.recorder(("act", "reject", request, return_after))
+            self.recorder(("act", "reject", request, retry_after))
         found = self.open.get(request)
         if found is not None and not found.answered:
             found.answered = True
             self.accounting.answered(found.id, RequestOutcome.REJECTED, self.transport.now())
             self.counts["rejected"] += 1
-            found.client.rejected(return_after)
+            found.client.rejected(retry_after)
             self._close(found)
 
     def fail(self, request: int) -> None:
--- a/gorsethread/lab/crowd/gateway.py
+++ b/gorsethread/lab/crowd/gateway.py
@@ -141,7 +141,7 @@
         if t.out is not None and t.out.number == number:
             self.ended(t.out, AttemptOutcome.CANCELLED)
 
-    def reject(self, transaction: int, return_after: float) -> None:
+    def reject(self, transaction: int, retry_after: float) -> None:
         self._answer(transaction, "pushed back")
 
     def fail(self, transaction: int) -> None:
--- a/gorsethread/scheduling/actions.py
+++ b/gorsethread/scheduling/actions.py
@@ -18,7 +18,7 @@
     def cancel_attempt(self, request: int, number: int) -> None:
         """Stops waiting for one attempt of a request."""
 
-    def reject(self, request: int, return_after: float) -> None:
+    def reject(self, request: int, retry_after: float) -> None:
         """Ends a request: its client may retry, best after so many seconds (0: no advice)."""
 
     def fail(self, request: int) -> None:
--- a/gorsethread/simulator_adapter/replies.py
+++ b/gorsethread/simulator_adapter/replies.py
@@ -26,9 +26,9 @@
         """Stops waiting for one attempt of a request."""
         self._actions.append({"verb": "recall", "corr": request, "shot": number})
 
-    def reject(self, request: int, return_after: float) -> None:
+    def reject(self, request: int, retry_after: float) -> None:
         """Ends a request, which its client may retry."""
-        self._actions.append({"verb": "deny", "corr": request, "coolDown": return_after})
+        self._actions.append({"verb": "deny", "corr": request, "coolDown": retry_after})
 
     def fail(self, request: int) -> None:
         """Ends a request with an error."""
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -57,7 +57,7 @@
     def cancel_attempt(self, transaction: int, number: int) -> None:
         self.say(f"recall {transaction}/{number}")
 
-    def reject(self, transaction: int, return_after: float) -> None:
+    def reject(self, transaction: int, retry_after: float) -> None:
         self.say(f"push back {transaction}")
 
     def fail(self, transaction: int) -> None:
