--- a/gorsethread/scheduling/__init__.py
+++ b/gorsethread/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the request path, a module for each mechanism."""
+"""Scheduling of requests to backends: one module for each mechanism. Imports only the standard library."""
--- a/gorsethread/scheduling/lease_messages.py
+++ b/gorsethread/scheduling/lease_messages.py
@@ -1,7 +1,7 @@
-"""The messages by which gateways ask for and grant slow-start leases.
+"""Encodes and decodes the messages with which gateways request and grant slow-start leases.
 
-A message is a text of five words: its kind, the shard, the request's number, units, and the seconds since the
-backend's start.
+A message is a text of five words: its kind, the shard, the request's number, the units, and the seconds since
+the backend's start.
 """
 
 from typing import NamedTuple
@@ -11,10 +11,10 @@
 
 
 class LeaseRequest(NamedTuple):
-    """Asks a shard's lease holder for units of what the shard's backend allows.
+    """A request to a shard's lease holder for some of the units that the shard's backend allows.
 
-    number tells this request from all others of the same gateway; age: seconds since the backend's start;
-    terms: units and age as texts, which the grant repeats.
+    number: unique among the requests of one gateway; age: seconds since the backend's start; terms: units and
+    age as text, which the grant repeats.
     """
 
     shard: int
@@ -25,26 +25,26 @@
 
 
 class LeaseGrant(NamedTuple):
-    """Grants the request of that number, with its terms."""
+    """The grant of the request with the same number and terms."""
 
     shard: int
     number: str
     terms: str
 
 
-def request_for(shard: int, number: str, units: float, age: float) -> LeaseRequest:
-    """Returns a request with its terms as texts."""
+def lease_request(shard: int, number: str, units: float, age: float) -> LeaseRequest:
+    """Returns a lease request whose terms are formatted from units and age."""
     return LeaseRequest(shard, number, units, age, f"{units:g} {age:.3f}")
 
 
 def encode(message: LeaseRequest | LeaseGrant) -> str:
-    """Returns the text of a message."""
+    """Returns a message as text."""
     kind = REQUEST_WORD if isinstance(message, LeaseRequest) else GRANT_WORD
     return f"{kind} {message.shard} {message.number} {message.terms}"
 
 
 def decode(text: str) -> LeaseRequest | LeaseGrant | None:
-    """Returns the message of a text, or None for any other text."""
+    """Returns the message that a text encodes, or None if it encodes none."""
     try:
         kind, shard_word, number, units_word, age_word = text.split()
         shard = int(shard_word)
--- a/gorsethread/scheduling/model.py
+++ b/gorsethread/scheduling/model.py
@@ -1,10 +1,10 @@
-"""The scheduler's types: its settings, its events, and what it keeps of requests, volumes and backends."""
+"""The scheduler's data types: settings, events, and the state of requests, volumes and backends."""
 
 from dataclasses import dataclass, field
 from enum import Enum, IntEnum
 from typing import NamedTuple
 
-NEW_OBJECT = -1  # the shard of a new object, which any backend may take
+NEW_OBJECT = -1  # the shard of a new object, which any backend may store
 
 
 class Effect(Enum):
@@ -16,17 +16,17 @@
 
 
 class IdempotencyScope(Enum):
-    """Which backends drop the repeats of a keyed request."""
+    """The set of backends within which repeats of a keyed request are dropped."""
 
     ALL = "all"
     ZONE = "zone"
     SHARD = "shard"
 
-    def spans(self, one: "Backend", other: "Backend") -> bool:
-        """Whether each of the two drops repeats of what the other ran."""
+    def spans(self, first: "Backend", second: "Backend") -> bool:
+        """Returns whether each of two backends drops repeats of requests that the other has run."""
         if self is IdempotencyScope.ALL:
             return True
-        return one.zone == other.zone if self is IdempotencyScope.ZONE else one.shard == other.shard
+        return first.zone == second.zone if self is IdempotencyScope.ZONE else first.shard == second.shard
 
 
 class AttemptOutcome(Enum):
@@ -43,12 +43,12 @@
 
     @property
     def never_ran(self) -> bool:
-        """The backend is known not to have run it."""
+        """Whether the backend certainly did not run the request."""
         return self in _NEVER_RAN
 
     @property
     def may_still_run(self) -> bool:
-        """Nobody waits for it any more, and the backend may run it yet."""
+        """Whether the backend may still be running the request although its answer is no longer awaited."""
         return self in _MAY_STILL_RUN
 
 
@@ -57,7 +57,7 @@
 
 
 class RequestOutcome(IntEnum):
-    """How a request ended. The numbers stand in snapshots of accounts: added to, never changed."""
+    """How a request ended. Snapshots of accounts store the numbers: add new ones, never change any."""
 
     SUCCEEDED = 0
     REJECTED = 1
@@ -66,7 +66,7 @@
 
 
 class HoldReason(Enum):
-    """What kept a request back at the gateway in the last search."""
+    """Why the last search did not send a request."""
 
     NOT_HELD = "not held"
     SLOTS = "slots taken"
@@ -83,12 +83,12 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class RequestClass:
-    """Settings by kind of request.
+    """The settings of a request class.
 
-    latency_objective: seconds until it should be answered; effect: whether it may run again;
-    idempotency_scope, idempotency_window: which backends drop its repeats, for how many seconds;
-    keyed_order: whether requests of one key run one after the other; priority_weight: what a request
-    answered in time is worth.
+    latency_objective: seconds within which a request should be answered; effect: whether it may run again;
+    idempotency_scope, idempotency_window: the backends that drop its repeats, and for how many seconds;
+    keyed_order: whether requests of one key run one after the other; priority_weight: the value of a request
+    answered in time.
     """
 
     latency_objective: float
@@ -100,26 +100,27 @@
 
     @property
     def idempotent(self) -> bool:
-        """It may run again at any time, on any backend."""
+        """Whether a request may run again at any time and on any backend."""
         return self.effect is Effect.IDEMPOTENT
 
     @property
     def keyed(self) -> bool:
-        """Its repeats are dropped, by the backends of its scope and within its window."""
+        """Whether repeats are dropped by the backends of the scope, within the window."""
         return self.effect is Effect.KEYED
 
     @property
     def repeats_dropped_everywhere(self) -> bool:
-        """No backend would run a repeat that another drops."""
+        """Whether there is no backend that would run a repeat which another backend drops."""
         return not self.keyed or self.idempotency_scope is IdempotencyScope.ALL
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceTier:
-    """Settings by customer.
+    """The settings of a service tier.
 
-    reservation: units a second; weight: its share beside others; rate_limit: units a second, 0: none;
-    burst: units that its token bucket holds; expected_rate: units a second that a volume usually asks for.
+    reservation: units per second; weight: share relative to other tiers; rate_limit: units per second, 0:
+    none; burst: size of the token bucket in units; expected_rate: units per second that a volume usually
+    requests.
     """
 
     reservation: float
@@ -131,10 +132,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStartRule:
-    """What all gateways together may send a backend that warms up.
+    """How much all gateways together may send to a backend that is warming up.
 
-    units: in any window, from its start on; window: seconds; warm_after: seconds since its start;
-    initial_part: of what the warm backend can do.
+    units: allowed in any window at the backend's start; window: seconds; warm_after: seconds from the start
+    until the backend is warm; initial_part: its capacity at the start, as a fraction of its capacity when
+    warm.
     """
 
     units: float
@@ -143,13 +145,16 @@
     initial_part: float
 
     def units_allowed(self, age: float) -> float:
-        """Returns the units that all gateways may send within the window, age seconds after the start."""
+        """Returns the units that all gateways together may send in the window at an age in seconds."""
         return self.units * (1.0 + (1.0 / self.initial_part - 1.0) * max(0.0, age) / self.warm_after)
 
 
 @dataclass(frozen=True, slots=True)
 class RetryBudget:
-    """Retries allowed in any window: free ones, and a ratio of the requests taken; window: seconds."""
+    """The number of retries allowed in any window.
+
+    free: retries allowed in any case; ratio: further retries per request received; window: seconds.
+    """
 
     free: float
     ratio: float
@@ -158,13 +163,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SchedulerSettings:
-    """What a scheduler is given at its start.
+    """The settings of a scheduler.
 
-    gateways: in the fleet; polls_endpoints: whether it asks for the endpoint list; poll_within: seconds
-    that a list may stand, 0: not said; drain_grace: seconds; key_cool_down: seconds; max_attempts: of a
-    request; max_retry_after: seconds; excess_value: what units beyond the reservation earn, 0 to 1;
-    retries_marked: whether clients mark their retries; gateway_index: of this gateway; may_send_messages:
-    whether gateways may.
+    gateways: number of gateways in the fleet; polls_endpoints: whether to poll the endpoint list;
+    poll_within: seconds for which a list is valid, 0: unknown; drain_grace, key_cool_down, max_retry_after:
+    seconds; max_attempts: of one request; excess_value: value of units beyond the reservation, 0 to 1;
+    retries_marked: whether clients mark their retries; gateway_index: index of this gateway;
+    may_send_messages: whether gateways may send messages to each other.
     """
 
     request_classes: tuple[RequestClass, ...]
@@ -186,10 +191,11 @@
 
 
 class RequestReceived(NamedTuple):
-    """A client's request has come.
+    """The event of a request received from a client.
 
-    request_class, service_tier: places in the settings; deadline: in seconds of the process's clock; shard:
-    -1 for a new object; gateways: how many the volume's requests come through; is_retry: a client's retry.
+    request_class, service_tier: indexes in the settings; deadline: seconds on the process's clock; shard: -1
+    for a new object; gateways: the number of gateways that the volume uses; is_retry: the client has tried
+    before.
     """
 
     id: int
@@ -205,10 +211,11 @@
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt of a request at a backend is over.
+    """The event of an ended attempt.
 
-    elapsed: seconds since it was sent; request_finished: the request has its answer; units_elsewhere: units
-    that the volume was served through other gateways; usage: of the backend, as it notifies.
+    number: of the attempt within its request; elapsed: seconds since it was sent; request_finished: whether
+    the request has its final answer; units_elsewhere: units that other gateways sent for the volume; usage:
+    of the backend, as reported by it.
     """
 
     request: int
@@ -223,7 +230,10 @@
 
 @dataclass(slots=True, eq=False)
 class TokenBucket:
-    """Units that may be sent; rate_limits.py says how it fills. filled_at: seconds."""
+    """A token bucket, refilled as described in rate_limits.py.
+
+    level: units that may be sent; filled_at: time of the last refill, in seconds.
+    """
 
     level: float
     filled_at: float
@@ -231,10 +241,11 @@
 
 @dataclass(slots=True, eq=False)
 class Volume:
-    """A volume of one tenant, with what its requests wait for.
+    """A volume of one tenant and its state in the mechanisms.
 
-    Fair queueing moves service_received (units, its virtual time times its weight) and the queues by shard,
-    RateLimits the bucket, Pacing the pacing buckets by shard. gateways: how many its requests come through.
+    service_received (units: virtual time times weight) and queues (by shard) are updated by FairQueueing,
+    bucket by RateLimits, and pacing (by shard) by Pacing. gateways: the number of gateways that the volume
+    uses.
     """
 
     id: str
@@ -250,10 +261,11 @@
 
 @dataclass(slots=True, eq=False)
 class ConcurrencyState:
-    """What ConcurrencyLimits knows of a backend; times are seconds.
+    """The state of a backend in ConcurrencyLimits; times are in seconds.
 
-    slots: attempts that may be in flight; rate: in expected rates of a unit of weight; unit_time: the
-    shortest time a unit.
+    slots: attempts that may be in flight; rate: a multiple of the expected rate of one unit of weight;
+    unit_time: the shortest time per unit; service_time, service_times: smoothed, overall and by request
+    class; cut_at: the time of the last cut; rate_updated_at: the time of the last update of the rate.
     """
 
     slots: float
@@ -267,9 +279,10 @@
 
 @dataclass(slots=True, eq=False)
 class HealthState:
-    """What OutlierDetection knows of a backend; times are seconds.
+    """The state of a backend in OutlierDetection; times are in seconds.
 
-    failures: in turn; answered_sent_at: when the latest of the attempts was sent that it has answered.
+    failures: consecutive failures; answered_at: when the backend last answered; answered_sent_at: when the
+    latest of the attempts that it has answered was sent.
     """
 
     error_rate: float = 0.0
@@ -281,9 +294,9 @@
 
 @dataclass(slots=True, eq=False)
 class LeaseState:
-    """The slow-start lease of a backend and the request for the next one, as SlowStartLeases moves them.
+    """The slow-start lease of a backend and the pending request for the next one, updated by SlowStartLeases.
 
-    units: not sent yet; request_number: empty where none is out; times are seconds.
+    units: of the lease, not sent yet; request_number: empty if no request is pending; times are in seconds.
     """
 
     request_number: str = ""
@@ -295,10 +308,10 @@
 
 @dataclass(slots=True, eq=False)
 class Backend:
-    """A backend as the endpoint list has it, with the mechanisms' state of it; times are seconds.
+    """A backend from the endpoint list and its state in the mechanisms; times are in seconds.
 
-    started_at: 0 for long ago; first_attempt_at: no attempt before; last_send: the end of its drain;
-    in_flight: when each attempt was sent, by request and number, the earliest first.
+    started_at: 0 if long ago; first_attempt_at: no attempt is sent before; last_send: the end of its drain;
+    in_flight: the time each attempt was sent, by request id and attempt number, the earliest first.
     """
 
     id: int
@@ -316,11 +329,11 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A client's request until it has ended and its attempts are in; times are seconds.
+    """A client's request, kept until it and all its attempts have ended; times are in seconds.
 
-    order: of arrival; objective_ends: when its latency objective is over; in_flight: attempts; ran_at,
-    ran_on: when and where it may first have run; late: it can no longer meet its objective; chosen: for an
-    attempt, by the search that is under way.
+    order: of arrival; objective_ends: when its latency objective ends; attempts: sent so far; in_flight:
+    attempts not ended; ran_at, ran_on: when and on which backend it may have run first; waiting: it is queued
+    for an attempt; late: it can no longer meet its objective; chosen: by the current search, for an attempt.
     """
 
     id: int
--- a/gorsethread/scheduling/random_draws.py
+++ b/gorsethread/scheduling/random_draws.py
@@ -1,17 +1,17 @@
-"""The scheduler's own chance: a linear congruential generator, the same on every machine for one seed."""
+"""A pseudo-random number generator (linear congruential) that is reproducible on every machine."""
 
 MASK = 2**64 - 1
-MULTIPLIER = 6364136223846793005  # Knuth's, of MMIX
+MULTIPLIER = 6364136223846793005  # from Knuth's MMIX
 INCREMENT = 1442695040888963407
 
 
 class RandomDraws:
-    """A stream of pseudo-random numbers from a seed; its only state is the generator's."""
+    """A stream of pseudo-random numbers that depends only on the seed."""
 
     def __init__(self, seed: int) -> None:
         self._state = seed & MASK
 
     def next(self) -> float:
-        """Draws a number of at least 0 and under 1."""
+        """Returns the next number, at least 0 and less than 1."""
         self._state = (self._state * MULTIPLIER + INCREMENT) & MASK
         return (self._state >> 32) / 2**32
--- a/gorsethread/scheduling/rate_limits.py
+++ b/gorsethread/scheduling/rate_limits.py
@@ -1,25 +1,28 @@
-"""How fast a volume may send: the token bucket of its rate limit, and pacing towards limited backends."""
+"""Limits how fast a volume may send: by a rate limit, and by pacing towards backends with limited rates."""
 
 from gorsethread.scheduling.model import Request, SchedulerSettings, TokenBucket, Volume
 from gorsethread.scheduling.timers import REEVALUATION_DELAY, Timers
 
 UNLIMITED = float("inf")
-PACING_REQUESTS = 1.5  # largest requests that a pacing bucket holds, beyond the units of one second
+PACING_REQUESTS = 1.5  # size of a pacing bucket in largest requests, plus the units of one second
 
 
 class RateLimits:
-    """Fills and empties each volume's token bucket, which ends with the volume; it is empty at a start."""
+    """Applies the rate limit of each volume's service tier by a token bucket.
+
+    The bucket is stored in the volume and is empty when the gateway starts.
+    """
 
     def __init__(self, settings: SchedulerSettings, timers: Timers) -> None:
         self._timers = timers
         self._largest_request_units = settings.largest_request_units
 
-    def first_bucket(self) -> TokenBucket:
-        """Returns the bucket of a volume that this gateway has not seen lately."""
+    def initial_bucket(self) -> TokenBucket:
+        """Returns the bucket of a new volume; it has been filling since the gateway's start."""
         return TokenBucket(0.0, self._timers.started_at)
 
     def units_left(self, volume: Volume) -> float:
-        """Returns the units that the volume may send now."""
+        """Returns the units that the volume may send now, infinity without a rate limit."""
         bucket = volume.bucket
         if not volume.tier.rate_limit:
             bucket.filled_at = self._timers.now
@@ -37,67 +40,73 @@
         bucket.filled_at = self._timers.now
 
     def spend(self, request: Request) -> None:
-        """A request's first attempt is sent."""
+        """Subtracts the units of a request whose first attempt is sent."""
         if request.volume.tier.rate_limit:
             request.volume.bucket.level -= request.units
 
     def is_idle(self, volume: Volume, idle_after: float) -> bool:
-        """Whether the bucket was not asked for so many seconds and is full."""
+        """Returns whether the bucket is full and has not been used for idle_after seconds."""
         if self._timers.now - volume.bucket.filled_at <= idle_after:
             return False
         self._refill(volume)
         return volume.bucket.level >= volume.tier.burst / volume.gateways
 
     def is_short_of_units(self, request: Request) -> bool:
-        """Whether the rate limit allows less than the request's units, as last filled."""
+        """Returns whether the bucket, as last refilled, has too few units for the request's first attempt."""
         volume = request.volume
         return bool(volume.tier.rate_limit) and not request.attempts and volume.bucket.level < request.units
 
 
 class Pacing:
-    """Spreads volumes' requests to a backend whose concurrency limit is below one slot a gateway.
+    """Paces requests to a backend whose concurrency limit is below one slot per gateway.
 
-    Fills and empties each volume's pacing buckets by shard, which end with the volume. The rate is the same
-    for a unit of weight at every gateway, so volumes are held back alike, however many gateways they use.
+    The pacing buckets, by shard, are stored in the volume. The rate per unit of weight is the same at every
+    gateway, so volumes are limited equally, however many gateways they use.
     """
 
     def __init__(self, settings: SchedulerSettings, timers: Timers) -> None:
         self._timers = timers
-        self._most_held = PACING_REQUESTS * settings.largest_request_units
-        self._highest_weight = max(one.priority_weight for one in settings.request_classes) or 1.0
+        self._burst = PACING_REQUESTS * settings.largest_request_units
+        self._highest_weight = max(rc.priority_weight for rc in settings.request_classes) or 1.0
         tiers = settings.service_tiers
-        # Units a second that a unit of weight is expected to ask for.
+        # Units per second that a unit of weight is expected to request.
         self.expected_rate = sum(tier.expected_rate / tier.weight for tier in tiers) / len(tiers)
 
     def admits(self, request: Request, rate: float, units_chosen: float) -> bool:
-        """Whether a request may go to a backend of that rate, after so many units of its volume."""
+        """Returns whether pacing allows a request to go to its backend now.
+
+        rate: the backend's, see ConcurrencyLimits; units_chosen: units of the volume already chosen.
+        """
         volume = request.volume
         tier = volume.tier
         reserved = tier.reservation * min(1.0, rate)
         fill_rate = (reserved + tier.weight * self.expected_rate * rate) / volume.gateways
         if fill_rate <= 0.0:
             return True
-        most = self._most_held + fill_rate
-        level = self._level(volume, request.shard, most, fill_rate)
+        capacity = self._burst + fill_rate
+        level = self._level(volume, request.shard, capacity, fill_rate)
         # Requests of low priority leave a part of the bucket to those of high priority.
-        kept_back = (most - fill_rate) * (1.0 - request.request_class.priority_weight / self._highest_weight)
-        short = min(most, request.units + kept_back) + units_chosen - level
-        if short > 0.0 and self._timers.now + short / fill_rate < request.objective_ends:
-            self._timers.reevaluate_by(self._timers.now + max(REEVALUATION_DELAY, short / fill_rate))
-        return short <= 0.0
-
-    def _level(self, volume: Volume, shard: int, most: float, fill_rate: float) -> float:
+        reserved_for_others = (capacity - fill_rate) * (
+            1.0 - request.request_class.priority_weight / self._highest_weight
+        )
+        shortage = min(capacity, request.units + reserved_for_others) + units_chosen - level
+        if shortage > 0.0 and self._timers.now + shortage / fill_rate < request.objective_ends:
+            self._timers.reevaluate_by(self._timers.now + max(REEVALUATION_DELAY, shortage / fill_rate))
+        return shortage <= 0.0
+
+    def _level(self, volume: Volume, shard: int, capacity: float, fill_rate: float) -> float:
+        """Refills the volume's bucket for a shard, creating it full; returns its level."""
         now = self._timers.now
         bucket = volume.pacing.get(shard)
         if bucket is None:
-            volume.pacing[shard] = TokenBucket(most, now)
-            return most
-        bucket.level = min(most, bucket.level + fill_rate * (now - bucket.filled_at))
+            volume.pacing[shard] = TokenBucket(capacity, now)
+            return capacity
+        bucket.level = min(capacity, bucket.level + fill_rate * (now - bucket.filled_at))
         bucket.filled_at = now
         return bucket.level
 
     def spend(self, request: Request) -> None:
-        """A request's first attempt is sent."""
+        """Subtracts the units of a request whose first attempt is sent."""
         bucket = request.volume.pacing.get(request.shard)
         if bucket is not None:
             bucket.level -= request.units
--- a/gorsethread/scheduling/rendezvous_ranking.py
+++ b/gorsethread/scheduling/rendezvous_ranking.py
@@ -1,8 +1,8 @@
 """Ranks the backends that serve shards for each volume by rendezvous hashing.
 
-The hash is taken over the ids that all gateways share, so every gateway ranks alike. In large fleets a
-change of one backend must not rank all others again: a ranking is brought up to date by the changes since it
-was made.
+The hash is computed from ids that all gateways share, so every gateway gets the same ranking. In large fleets
+a change of one backend must not cause a new ranking of all others. A ranking is therefore updated with the
+changes since its last update.
 """
 
 from array import array
@@ -16,102 +16,106 @@
 from gorsethread.scheduling.model import Backend
 
 CHANGES_KEPT = 1024
-CHANGES_APPLIED_PART = 0.25  # of the backends: after more changes ranking anew costs less
+MAX_CHANGES_APPLIED_PART = 0.25  # of the backends; after more changes, ranking all of them costs less
 POSITION_BYTES = 8
 
 
 class Change(NamedTuple):
-    """One step of the set of ranked backends."""
+    """A backend that was added to the ranked backends or removed from them."""
 
     backend: Backend
-    joined: bool
+    added: bool
 
 
 @dataclass(slots=True)
 class _Ranking:
-    """One volume's ranking. positions: the hash of each backend, in the same ascending order."""
+    """The ranking of one volume.
+
+    backends: in ascending order of their positions; positions: the hashes of the backends, in the same order;
+    changes_seen: the number of changes applied, counted since the start; -1 before the first ranking.
+    """
 
     volume_name: str
     backends: list[Backend] = field(default_factory=list)
     positions: "array[int]" = field(default_factory=lambda: array("Q"))
-    changes_seen: int = -1  # of all changes ever; -1: not ranked yet
+    changes_seen: int = -1
 
     def rank_all(self, backends: Mapping[int, Backend]) -> None:
-        """Ranks the given backends (by shard) from nothing."""
+        """Computes the ranking of the given backends (by shard) from scratch."""
         unordered = list(backends.values())
-        found = positions(self.volume_name, unordered)
-        order = sorted(range(len(found)), key=found.__getitem__)
-        self.positions = array("Q", [found[index] for index in order])
+        hashes = positions(self.volume_name, unordered)
+        order = sorted(range(len(hashes)), key=hashes.__getitem__)
+        self.positions = array("Q", [hashes[index] for index in order])
         self.backends = [unordered[index] for index in order]
 
     def apply(self, change: Change) -> None:
-        """Puts one backend in its place, or takes it out."""
+        """Inserts or removes one backend."""
         [position] = positions(self.volume_name, [change.backend])
         index = bisect_left(self.positions, position)
-        if change.joined:
+        if change.added:
             self.positions.insert(index, position)
             self.backends.insert(index, change.backend)
             return
-        while self.backends[index] is not change.backend:  # another of the same hash
+        while self.backends[index] is not change.backend:  # skips other backends with the same hash
             index += 1
         del self.positions[index]
         del self.backends[index]
 
 
 def positions(volume_name: str, backends: Iterable[Backend]) -> list[int]:
-    """The place of each backend in a volume's ranking: the lowest is first."""
+    """Returns the hash of each backend for a volume; the backend with the lowest hash ranks first."""
     prefix = blake2b(f"{volume_name}/".encode(), digest_size=POSITION_BYTES)
-    found = []
+    hashes = []
     for backend in backends:
         digest = prefix.copy()
         digest.update(b"%d" % backend.id)
-        found.append(int.from_bytes(digest.digest()))
-    return found
+        hashes.append(int.from_bytes(digest.digest()))
+    return hashes
 
 
 class RendezvousRanking:
-    """Ranks the backends of a table by shard, which its owner changes and reports here.
+    """Ranks the backends in a table by shard, whose owner reports each change with added() or removed().
 
-    Holds the latest changes, CHANGES_KEPT at most, and a ranking of each volume asked about until forget().
+    Holds the latest CHANGES_KEPT changes, and the ranking of each requested volume until forget().
     """
 
     def __init__(self, ranked: Mapping[int, Backend]) -> None:
         self._ranked = ranked
         self._changes: deque[Change] = deque(maxlen=CHANGES_KEPT)
-        self._changes_ever = 0
+        self._change_count = 0
         self._rankings: dict[str, _Ranking] = {}  # by the volume's name
 
-    def left(self, backend: Backend) -> None:
-        """The backend serves no shard any more."""
-        self._record(Change(backend, joined=False))
+    def removed(self, backend: Backend) -> None:
+        """Records that a backend no longer serves a shard."""
+        self._record(Change(backend, added=False))
 
-    def joined(self, backend: Backend) -> None:
-        """The backend serves a shard now."""
-        self._record(Change(backend, joined=True))
+    def added(self, backend: Backend) -> None:
+        """Records that a backend now serves a shard."""
+        self._record(Change(backend, added=True))
 
     def _record(self, change: Change) -> None:
         self._changes.append(change)
-        self._changes_ever += 1
+        self._change_count += 1
 
-    def of(self, volume_name: str) -> list[Backend]:
-        """The volume's ranking, the preferred backend first; not to be changed."""
+    def backends_for(self, volume_name: str) -> list[Backend]:
+        """Returns a volume's backends, the preferred one first; the caller must not change the list."""
         ranking = self._rankings.get(volume_name)
         if ranking is None:
             ranking = self._rankings[volume_name] = _Ranking(volume_name)
-        if ranking.changes_seen != self._changes_ever:
-            self._bring_up_to_date(ranking)
+        if ranking.changes_seen != self._change_count:
+            self._update(ranking)
         return ranking.backends
 
     def forget(self, volume_name: str) -> None:
-        """Nobody asks about that volume for now."""
+        """Drops the ranking of a volume."""
         self._rankings.pop(volume_name, None)
 
-    def _bring_up_to_date(self, ranking: _Ranking) -> None:
-        behind = self._changes_ever - ranking.changes_seen
-        too_many = behind > min(len(self._changes), CHANGES_APPLIED_PART * len(self._ranked))
+    def _update(self, ranking: _Ranking) -> None:
+        behind = self._change_count - ranking.changes_seen
+        too_many = behind > min(len(self._changes), MAX_CHANGES_APPLIED_PART * len(self._ranked))
         if ranking.changes_seen < 0 or too_many:
             ranking.rank_all(self._ranked)
         else:
             for index in range(len(self._changes) - behind, len(self._changes)):
                 ranking.apply(self._changes[index])
-        ranking.changes_seen = self._changes_ever
+        ranking.changes_seen = self._change_count
--- a/gorsethread/scheduling/retries.py
+++ b/gorsethread/scheduling/retries.py
@@ -1,18 +1,18 @@
-"""Whether a request may be attempted again: its effects, the retry budget, and overloaded backends."""
+"""Decides whether a request may be retried: by its effect, the retry budget, and recent rejections."""
 
 from collections import deque
 
 from gorsethread.scheduling.model import Backend, Request, SchedulerSettings
 from gorsethread.scheduling.timers import Timers
 
-MAX_ATTEMPTS = 3  # of a request, also where the settings allow more
-OVERLOAD_PAUSE = 1.0  # seconds without retries after a backend rejected an attempt
+MAX_ATTEMPTS = 3  # of a request, even if the settings allow more
+OVERLOAD_PAUSE = 1.0  # seconds without retries after a backend has rejected an attempt
 
 
 class Retries:
-    """The retry budget's window and the pause after a rejection.
+    """Holds the requests and retries counted against the retry budget, and the pause after a rejection.
 
-    What was counted leaves as the budget's window passes.
+    Counts older than the budget's window are dropped.
     """
 
     def __init__(self, settings: SchedulerSettings, timers: Timers) -> None:
@@ -20,25 +20,25 @@
         self.budget = settings.retry_budget
         self.max_attempts = min(settings.max_attempts, MAX_ATTEMPTS)
         self._paused_until = 0.0
-        self._taken_at: deque[float] = deque()
+        self._received_at: deque[float] = deque()
         self._retried_at: deque[float] = deque()
 
     def request_received(self) -> None:
         """Counts a client's request."""
         if self.budget:
-            self._taken_at.append(self._timers.now)
+            self._received_at.append(self._timers.now)
 
     def retry_sent(self) -> None:
-        """Counts an attempt after a request's first."""
+        """Counts an attempt that is not the first of its request."""
         if self.budget:
             self._retried_at.append(self._timers.now)
 
     def backend_rejected(self) -> None:
-        """A backend is overloaded: retries would only add to that."""
+        """Pauses all retries, which would add to the load of the overloaded backend."""
         self._paused_until = self._timers.now + OVERLOAD_PAUSE
 
     def may_retry(self, request: Request) -> bool:
-        """Whether a request may go back to its queue after an attempt without an answer."""
+        """Returns whether a request may be queued again after an attempt that did not finish it."""
         now = self._timers.now
         if request.in_flight or request.attempts >= self.max_attempts or now >= request.deadline:
             return False
@@ -47,21 +47,21 @@
         return request.ran_at is None or self.is_repeatable(request, now)
 
     def is_repeatable(self, request: Request, now: float) -> bool:
-        """Whether one more run of what may have run changes nothing, on a backend of its scope."""
+        """Returns whether running the request again is safe on a backend of its idempotency scope."""
         request_class = request.request_class
         if request.ran_at is None or request_class.idempotent:
             return True
         return request_class.keyed and now < request.ran_at + request_class.idempotency_window
 
     def is_repeatable_everywhere(self, request: Request) -> bool:
-        """Whether one more run changes nothing now, on whatever backend."""
+        """Returns whether running the request again now is safe on any backend."""
         if request.ran_at is None:
             return True
         everywhere = request.request_class.repeats_dropped_everywhere
         return everywhere and self.is_repeatable(request, self._timers.now)
 
     def may_run_on(self, request: Request, backend: Backend) -> bool:
-        """Whether a request may go to the backend: a keyed one that may have run stays in its scope."""
+        """Returns whether a request may go to the backend: a keyed one that may have run stays in scope."""
         if request.ran_on is None or request.request_class.idempotent:
             return True
         if not self.is_repeatable(request, self._timers.now):
@@ -69,11 +69,11 @@
         return request.request_class.idempotency_scope.spans(backend, request.ran_on)
 
     def within_budget(self) -> bool:
-        """Whether the budget allows one more retry now."""
+        """Returns whether the budget allows one more retry now."""
         budget = self.budget
         if not budget:
             return True
-        for counted_at in (self._taken_at, self._retried_at):
+        for counted_at in (self._received_at, self._retried_at):
             while counted_at and counted_at[0] <= self._timers.now - budget.window:
                 counted_at.popleft()
-        return len(self._retried_at) + 1 <= budget.free + budget.ratio * len(self._taken_at)
+        return len(self._retried_at) + 1 <= budget.free + budget.ratio * len(self._received_at)
--- a/gorsethread/scheduling/scheduler.py
+++ b/gorsethread/scheduling/scheduler.py
@@ -1,7 +1,7 @@
-"""The decisions of a gateway on the path of a request: events in, actions out.
+"""The scheduler of a gateway: it receives events and calls actions, and does no input or output itself.
 
-The program around it calls one method for each event, then batch_ended(); the scheduler answers by the
-actions in actions.py. Each mechanism is a module of its own; docs/design.md says why each is there.
+The program that runs it calls one method for each event, then batch_ended(); the scheduler then calls the
+actions in actions.py. Each mechanism is a separate module; docs/design.md explains why each is needed.
 """
 
 from gorsethread.scheduling.actions import SchedulerActions
@@ -29,19 +29,19 @@
 from gorsethread.scheduling.slow_start_leases import SlowStartLeases
 from gorsethread.scheduling.timers import Timers
 
-DRAIN_PART = 0.75  # of the drain grace: an attempt may still have to wait for a connection
-DRAIN_DELAY = 0.25  # seconds of the grace for a process held up as it is notified or as it sends
+DRAIN_PART = 0.75  # of the drain grace; the rest is for attempts that wait for a connection
+DRAIN_DELAY = 0.25  # seconds of the grace left for delays of the process when it is notified or sends
 VOLUME_IDLE_AFTER = 60.0  # seconds
 
 
 class Scheduler:
-    """Passes events to the mechanisms, and acts on what they decide.
+    """Passes events to the mechanisms and carries out their decisions.
 
-    Its own state is the table of requests, each of which leaves as it has ended and its attempts are over.
+    Its own state is the table of requests. A request is removed when it and all its attempts have ended.
     """
 
     def __init__(self, actions: SchedulerActions, settings: SchedulerSettings, seed: int) -> None:
-        """seed: of the draws of chance, which tell gateways apart."""
+        """seed: of the random draws; it should differ between gateways."""
         self._actions = actions
         self.settings = settings
         self.requests: dict[int, Request] = {}
@@ -75,32 +75,32 @@
 
     # ---- events: requests
 
-    def request_received(self, taken: RequestReceived) -> None:
-        """A client's request has come."""
+    def request_received(self, received: RequestReceived) -> None:
+        """Handles a new request from a client."""
         now = self.timers.advance()
-        tier = self.settings.service_tiers[taken.service_tier]
-        request_class = self.settings.request_classes[taken.request_class]
-        volume = self.queueing.volume_of(taken, tier, self.rate_limits.first_bucket)
+        tier = self.settings.service_tiers[received.service_tier]
+        request_class = self.settings.request_classes[received.request_class]
+        volume = self.queueing.volume_of(received, tier, self.rate_limits.initial_bucket)
         request = Request(
-            taken.id,
+            received.id,
             self.timers.next_number(),
             request_class,
             volume,
-            taken.key if request_class.keyed_order else None,
-            taken.deadline,
-            self.shedding.objective_ends(taken),
-            taken.units,
-            taken.shard,
+            received.key if request_class.keyed_order else None,
+            received.deadline,
+            self.shedding.objective_ends(received),
+            received.units,
+            received.shard,
         )
-        self.requests[taken.id] = request
+        self.requests[received.id] = request
         self.retries.request_received()
-        in_time_until = request.objective_ends - self.admission.expected_time(request)
-        self.timers.schedule(max(now, in_time_until), request)
-        if self.key_ordering.join(request):
+        last_start = request.objective_ends - self.admission.expected_time(request)
+        self.timers.schedule(max(now, last_start), request)
+        if self.key_ordering.enqueue(request):
             self.queueing.enqueue(request)
 
     def attempt_ended(self, end: AttemptEnded) -> None:
-        """An attempt of a request is over."""
+        """Handles the end of an attempt."""
         now = self.timers.advance()
         backend = self.shards.backends.get(end.backend)
         request = self.requests.get(end.request)
@@ -126,9 +126,9 @@
     def _record_outcome(
         self, backend: Backend, outcome: AttemptOutcome, elapsed: float, request: Request, sent_at: float
     ) -> None:
-        """Tells the mechanisms what the outcome says of the backend."""
+        """Passes an outcome to the mechanisms that keep state about the backend."""
         if not backend.ready and outcome.never_ran:
-            # It takes nothing new already, or is gone: no sign of overload, and the end of its drain.
+            # It already refuses new attempts, or is gone. That is no sign of overload; it ends the drain.
             self.shards.end_drain(backend)
             return
         if not self.outliers.attempt_ended(backend, outcome, sent_at):
@@ -145,7 +145,7 @@
             self._answer_unserved(request)
 
     def client_left(self, request_id: int) -> None:
-        """The client of a request no longer awaits its answer."""
+        """Handles a client that no longer waits for the answer to its request."""
         self.timers.advance()
         request = self.requests.get(request_id)
         if request is not None:
@@ -154,7 +154,10 @@
             self._close(request)
 
     def shutting_down_by(self, when: float) -> None:
-        """This gateway itself ends then: what its clients would wait longer for is answered before."""
+        """Handles the start of a graceful shutdown: every request is to be answered by that time.
+
+        when: the end of this gateway, in seconds.
+        """
         now = self.timers.advance()
         for request in self.requests.values():
             if request.deadline > when:
@@ -164,7 +167,7 @@
                 self.timers.schedule(max(now, last_start), request)
 
     def may_begin_attempt(self, request_id: int, backend_id: int, decided_at: float, now: float) -> bool:
-        """Whether an attempt that waited for its connection since it was decided may still go out."""
+        """Returns whether an attempt that has waited for a connection since decided_at may still be sent."""
         request = self.requests.get(request_id)
         backend = self.shards.backends.get(backend_id)
         if request is None or backend is None:
@@ -176,35 +179,41 @@
         return self.slow_start.may_begin_attempt(backend, decided_at, now)
 
     def is_ready(self, backend_id: int) -> bool:
-        """Whether the list names the backend as ready."""
+        """Returns whether the backend is listed as ready."""
         backend = self.shards.backends.get(backend_id)
         return backend is not None and backend.ready
 
     # ---- events: timers and other gateways
 
     def timer_fired(self, name: str) -> None:
-        """The timer that the scheduler has set by that name has fired."""
+        """Handles a timer that the scheduler has set with that name."""
         self.timers.fired(name)
 
     def peer_message_received(self, origin: int, message: str) -> None:
-        """Another gateway, by its number, has sent a message."""
+        """Handles a message from another gateway; origin: the index of that gateway."""
         self.timers.advance()
         self.leases.message_received(origin, message)
 
     # ---- events: the endpoint list
 
     def endpoint_poll_failed(self, waited: float = 0.0) -> None:
-        """The endpoint list could not be had; waited: seconds until the poll failed."""
+        """Handles a failed poll of the endpoint list; waited: seconds until it failed."""
         self.timers.advance()
         self.polling.poll_failed(waited)
 
     def endpoint_list_begins(self, complete: bool, remembered: bool) -> None:
-        """A list of backends comes, complete or of changes; remembered: from an earlier run."""
+        """Handles the start of an endpoint list.
+
+        complete: it contains all backends, not only changes; remembered: it was stored by an earlier run.
+        """
         self.timers.advance()
         self.polling.list_begins(complete, remembered)
 
     def endpoint_listed(self, id: int, zone: int, shard: int, ready: bool, started_at: float) -> None:
-        """The list names a backend; started_at: in seconds of this process's clock, 0: long ago."""
+        """Handles one backend of the list.
+
+        started_at: when the backend started, in seconds on this process's clock; 0 if long ago.
+        """
         self.polling.listed(id)
         backend = self.shards.backends.get(id)
         if backend is None:
@@ -216,7 +225,8 @@
             self.limits.backend_started(backend)
             self.outliers.backend_started(backend)
         if not ready:
-            # Its shard may have no other backend yet. One notified as draining again has gone.
+            # During its drain it may be used, since its shard may have no other backend yet. A backend that
+            # is listed as not ready again is gone.
             backend.last_send = self.timers.now + self._usable_grace() if backend.ready else 0.0
         backend.zone = zone
         backend.ready = ready
@@ -224,12 +234,12 @@
         self.shards.place(backend, shard)
 
     def _usable_grace(self) -> float:
-        """Returns the seconds for which a backend that drains may still be sent to."""
+        """Returns the seconds for which attempts may still be sent to a draining backend."""
         grace = self.settings.drain_grace
         return min(DRAIN_PART * grace, max(0.0, grace - DRAIN_DELAY))
 
     def endpoint_list_ended(self) -> None:
-        """The list is over."""
+        """Handles the end of an endpoint list."""
         for id in self.polling.missing(self.shards.backends):
             self.shards.withdraw(self.shards.backends[id])
         self._update_shards()
@@ -241,7 +251,7 @@
     # ---- the end of a batch
 
     def batch_ended(self) -> None:
-        """Everything that happened at this time has been notified: the scheduler acts."""
+        """Acts on all events of a batch, after the last of them."""
         self.timers.advance()
         for item in self.timers.due_items():
             if isinstance(item, Request):
@@ -257,7 +267,7 @@
         if self.queueing.fade_due():
             self._fade()
         if self.queueing.search_needed():
-            self._send_what_may_go()
+            self._send_admitted()
         self.timers.set_for(self.polling.next_poll_at, self.shards.next_drain_end)
 
     def _fade(self) -> None:
@@ -268,7 +278,7 @@
                 self.shards.ranking.forget(volume.name)
         self.slow_start.forget_idle()
 
-    def _send_what_may_go(self) -> None:
+    def _send_admitted(self) -> None:
         search = AugmentingPathSearch(self.admission)
         for backend_id, requests in search.run(self.queueing.volumes_to_search()).items():
             backend = self.shards.backends[backend_id]
@@ -296,7 +306,7 @@
     # ---- the end of a request
 
     def _review(self, request: Request) -> None:
-        """A request that waits is shed or demoted if it can no longer meet its latency objective."""
+        """Sheds or demotes a waiting request that can no longer meet its latency objective."""
         if request.ended or request.in_flight or self.requests.get(request.id) is not request:
             return
         backend = self.shards.serving.get(request.shard)
@@ -313,10 +323,10 @@
         self.timers.schedule(review.next_at, request)
 
     def _answer_unserved(self, request: Request) -> None:
-        """Rejects a request where a repeat is safe, else fails it."""
+        """Rejects a request if a retry by its client is safe, otherwise fails it."""
         request.ended = True
-        in_time = request.in_flight == 0 and self.timers.now < request.deadline
-        if in_time and self.retries.is_repeatable_everywhere(request):
+        before_deadline = request.in_flight == 0 and self.timers.now < request.deadline
+        if before_deadline and self.retries.is_repeatable_everywhere(request):
             backend = self.shards.serving.get(request.shard)
             service_time = (
                 self.limits.mean_service_time(backend) if backend else self.limits.shortest_objective
@@ -328,7 +338,7 @@
     def _close(self, request: Request) -> None:
         if request.ended and not request.in_flight:
             self.requests.pop(request.id, None)
-            self._enqueue_next(self.key_ordering.leave(request))
+            self._enqueue_next(self.key_ordering.remove(request))
 
     def _enqueue_next(self, request: Request | None) -> None:
         if request is not None:
--- a/gorsethread/scheduling/shard_assignment.py
+++ b/gorsethread/scheduling/shard_assignment.py
@@ -1,6 +1,6 @@
-"""Which backend serves each shard, as the endpoint list and the drains stand now.
+"""Assigns each shard to a backend, from the endpoint list and the drains in progress.
 
-A list change touches few shards of thousands: only these are assigned anew.
+A change of the list affects few of thousands of shards; only these are reassigned.
 """
 
 from gorsethread.scheduling.model import Backend
@@ -10,40 +10,41 @@
 
 
 class ShardAssignment:
-    """The backends known, and of each shard the one that serves it: ready before draining, then the newest.
+    """Holds the known backends and, for each shard, the backend that serves it.
 
-    Emptied as backends leave the list with no attempt in flight; no more shards than the backends have.
+    A ready backend is preferred over a draining one, then the one started last. A backend is removed when it
+    is no longer listed and has no attempt in flight. A shard is removed with its last backend.
     """
 
     def __init__(self) -> None:
         self.backends: dict[int, Backend] = {}
         self.serving: dict[int, Backend] = {}  # by shard
-        self.next_drain_end = NEVER  # seconds on the gateway's clock: update() is due then
+        self.next_drain_end = NEVER  # time at which update() is due, in seconds
         self.ranking = RendezvousRanking(self.serving)
         self._by_shard: dict[int, dict[int, Backend]] = {}
         self._not_ready: dict[int, Backend] = {}
         self._changed_shards: set[int] = set()
 
     def place(self, backend: Backend, shard: int) -> None:
-        """The list names the backend for that shard; its other fields may change until update()."""
-        self._leave_shard(backend)
+        """Assigns a listed backend to a shard; its other fields may still change until update()."""
+        self._remove_from_shard(backend)
         backend.shard = shard
         self._by_shard.setdefault(shard, {})[backend.id] = backend
         self._changed_shards.add(shard)
-        self._not_ready[backend.id] = backend  # update() takes out those that are ready
+        self._not_ready[backend.id] = backend  # update() removes it if it is ready
 
     def withdraw(self, backend: Backend) -> None:
-        """The list does not name the backend any more: it gets no new attempt."""
+        """Stops new attempts to a backend that is no longer in the list."""
         backend.ready, backend.last_send = False, 0.0
         self._not_ready[backend.id] = backend
 
     def end_drain(self, backend: Backend) -> None:
-        """The backend takes no new attempt any more: update() is due at once."""
+        """Ends the drain of a backend that accepts no new attempts; update() is due at once."""
         backend.last_send = 0.0
         self.next_drain_end = 0.0
 
     def update(self, now: float) -> None:
-        """Ends the drains whose time is over and assigns each shard that something changed for."""
+        """Ends the drains whose time is over and reassigns each shard affected by a change."""
         self.next_drain_end = NEVER
         for backend in list(self._not_ready.values()):
             self._review(backend, now)
@@ -52,38 +53,38 @@
         self._changed_shards.clear()
 
     def _review(self, backend: Backend, now: float) -> None:
-        """Whether a backend that was not ready may still be sent to."""
+        """Checks a backend that was not ready: it is ready now, still draining, or to be removed."""
         self._changed_shards.add(backend.shard)
         if backend.ready:
             del self._not_ready[backend.id]
         elif backend.last_send > now:
             self.next_drain_end = min(self.next_drain_end, backend.last_send)
         elif not backend.in_flight:
-            self._forget(backend)
+            self._remove(backend)
 
-    def _forget(self, backend: Backend) -> None:
+    def _remove(self, backend: Backend) -> None:
         del self._not_ready[backend.id]
         del self.backends[backend.id]
-        self._leave_shard(backend)
+        self._remove_from_shard(backend)
 
-    def _leave_shard(self, backend: Backend) -> None:
-        of_shard = self._by_shard.get(backend.shard, {})
-        if of_shard.pop(backend.id, None) is None:
+    def _remove_from_shard(self, backend: Backend) -> None:
+        in_shard = self._by_shard.get(backend.shard, {})
+        if in_shard.pop(backend.id, None) is None:
             return
         self._changed_shards.add(backend.shard)
-        if not of_shard:
+        if not in_shard:
             del self._by_shard[backend.shard]
 
     def _assign(self, shard: int, now: float) -> None:
-        of_shard = self._by_shard.get(shard, {}).values()
-        usable = [backend for backend in of_shard if backend.ready or backend.last_send > now]
+        in_shard = self._by_shard.get(shard, {}).values()
+        usable = [backend for backend in in_shard if backend.ready or backend.last_send > now]
         best = max(usable, key=lambda backend: (backend.ready, backend.started_at, backend.id), default=None)
-        before = self.serving.get(shard)
-        if best is before:
+        previous = self.serving.get(shard)
+        if best is previous:
             return
-        if before is not None:
+        if previous is not None:
             del self.serving[shard]
-            self.ranking.left(before)
+            self.ranking.removed(previous)
         if best is not None:
             self.serving[shard] = best
-            self.ranking.joined(best)
+            self.ranking.added(best)
--- a/gorsethread/scheduling/timers.py
+++ b/gorsethread/scheduling/timers.py
@@ -1,4 +1,4 @@
-"""The time of the batch that is worked on, and what is due later."""
+"""The scheduler's clock, its scheduled entries and its timer."""
 
 import heapq
 from collections.abc import Iterator
@@ -7,15 +7,15 @@
 from gorsethread.scheduling.model import Request
 
 NEVER = float("inf")
-CLOCK_ROUNDING = 0.001  # seconds by which a clock may round a delay down
+CLOCK_ROUNDING = 0.001  # seconds by which the timer may fire early because its delay was rounded down
 TIMER_NAME = "look"
-REEVALUATION_DELAY = 0.02  # seconds until what held something back is evaluated again
+REEVALUATION_DELAY = 0.02  # seconds until waiting requests are searched again
 
 
 class Timers:
-    """The scheduler's time, its due entries and the one timer that it has asked for.
+    """Holds the time of the current batch, the scheduled entries and the one timer that is set.
 
-    An entry is a request to review or a key whose cool-down ends; each leaves as its time passes.
+    An entry is a request to review or a key whose cool-down ends; it is removed when it becomes due.
     """
 
     def __init__(self, actions: SchedulerActions) -> None:
@@ -27,52 +27,52 @@
         self._set_for = NEVER
 
     def advance(self) -> float:
-        """Takes over the clock's time, at the begin of each event."""
+        """Updates the time from the clock, at the start of each event; returns it."""
         self.now = self._actions.clock()
         return self.now
 
     def next_number(self) -> int:
-        """Returns a number above all before, for ties and for what must never repeat."""
+        """Returns the next of a series of increasing numbers, for breaking ties and for unique numbers."""
         self.last_number += 1
         return self.last_number
 
     def schedule(self, at: float, item: Request | str) -> None:
-        """Makes an item due at a time."""
+        """Schedules an item for a time."""
         heapq.heappush(self._entries, (at, self.next_number(), item))
 
     def due_items(self) -> Iterator[Request | str]:
-        """Yields what is due by now, the earliest first, also what becomes due meanwhile."""
+        """Removes and yields the due items, the earliest first, including those scheduled meanwhile."""
         while self._entries and self._entries[0][0] <= self.now:
             yield heapq.heappop(self._entries)[2]
 
     def reevaluate_by(self, at: float) -> None:
-        """All that waits is to be searched again at that time, if nothing causes it earlier."""
+        """Schedules a search of all waiting requests for a time, unless one is scheduled earlier."""
         self._reevaluate_at = min(self._reevaluate_at, at)
 
     def reevaluation_time(self) -> float:
-        """Returns the time after REEVALUATION_DELAY, in seconds."""
+        """Returns the time REEVALUATION_DELAY from now, in seconds."""
         return self.now + REEVALUATION_DELAY
 
     def reevaluate_soon(self) -> None:
-        """All that waits is to be searched again after REEVALUATION_DELAY."""
+        """Schedules a search of all waiting requests after REEVALUATION_DELAY."""
         self.reevaluate_by(self.now + REEVALUATION_DELAY)
 
     def reevaluation_due(self) -> bool:
-        """Whether a search of all that waits is due; asking clears it."""
+        """Returns whether a search of all waiting requests is due, and if so clears it."""
         if self.now < self._reevaluate_at:
             return False
         self._reevaluate_at = NEVER
         return True
 
     def fired(self, name: str) -> None:
-        """A timer has fired, perhaps an earlier one than the last that was set."""
+        """Records that a timer has fired, which may be an earlier one than the last that was set."""
         if name == TIMER_NAME and self._actions.clock() >= self._set_for - CLOCK_ROUNDING:
             self._set_for = NEVER
 
-    def set_for(self, *others: float) -> None:
-        """Sets a timer for the earliest of what is due and of the other times, if none fires before."""
+    def set_for(self, *other_times: float) -> None:
+        """Sets a timer for the earliest entry, reevaluation or given time, unless an earlier one is set."""
         first_entry = self._entries[0][0] if self._entries else NEVER
-        needed = min(first_entry, self._reevaluate_at, *others)
-        if needed < self._set_for:
-            self._set_for = needed
-            self._actions.set_timer(max(0.0, needed - self.now), TIMER_NAME)
+        earliest = min(first_entry, self._reevaluate_at, *other_times)
+        if earliest < self._set_for:
+            self._set_for = earliest
+            self._actions.set_timer(max(0.0, earliest - self.now), TIMER_NAME)
--- a/tests/scheduling/test_lease_messages.py
+++ b/tests/scheduling/test_lease_messages.py
@@ -4,11 +4,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gorsethread.scheduling.lease_messages import LeaseGrant, LeaseRequest, decode, encode, request_for
+from gorsethread.scheduling.lease_messages import LeaseGrant, LeaseRequest, decode, encode, lease_request
 
 
 def test_the_texts_are_those_that_gateways_of_earlier_versions_read() -> None:
-    asked = request_for(1, "100.5/7", 2.0, 1.23456)
+    asked = lease_request(1, "100.5/7", 2.0, 1.23456)
     assert encode(asked) == "ask 1 100.5/7 2 1.235"
     assert encode(LeaseGrant(asked.shard, asked.number, asked.terms)) == "lent 1 100.5/7 2 1.235"
 
@@ -28,7 +28,7 @@
 
 @given(st.integers(0, 10**6), st.floats(0.125, 1e5), st.floats(0.0, 1e5))
 def test_a_request_is_read_as_it_was_written(shard: int, units: float, age: float) -> None:
-    asked = request_for(shard, "1.5/2", units, age)
+    asked = lease_request(shard, "1.5/2", units, age)
     read = decode(encode(asked))
     assert isinstance(read, LeaseRequest)
     assert (read.shard, read.number, read.terms) == (shard, "1.5/2", asked.terms)
--- a/tests/scheduling/test_ranking.py
+++ b/tests/scheduling/test_ranking.py
@@ -36,7 +36,7 @@
 
 
 def ranked_anew(told: Scheduler, name: str) -> list[Backend]:
-    return RendezvousRanking(told.shards.serving).of(name)
+    return RendezvousRanking(told.shards.serving).backends_for(name)
 
 
 def assigned_anew(told: Scheduler) -> dict[int, Backend]:
