--- a/gorsethread/simulator_adapter/__init__.py
+++ b/gorsethread/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the wire of the operators' simulator: run with python -m gorsethread.simulator_adapter."""
+"""Connects the scheduler to the operators' simulator. Run it with python -m gorsethread.simulator_adapter."""
--- a/gorsethread/simulator_adapter/__main__.py
+++ b/gorsethread/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""The operators' simulator on standard input and output: a batch a line, a reply a line. Decides nothing."""
+"""Serves the operators' simulator on standard input and output: one batch per line, one reply per line."""
 
 import json
 import sys
@@ -8,13 +8,13 @@
 
 
 def main() -> int:
-    """Serves the simulator until its input ends; returns the exit status, 2 after a malformed line."""
+    """Answers batches until the input ends; returns the exit status, 2 after a malformed line."""
     instances = Instances()
     for line in sys.stdin:
         if not line.strip():
             continue
         try:
-            reply = instances.batch(line)
+            reply = instances.handle_line(line)
         except MalformedInputError as error:
             print(f"gorsethread: malformed line: {error}", file=sys.stderr)
             return 2
--- a/gorsethread/simulator_adapter/events.py
+++ b/gorsethread/simulator_adapter/events.py
@@ -1,4 +1,7 @@
-"""The simulator's events as calls of the scheduler's event methods; the themed names are the simulator's."""
+"""Translates the simulator's events into calls of the scheduler.
+
+The names of verbs and fields are given by the simulator's protocol.
+"""
 
 from collections.abc import Callable, Mapping
 
@@ -23,23 +26,23 @@
 EndpointLists = Mapping[int, list[JsonObject]]
 
 
-def notify(scheduler: Scheduler, event: JsonObject, lists: EndpointLists) -> None:
-    """Calls the scheduler's method for an event.
+def dispatch_event(scheduler: Scheduler, event: JsonObject, lists: EndpointLists) -> None:
+    """Calls the scheduler's method for an event of the simulator.
 
     Args:
         scheduler: The instance's scheduler.
-        event: One object of the batch.
-        lists: The endpoint lists sent so far, by number.
+        event: One event of a batch.
+        lists: The endpoint lists sent so far, by their page numbers.
 
     Raises:
-        MalformedInputError: The event is of no known kind, or lacks a field.
+        MalformedInputError: The event has an unknown verb, or lacks a field.
     """
     verb = event["verb"]
-    handler = _NOTIFY.get(verb) if isinstance(verb, str) else None
+    handler = _HANDLERS.get(verb) if isinstance(verb, str) else None
     if handler is not None:
         handler(scheduler, event)
     elif verb == "sync":
-        _endpoint_list(scheduler, event, lists)
+        _endpoint_list_received(scheduler, event, lists)
     elif verb not in IGNORED_VERBS:
         raise MalformedInputError(f"unknown verb {verb!r}")
 
@@ -88,7 +91,7 @@
     scheduler.peer_message_received(event["originPeer"], event["raw"])
 
 
-def _endpoint_list(scheduler: Scheduler, event: JsonObject, lists: EndpointLists) -> None:
+def _endpoint_list_received(scheduler: Scheduler, event: JsonObject, lists: EndpointLists) -> None:
     form = event["form"]
     if form == "refused":
         scheduler.endpoint_poll_failed()
@@ -108,7 +111,7 @@
     scheduler.endpoint_list_ended()
 
 
-_NOTIFY: dict[str, Callable[[Scheduler, JsonObject], None]] = {
+_HANDLERS: dict[str, Callable[[Scheduler, JsonObject], None]] = {
     "order": _request_received,
     "done": _attempt_ended,
     "due": _timer_fired,
--- a/tests/scheduling/test_same_decisions.py
+++ b/tests/scheduling/test_same_decisions.py
@@ -277,7 +277,7 @@
                 happened += bench_event(entry[2], entry[3:], page)
             elif entry[0] == "batch":
                 line = json.dumps({"wall": entry[1], "heads": [{"i": "head/0", "happened": happened}]})
-                for reply in link.batch(line)["heads"]:
+                for reply in link.handle_line(line)["heads"]:
                     decided += [bench_act(act) for act in reply["output"]]
                 happened = []
         return decided
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -523,9 +523,9 @@
         setup["permissions"]["peerMessages"] = True
         setup["index"] = home = int.from_bytes(blake2b(b"1", digest_size=8).digest()) % 60
         line = {"wall": 100.0, "heads": [{"i": "h", "happened": [{"verb": "up", "setup": setup, "salt": 7}]}]}
-        link.batch(json.dumps(line))
+        link.handle_line(json.dumps(line))
         asks = [{"verb": "peer", "originPeer": (home + 1) % 60, "raw": "ask 1 4/100.5 2 1.5"}]
-        reply = link.batch(json.dumps({"wall": 200.0, "heads": [{"i": "h", "happened": asks}]}))
+        reply = link.handle_line(json.dumps({"wall": 200.0, "heads": [{"i": "h", "happened": asks}]}))
         self.assertIn(
             {"verb": "notify", "addressee": (home + 1) % 60, "raw": "lent 1 4/100.5 2 1.5"},
             reply["heads"][0]["output"],
