--- a/gorsethread/scheduling/scheduler.py
+++ b/gorsethread/scheduling/scheduler.py
@@ -41,7 +41,7 @@
     """
 
     def __init__(self, actions: SchedulerActions, settings: SchedulerSettings, seed: int) -> None:
-        """seed: of the random draws; it should differ between gateways."""
+        """seed: of the random draws, which differ between gateways."""
         self._actions = actions
         self.settings = settings
         self.requests: dict[int, Request] = {}
@@ -128,7 +128,7 @@
     ) -> None:
         """Passes an outcome to the mechanisms that keep state about the backend."""
         if not backend.ready and outcome.never_ran:
-            # It already refuses new attempts, or is gone. That is no sign of overload; it ends the drain.
+            # The backend refuses new attempts or is gone. That is no sign of overload, and ends its drain.
             self.shards.end_drain(backend)
             return
         if not self.outliers.attempt_ended(backend, outcome, sent_at):
--- a/gorsethread/simulator_adapter/instances.py
+++ b/gorsethread/simulator_adapter/instances.py
@@ -18,7 +18,7 @@
 
 
 class Instances:
-    """Holds the running instances by name, and the endpoint lists that the simulator sends once for all of them.
+    """Holds the running instances by name and the endpoint lists, which the simulator sends once for all.
 
     An instance is removed when the simulator stops it. Of the lists with the same page number, the last is
     kept.
