--- a/tests/crossing/test_discovery.py
+++ b/tests/crossing/test_discovery.py
@@ -17,7 +17,7 @@
 from gorsethread.scheduling.scheduler import Scheduler
 from gorsethread.transport.real import RealTransport
 from tests.crossing.rig import HOST, PATIENCE, CrossingTest, Discovery, GatewayProcess, Peer, Server, answer
-from tests.harness import FACTS, PrintingHost
+from tests.harness import SCHEDULER_SETTINGS, RecordingActions
 from tests.live import SETTINGS, LiveRig, NewsList, wish
 
 READY_WITHIN = 3.0  # seconds from a process's first call, of the 10 that nine in ten restarts may take
@@ -295,11 +295,11 @@
 class Refusals(unittest.TestCase):
     """The decisions alone: when is discovery asked again?"""
 
-    def scheduler(self, ask_within: float, heads: int, seed: int) -> tuple[Scheduler, PrintingHost]:
-        host = PrintingHost()
+    def scheduler(self, ask_within: float, heads: int, seed: int) -> tuple[Scheduler, RecordingActions]:
+        host = RecordingActions()
         facts = SchedulerSettings(
             **{
-                **FACTS,
+                **SCHEDULER_SETTINGS,
                 "gateways": heads,
                 "polls_endpoints": True,
                 "poll_within": ask_within,
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,4 +1,4 @@
-"""Shared by all tests: a host that prints what the scheduler does, and compares it with the kept trace."""
+"""Runs a scheduler in tests, records its actions as a trace and compares that with a file in traces/."""
 
 import difflib
 import unittest
@@ -20,10 +20,10 @@
 
 PLAIN = RequestClass(0.3, Effect.IDEMPOTENT, IdempotencyScope.ALL, 5.0, False, 1.0)
 SLOW = RequestClass(9.0, Effect.IDEMPOTENT, IdempotencyScope.ALL, 5.0, False, 1.0)
-OPEN_PLAN = ServiceTier(0.0, 1.0, 0.0, 0.0, 4.0)
-FACTS: dict[str, Any] = {
+UNLIMITED_TIER = ServiceTier(0.0, 1.0, 0.0, 0.0, 4.0)
+SCHEDULER_SETTINGS: dict[str, Any] = {
     "request_classes": (PLAIN,),
-    "service_tiers": (OPEN_PLAN,),
+    "service_tiers": (UNLIMITED_TIER,),
     "gateways": 1,
     "polls_endpoints": False,
     "poll_within": 10.0,
@@ -39,116 +39,149 @@
 }
 
 
-class PrintingHost:
+class RecordingActions:
+    """Records a scheduler's actions as lines of a trace. The clock starts at 100 seconds."""
+
     def __init__(self) -> None:
-        self.now, self.trace, self.wakes, self.sent = 100.0, [""], [], {}
+        self.now, self.trace, self.timers, self.sent = 100.0, [""], [], {}
 
     def clock(self) -> float:
         return self.now
 
-    def say(self, text: str) -> None:
+    def log(self, text: str) -> None:
         self.trace.append(f"{self.now - 100:7.3f}  {text}")
 
-    def send_attempt(self, transaction: int, shelf: int, wait: float) -> None:
-        number = sum(1 for t, _ in self.sent if t == transaction)
-        self.sent[(transaction, number)] = (shelf, self.now)
-        self.say(f"forward {transaction} to shelf {shelf}")
+    def send_attempt(self, request: int, backend: int, wait: float) -> None:
+        number = sum(1 for id, _ in self.sent if id == request)
+        self.sent[(request, number)] = (backend, self.now)
+        self.log(f"send {request} to backend {backend}")
 
-    def cancel_attempt(self, transaction: int, number: int) -> None:
-        self.say(f"recall {transaction}/{number}")
+    def cancel_attempt(self, request: int, number: int) -> None:
+        self.log(f"cancel {request}/{number}")
 
-    def reject(self, transaction: int, retry_after: float) -> None:
-        self.say(f"push back {transaction}")
+    def reject(self, request: int, retry_after: float) -> None:
+        self.log(f"reject {request}")
 
-    def fail(self, transaction: int) -> None:
-        self.say(f"give up {transaction}")
+    def fail(self, request: int) -> None:
+        self.log(f"fail {request}")
 
     def set_timer(self, delay: float, name: str) -> None:
-        self.wakes.append((self.now + delay, name))
+        self.timers.append((self.now + delay, name))
 
     def poll_endpoints(self) -> None:
-        self.say("ask to follow the list")
+        self.log("poll endpoints")
 
 
-class Scene(unittest.TestCase):
-    """One head; shelves are 1, 2, ... and hold shards of the same number."""
+class SchedulerTestCase(unittest.TestCase):
+    """Runs one scheduler. The backends are numbered 1, 2, ...; each serves the shard with its own number."""
 
-    def start(self, shelves: int = 1, **facts: Any) -> None:
-        self.host = PrintingHost()
-        self.scheduler = Scheduler(self.host, SchedulerSettings(**{**FACTS, **facts}), 7)
-        self.shelves({n: 0.0 for n in range(1, shelves + 1)}, remembered=True)
-        self.end()
+    def start(self, backends: int = 1, **settings: Any) -> None:
+        """Starts a scheduler with some settings changed, and lists its backends."""
+        self.actions = RecordingActions()
+        self.scheduler = Scheduler(self.actions, SchedulerSettings(**{**SCHEDULER_SETTINGS, **settings}), 7)
+        self.list_backends({id: 0.0 for id in range(1, backends + 1)}, remembered=True)
+        self.end_batch()
 
-    def shelves(
-        self, since: dict[int, float], ready: bool = True, whole: bool = True, remembered: bool = False
+    def list_backends(
+        self,
+        started_at: dict[int, float],
+        ready: bool = True,
+        complete: bool = True,
+        remembered: bool = False,
     ) -> None:
-        self.scheduler.endpoint_list_begins(whole, remembered)
-        for n, at in since.items():
-            self.scheduler.endpoint_listed(n, n % 2, n, ready, at and 100.0 + at)
+        """Passes a list of backends; started_at: the start of each, 0: long ago."""
+        self.scheduler.endpoint_list_begins(complete, remembered)
+        for id, at in started_at.items():
+            self.scheduler.endpoint_listed(id, id % 2, id, ready, at and 100.0 + at)
         self.scheduler.endpoint_list_ended()
 
-    def take(
+    def receive(
         self,
         id: int,
         volume: str = "a",
         shard: int = 1,
         units: float = 1,
-        profile: int = 0,
-        plan: int = 0,
+        request_class: int = 0,
+        service_tier: int = 0,
         key: str | None = None,
-        within: float = 2.0,
-        heads: int = 1,
+        timeout: float = 2.0,
+        gateways: int = 1,
     ) -> None:
+        """Passes a request with a deadline after timeout seconds."""
         self.scheduler.request_received(
             RequestReceived(
-                id, profile, plan, key, self.host.now + within, volume, units, shard, heads, False
+                id,
+                request_class,
+                service_tier,
+                key,
+                self.actions.now + timeout,
+                volume,
+                units,
+                shard,
+                gateways,
+                False,
             )
         )
 
-    def answer(
+    def end_attempt(
         self,
         id: int,
-        how: AttemptOutcome = AttemptOutcome.SUCCEEDED,
+        outcome: AttemptOutcome = AttemptOutcome.SUCCEEDED,
         number: int = 0,
         finished: bool | None = None,
-        elsewhere: float = 0,
+        units_elsewhere: float = 0,
     ) -> None:
-        shelf, sent = self.host.sent[(id, number)]
-        over = how is AttemptOutcome.SUCCEEDED if finished is None else finished
-        self.host.say(f"    {id} on shelf {shelf}: {how.value}")
+        """Ends an attempt of a request; finished: by default, whether it has succeeded."""
+        backend, sent_at = self.actions.sent[(id, number)]
+        request_finished = outcome is AttemptOutcome.SUCCEEDED if finished is None else finished
+        self.actions.log(f"    {id} on backend {backend}: {outcome.name.lower().replace('_', ' ')}")
         self.scheduler.attempt_ended(
-            AttemptEnded(id, number, how, shelf, self.host.now - sent, over, elsewhere, 0)
+            AttemptEnded(
+                id,
+                number,
+                outcome,
+                backend,
+                self.actions.now - sent_at,
+                request_finished,
+                units_elsewhere,
+                0,
+            )
         )
 
-    def health(self, shelf: int = 1) -> None:
-        s = self.scheduler.shards.backends[shelf]
-        self.host.say(
-            f"    shelf {shelf}: rate {s.limits.rate:.2f}, usual time {s.limits.service_time:.2f}, "
-            f"{s.health.failures} misses, "
-            f"rests {max(0.0, s.health.cool_down_until - self.host.now):.2f}"
+    def log_health(self, id: int = 1) -> None:
+        """Adds the state of a backend to the trace."""
+        backend = self.scheduler.shards.backends[id]
+        self.actions.log(
+            f"    backend {id}: rate {backend.limits.rate:.2f}, "
+            f"service time {backend.limits.service_time:.2f}, "
+            f"{backend.health.failures} failures, "
+            f"cool-down {max(0.0, backend.health.cool_down_until - self.actions.now):.2f}"
         )
 
-    def end(self) -> None:
+    def end_batch(self) -> None:
         self.scheduler.batch_ended()
 
-    def until(self, at: float) -> None:
-        """Let time pass, with the wakes asked for."""
-        while self.host.wakes and min(self.host.wakes)[0] <= 100 + at:
-            wake = min(self.host.wakes)
-            self.host.wakes.remove(wake)
-            self.host.now = max(self.host.now, wake[0])
-            self.scheduler.timer_fired(wake[1])
-            self.end()
-        self.host.now = 100.0 + at
-
-    def kept(self, name: str) -> None:
-        got = "\n".join(line.rstrip() for line in self.host.trace[1:]) + "\n"
-        want = (Path(__file__).parent / "traces" / f"{name}.txt").read_text()
+    def run_until(self, at: float) -> None:
+        """Advances the clock to a time after the start, in seconds, and fires the timers due by then."""
+        while self.actions.timers and min(self.actions.timers)[0] <= 100 + at:
+            timer = min(self.actions.timers)
+            self.actions.timers.remove(timer)
+            self.actions.now = max(self.actions.now, timer[0])
+            self.scheduler.timer_fired(timer[1])
+            self.end_batch()
+        self.actions.now = 100.0 + at
+
+    def assert_trace(self, name: str) -> None:
+        """Asserts that the trace equals the file of that name in traces/."""
+        actual = "\n".join(line.rstrip() for line in self.actions.trace[1:]) + "\n"
+        expected = (Path(__file__).parent / "traces" / f"{name}.txt").read_text()
         self.assertEqual(
-            want,
-            got,
+            expected,
+            actual,
             "\n"
             + "\n".join(
-                difflib.unified_diff(want.splitlines(), got.splitlines(), "kept", "now", lineterm="")
+                difflib.unified_diff(
+                    expected.splitlines(), actual.splitlines(), "expected", "actual", lineterm=""
+                )
             ),
         )
--- a/tests/scheduling/__init__.py
+++ b/tests/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the request path, mechanism by mechanism and as a whole."""
+"""Tests of the scheduler, of each mechanism and as a whole."""
--- a/tests/scheduling/test_ordinary_path.py
+++ b/tests/scheduling/test_ordinary_path.py
@@ -1,21 +1,25 @@
-"""The design's ordinary path: fair slots by augmenting paths."""
+"""Tests how slots are shared among volumes by augmenting paths."""
 
 from gorsethread.scheduling.model import AttemptOutcome, ServiceTier
-from tests.harness import SLOW, Scene
+from tests.harness import SLOW, SchedulerTestCase
 
 
-class OrdinaryPath(Scene):
-    def begin(self, shelves: int, slots: int, *weights: float, reserve: float = 0.0) -> None:
+class SlotSharingTest(SchedulerTestCase):
+    def start_with_slots(self, backends: int, slots: int, *weights: float, reservation: float = 0.0) -> None:
+        """Starts with a number of slots at each backend and a service tier for each weight."""
         self.start(
-            shelves,
-            service_tiers=tuple(ServiceTier(reserve * i, w, 0.0, 0.0, 4.0) for i, w in enumerate(weights)),
+            backends,
+            service_tiers=tuple(
+                ServiceTier(reservation * index, weight, 0.0, 0.0, 4.0)
+                for index, weight in enumerate(weights)
+            ),
         )
-        for shelf in self.scheduler.shards.backends.values():
-            shelf.limits.slots = float(slots)
+        for backend in self.scheduler.shards.backends.values():
+            backend.limits.slots = float(slots)
 
-    def test_papers_example(self) -> None:
-        """Three flows, five disks, one slot each: only moving earlier choices gives 2, 2, 1."""
-        self.begin(5, 1, 1.0)
+    def test_augmenting_paths_reproduce_the_example_of_the_paper(self) -> None:
+        """Three flows, five disks, one slot each: the shares 2, 2, 1 need changes of earlier choices."""
+        self.start_with_slots(5, 1, 1.0)
         for id, (volume, shard) in enumerate(
             [
                 ("f1", 1),
@@ -31,37 +35,37 @@
                 ("f3", 2),
             ]
         ):
-            self.take(id, volume, shard)
-        self.end()
-        self.kept("papers_example")
+            self.receive(id, volume, shard)
+        self.end_batch()
+        self.assert_trace("paper_example")
 
-    def test_weights_and_slots(self) -> None:
-        """Six slots at one shelf, weights 1 and 2: two for the light volume, four for the heavy one."""
-        self.begin(1, 6, 1.0, 2.0)
+    def test_slots_are_shared_by_weight(self) -> None:
+        """Six slots at one backend, weights 1 and 2: two for the light volume, four for the heavy one."""
+        self.start_with_slots(1, 6, 1.0, 2.0)
         for id in range(12):
-            self.take(id, "light" if id < 6 else "heavy", plan=id // 6)
-        self.end()
-        self.kept("weights_and_slots")
+            self.receive(id, "light" if id < 6 else "heavy", service_tier=id // 6)
+        self.end_batch()
+        self.assert_trace("weights_and_slots")
 
-    def test_waking_volume(self) -> None:
-        """A volume that slept gets no credit: it wakes level with the busy one, and they take turns."""
-        self.begin(1, 2, 1.0)
+    def test_an_idle_volume_resumes_at_the_virtual_time_of_the_busy_one(self) -> None:
+        """A volume gets no credit for its idle time; after it the two volumes send alternately."""
+        self.start_with_slots(1, 2, 1.0)
         for id in range(8):
-            self.take(id, "busy")
-        self.end()
+            self.receive(id, "busy")
+        self.end_batch()
         for id in range(4):
-            self.answer(id)
-            self.end()
+            self.end_attempt(id)
+            self.end_batch()
         for id in range(10, 14):
-            self.take(id, "waking")
+            self.receive(id, "resuming")
         for id in (4, 5, 6, 10):
-            if (id, 0) in self.host.sent:
-                self.answer(id)
-            self.end()
-        self.kept("waking_volume")
+            if (id, 0) in self.actions.sent:
+                self.end_attempt(id)
+            self.end_batch()
+        self.assert_trace("idle_volume_resumes")
 
-    def test_reserve(self) -> None:
-        """At a crowded shelf a volume with a reserve is paced above a plain one of the same weight."""
+    def test_a_volume_with_a_reservation_is_paced_faster_at_an_overloaded_backend(self) -> None:
+        """It sends more than a volume of the same weight without a reservation."""
         self.start(
             request_classes=(SLOW,),
             service_tiers=(ServiceTier(0.0, 1.0, 0.0, 0.0, 4.0), ServiceTier(12.0, 1.0, 0.0, 0.0, 4.0)),
@@ -69,15 +73,15 @@
         limits = self.scheduler.shards.backends[1].limits
         limits.slots, limits.rate = 32.0, 0.25
         for id in range(14):
-            self.take(id, "plain" if id < 7 else "reserved", plan=id // 7, units=4, within=20.0)
-        self.end()
-        self.until(2.5)
-        self.kept("reserve")
+            self.receive(id, "plain" if id < 7 else "reserved", service_tier=id // 7, units=4, timeout=20.0)
+        self.end_batch()
+        self.run_until(2.5)
+        self.assert_trace("reservation")
 
-    def test_crowded_shelf(self) -> None:
-        """An overdue forward cuts the rate before its answer, which then cuts no more; time grows it."""
+    def test_a_late_answer_does_not_cut_the_rate_again(self) -> None:
+        """An overdue attempt cuts the rate before it is answered; later the rate grows with time."""
         self.start()
-        for id, (answered, how) in enumerate(
+        for id, (answered_at, outcome) in enumerate(
             [
                 (0.1, AttemptOutcome.SUCCEEDED),
                 (1.0, AttemptOutcome.SUCCEEDED),
@@ -86,22 +90,23 @@
                 (2.6, AttemptOutcome.REJECTED),
             ]
         ):
-            self.take(id)
-            self.end()
+            self.receive(id)
+            self.end_batch()
             if id == 1:
-                self.until(0.9)
-                self.take(9, within=0.08)
-                self.end()
-            self.until(answered)
-            self.answer(id, how, finished=True)
-            self.host.say(f"    paced at {self.scheduler.shards.backends[1].limits.rate:.1f} usual rates")
-            self.end()
-        self.kept("crowded_shelf")
+                self.run_until(0.9)
+                self.receive(9, timeout=0.08)
+                self.end_batch()
+            self.run_until(answered_at)
+            self.end_attempt(id, outcome, finished=True)
+            rate = self.scheduler.shards.backends[1].limits.rate
+            self.actions.log(f"    paced at {rate:.1f} expected rates")
+            self.end_batch()
+        self.assert_trace("overloaded_backend")
 
-    def test_new_objects(self) -> None:
-        """A volume's new objects go to its first shelf in rank, then to the next."""
-        self.begin(3, 2, 1.0)
+    def test_new_objects_go_to_the_backends_in_the_order_of_the_ranking(self) -> None:
+        """New objects of a volume go to its first backend until that has no slots left, then to the next."""
+        self.start_with_slots(3, 2, 1.0)
         for id in range(5):
-            self.take(id, "a", shard=-1)
-        self.end()
-        self.kept("new_objects")
+            self.receive(id, "a", shard=-1)
+        self.end_batch()
+        self.assert_trace("new_objects")
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -43,8 +43,7 @@
 from gorsethread.sitefile.reading import read_site
 from gorsethread.transport.real import RealTransport
 from gorsethread.transport.virtual import Disk, Network, VirtualLoop, VirtualTransport, Weather
-from tests.harness import FACTS, PrintingHost
-from tests.harness import Scene as Bench
+from tests.harness import SCHEDULER_SETTINGS, RecordingActions, SchedulerTestCase
 from tests.live import SETTINGS, LiveRig, order
 from tests.scheduling.test_same_decisions import setup_of
 
@@ -220,14 +219,14 @@
         profile = RequestClass(self.LENT_FOR / 0.4, Effect.IDEMPOTENT, IdempotencyScope.ALL, 5.0, False, 1.0)
         facts = SchedulerSettings(
             **{
-                **FACTS,
+                **SCHEDULER_SETTINGS,
                 "request_classes": (profile,),
                 "gateways": 3,
                 "may_send_messages": True,
                 "slow_start": SlowStartRule(1.0, float(self.SPAN), 1e9, 1.0),
             }
         )
-        host = PrintingHost()
+        host = RecordingActions()
         told: list[str] = []
         host.send_peer_message = lambda head, words: told.append(words)  # type: ignore[attr-defined]
         home = Scheduler(host, facts, 1).leases.holder(1)
@@ -364,32 +363,32 @@
                 self.assertIs(False, self.check(leak)["properties"]["no more than is borne"]["holds"])
 
 
-class OneHead(Bench):
+class OneHead(SchedulerTestCase):
     def begin(self, index: int = 0, heads: int = 60) -> None:
         self.start(slow_start=COLD, gateways=heads, may_send_messages=True, gateway_index=index)
-        self.host.now += 10.0
+        self.actions.now += 10.0
         self.told: list[tuple[int, str]] = []
-        self.host.send_peer_message = lambda head, words: self.told.append((head, words))  # type: ignore[attr-defined]
-        self.shelves({1: 9.0})
-        self.end()
+        self.actions.send_peer_message = lambda head, words: self.told.append((head, words))  # type: ignore[attr-defined]
+        self.list_backends({1: 9.0})
+        self.end_batch()
 
     def test_it_asks_the_home_and_sends_once_it_is_lent(self) -> None:
         home = self.made().leases.holder(1)
         self.begin((home + 1) % 60)
-        self.take(1, units=2.0)
-        self.end()
+        self.receive(1, units=2.0)
+        self.end_batch()
         ((head, words),) = self.told
         self.assertEqual((home, "ask 1"), (head, words[:5]))
-        self.assertFalse(self.host.sent)
+        self.assertFalse(self.actions.sent)
         self.scheduler.peer_message_received(
             (home + 1) % 60, words.replace("ask", "lent")
         )  # from who is not its home
         self.scheduler.peer_message_received(home, "lent 1 another 2 1.000")
-        self.end()
-        self.assertFalse(self.host.sent)
+        self.end_batch()
+        self.assertFalse(self.actions.sent)
         self.scheduler.peer_message_received(home, words.replace("ask", "lent"))
-        self.end()
-        self.assertEqual([(1, 0)], list(self.host.sent))
+        self.end_batch()
+        self.assertEqual([(1, 0)], list(self.actions.sent))
 
     def made(self) -> Scheduler:
         self.start(slow_start=COLD, gateways=60, may_send_messages=True)
@@ -398,25 +397,25 @@
     def test_a_lent_part_that_comes_late_is_not_used(self) -> None:
         home = self.made().leases.holder(1)
         self.begin((home + 1) % 60)
-        self.take(1, units=2.0)
-        self.end()
-        self.host.now += self.scheduler.leases.duration
+        self.receive(1, units=2.0)
+        self.end_batch()
+        self.actions.now += self.scheduler.leases.duration
         self.scheduler.peer_message_received(home, self.told[0][1].replace("ask", "lent"))
-        self.end()
-        self.assertFalse(self.host.sent)
+        self.end_batch()
+        self.assertFalse(self.actions.sent)
         self.assertEqual(2, len(self.told))  # and asks anew
 
     def test_a_lent_part_that_was_not_needed_ends(self) -> None:
         home = self.made().leases.holder(1)
         self.begin((home + 1) % 60)
-        self.take(1, units=2.0)
-        self.end()
+        self.receive(1, units=2.0)
+        self.end_batch()
         self.scheduler.client_left(1)
         self.scheduler.peer_message_received(home, self.told[0][1].replace("ask", "lent"))
-        self.host.now += self.scheduler.leases.duration
-        self.take(2, units=2.0)
-        self.end()
-        self.assertEqual((2, []), (len(self.told), list(self.host.sent)))
+        self.actions.now += self.scheduler.leases.duration
+        self.receive(2, units=2.0)
+        self.end_batch()
+        self.assertEqual((2, []), (len(self.told), list(self.actions.sent)))
 
     def test_the_home_lends_what_is_borne_and_no_more(self) -> None:
         home = self.made().leases.holder(1)
@@ -424,7 +423,7 @@
         for n in range(20):
             self.scheduler.peer_message_received((home + 1 + n) % 60, f"ask 1 {n} 2 0.0")
         self.assertEqual(4, len(self.told))  # of 9 units
-        self.host.now += 3.0 + self.scheduler.leases.duration + 0.001
+        self.actions.now += 3.0 + self.scheduler.leases.duration + 0.001
         self.scheduler.peer_message_received((home + 1) % 60, "ask 1 99 2 0.0")
         self.assertEqual(5, len(self.told))
 
@@ -433,7 +432,7 @@
         for listed, most in (({1: 9.0}, 11.9), ({}, 9.0)):
             with self.subTest(listed=listed):
                 self.begin(home)
-                self.shelves(listed)
+                self.list_backends(listed)
                 self.told.clear()
                 self.scheduler.leases.log.by_shard.clear()
                 for n in range(20):
@@ -443,16 +442,16 @@
     def test_a_home_is_silent_until_an_earlier_lifes_lending_has_passed(self) -> None:
         home = self.made().leases.holder(1)
         self.begin(home)
-        self.scheduler.leases.started_at = self.host.now - 3.0
+        self.scheduler.leases.started_at = self.actions.now - 3.0
         self.scheduler.peer_message_received((home + 1) % 60, "ask 1 1 2 1.5")
         self.assertFalse(self.told)
 
     def test_few_heads_have_even_parts_and_say_nothing(self) -> None:
         self.begin(heads=1)
-        self.host.now += 3.0
-        self.take(1, units=2.0)
-        self.end()
-        self.assertEqual(([], [(1, 0)]), (self.told, list(self.host.sent)))
+        self.actions.now += 3.0
+        self.receive(1, units=2.0)
+        self.end_batch()
+        self.assertEqual(([], [(1, 0)]), (self.told, list(self.actions.sent)))
 
     @given(
         st.text(max_size=60)
@@ -518,7 +517,7 @@
 
     def test_the_benchs_link_carries_both_ways(self) -> None:
         link = Instances()
-        facts = SchedulerSettings(**{**FACTS, "slow_start": COLD, "gateways": 60})
+        facts = SchedulerSettings(**{**SCHEDULER_SETTINGS, "slow_start": COLD, "gateways": 60})
         setup = json.loads(json.dumps(setup_of(facts)))
         setup["permissions"]["peerMessages"] = True
         setup["index"] = home = int.from_bytes(blake2b(b"1", digest_size=8).digest()) % 60
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -8,7 +8,7 @@
 
 from gorsethread.scheduling.model import SchedulerSettings, SlowStartRule
 from gorsethread.scheduling.scheduler import Scheduler
-from tests.harness import FACTS, PrintingHost
+from tests.harness import SCHEDULER_SETTINGS, RecordingActions
 from tests.live import SETTINGS, Caller, LiveRig, instance, wish
 
 GRACE = SETTINGS["contract"]["stopSendingWithin"] + 0.05
@@ -191,10 +191,10 @@
         """Seconds from the moment in which all start, or are refused for the given time in turn."""
         asked = []
         for n in range(heads):
-            host = PrintingHost()
+            host = RecordingActions()
             facts = SchedulerSettings(
                 **{
-                    **FACTS,
+                    **SCHEDULER_SETTINGS,
                     "gateways": heads,
                     "polls_endpoints": True,
                     "poll_within": 10.0,
@@ -206,8 +206,8 @@
                 scheduler.endpoint_poll_failed()
             scheduler.batch_ended()
             while len(host.trace) == 1:
-                wake = min(host.wakes)
-                host.wakes.remove(wake)
+                wake = min(host.timers)
+                host.timers.remove(wake)
                 host.now = max(host.now, wake[0])
                 scheduler.timer_fired(wake[1])
                 scheduler.batch_ended()
