--- a/tests/scheduling/test_same_decisions.py
+++ b/tests/scheduling/test_same_decisions.py
@@ -1,4 +1,4 @@
-"""One recorded sequence of events: the same decisions through the head's driver and the bench's link."""
+"""Tests that the same events lead to the same decisions in the driver and in the simulator adapter."""
 
 import json
 import random
@@ -25,19 +25,21 @@
 
 
 @dataclass
-class Link_:
-    """Holds forwards until the script ends them."""
+class FakeLink:
+    """Holds attempts until the test ends them."""
 
-    held: list[Attempt] = field(default_factory=list)
+    attempts: list[Attempt] = field(default_factory=list)
 
-    def send(self, f: Attempt) -> None:
-        self.held.append(f)
+    def send(self, attempt: Attempt) -> None:
+        self.attempts.append(attempt)
 
-    def cancel(self, f: Attempt) -> None:
+    def cancel(self, attempt: Attempt) -> None:
         pass
 
 
-class Deaf:
+class FakeClient:
+    """Ignores all answers."""
+
     profile = 0
 
     def succeeded(self, shard: int, data: bytes) -> None: ...
@@ -45,60 +47,60 @@
     def failed(self) -> None: ...
 
 
-def _word(table: dict[str, Any], value: Any) -> str:
-    return next(word for word, known in table.items() if known is value)
+def _key_of(table: dict[str, Any], value: Any) -> str:
+    return next(key for key, known in table.items() if known is value)
 
 
-def setup_of(facts: SchedulerSettings) -> dict[str, Any]:
-    """The bench's start-up message for the same facts."""
+def simulator_setup(settings: SchedulerSettings) -> dict[str, Any]:
+    """Returns the setup that the simulator sends for the same settings."""
     return {
-        "balancers": facts.gateways,
+        "balancers": settings.gateways,
         "membershipMode": "subscribe",
-        "clients": {"marksRetry": facts.retries_marked},
+        "clients": {"marksRetry": settings.retries_marked},
         "contract": {
-            "askWithin": facts.poll_within,
-            "fall": facts.slow_start.window,
-            "cold": facts.slow_start.warm_after,
-            "coldFrom": facts.slow_start.initial_part,
-            "orderSettle": facts.key_cool_down,
-            "stopSendingWithin": facts.drain_grace,
+            "askWithin": settings.poll_within,
+            "fall": settings.slow_start.window,
+            "cold": settings.slow_start.warm_after,
+            "coldFrom": settings.slow_start.initial_part,
+            "orderSettle": settings.key_cool_down,
+            "stopSendingWithin": settings.drain_grace,
         },
         "permissions": {
-            "maxAttempts": facts.max_attempts,
+            "maxAttempts": settings.max_attempts,
             "retryAfter": True,
-            "maxRetryAfter": facts.max_retry_after,
+            "maxRetryAfter": settings.max_retry_after,
         },
         "specifics": {
-            "coldUnits": facts.slow_start.units,
-            "mostUnits": facts.largest_request_units,
-            "shareWorth": facts.excess_value,
+            "coldUnits": settings.slow_start.units,
+            "mostUnits": settings.largest_request_units,
+            "shareWorth": settings.excess_value,
         },
         "services": [
             {
-                "aim": p.latency_objective,
-                "effect": _word(EFFECTS, p.effect),
-                "group": _word(IDEMPOTENCY_SCOPES, p.idempotency_scope),
-                "window": p.idempotency_window,
-                "keepOrder": p.keyed_order,
-                "worth": p.priority_weight,
+                "aim": rc.latency_objective,
+                "effect": _key_of(EFFECTS, rc.effect),
+                "group": _key_of(IDEMPOTENCY_SCOPES, rc.idempotency_scope),
+                "window": rc.idempotency_window,
+                "keepOrder": rc.keyed_order,
+                "worth": rc.priority_weight,
             }
-            for p in facts.request_classes
+            for rc in settings.request_classes
         ],
         "grades": [
             {
-                "floorRate": p.reservation,
-                "proportion": p.weight,
-                "neverOver": p.rate_limit,
-                "limitBurst": p.burst,
-                "baseRate": p.expected_rate,
+                "floorRate": tier.reservation,
+                "proportion": tier.weight,
+                "neverOver": tier.rate_limit,
+                "limitBurst": tier.burst,
+                "baseRate": tier.expected_rate,
             }
-            for p in facts.service_tiers
+            for tier in settings.service_tiers
         ],
     }
 
 
-def bench_event(method: str, facts: tuple[Any, ...], page: list[Any]) -> list[dict[str, Any]]:
-    """One of the driver's calls as the bench's wire has it; a list is gathered until it ends."""
+def simulator_events(method: str, arguments: tuple[Any, ...], page: list[Any]) -> list[dict[str, Any]]:
+    """Returns the simulator's events for a call of the driver; page: collects a list until it ends."""
     if method == "request_received":
         names = (
             "corr",
@@ -111,28 +113,28 @@
             "slotNo",
             "setSize",
         )
-        event = {k: v for k, v in zip(names, facts[0], strict=False) if v is not None}
-        return [{"verb": "order", **event, "stateBits": 2 if facts[0].is_retry else 0}]
+        event = {k: v for k, v in zip(names, arguments[0], strict=False) if v is not None}
+        return [{"verb": "order", **event, "stateBits": 2 if arguments[0].is_retry else 0}]
     if method == "attempt_ended":
         names = ("corr", "shot", "how", "shelf", "elapsed", "doneFlag", "delta", "usage")
-        event = dict(zip(names, facts[0], strict=True))
-        return [{"verb": "done", **event, "how": _word(ATTEMPT_OUTCOMES, event["how"])}]
+        event = dict(zip(names, arguments[0], strict=True))
+        return [{"verb": "done", **event, "how": _key_of(ATTEMPT_OUTCOMES, event["how"])}]
     if method == "timer_fired":
-        return [{"verb": "due", "keyBack": facts[0]}]
+        return [{"verb": "due", "keyBack": arguments[0]}]
     if method == "client_left":
-        return [{"verb": "cancelledByClient", "corr": facts[0]}]
+        return [{"verb": "cancelledByClient", "corr": arguments[0]}]
     if method == "endpoint_poll_failed":
         return [{"verb": "sync", "form": "refused"}]
     if method == "endpoint_list_begins":
-        page[:] = ["remembered" if facts[1] else "all" if facts[0] else "changes"]
+        page[:] = ["remembered" if arguments[1] else "all" if arguments[0] else "changes"]
     elif method == "endpoint_listed":
-        id, zone, shard, ready, since = facts
+        id, zone, shard, ready, started_at = arguments
         page.append(
             {
                 "shelf": id,
                 "rackZone": zone,
                 "pod": shard,
-                "since": since,
+                "since": started_at,
                 "condition": "Ready" if ready else "Terminating",
             }
         )
@@ -144,78 +146,82 @@
     return []
 
 
-def bench_act(act: dict[str, Any]) -> tuple[Any, ...]:
-    verb = act["verb"]
+def action_of(entry: dict[str, Any]) -> tuple[Any, ...]:
+    """Returns the scheduler's action for an entry of the simulator adapter's reply."""
+    verb = entry["verb"]
     if verb == "forward":
-        return "send_attempt", act["corr"], act["shelf"], act["tryFor"]
+        return "send_attempt", entry["corr"], entry["shelf"], entry["tryFor"]
     if verb == "deny":
-        return "reject", act["corr"], act["coolDown"]
+        return "reject", entry["corr"], entry["coolDown"]
     if verb == "dropRequest":
-        return "fail", act["corr"]
+        return "fail", entry["corr"]
     if verb == "arm":
-        return "set_timer", act["delay"], act["keyBack"]
+        return "set_timer", entry["delay"], entry["keyBack"]
     return ("poll_endpoints",)
 
 
-class SameDecisions(unittest.TestCase):
-    def test_through_head_and_bench(self) -> None:
+class SameDecisionsTest(unittest.TestCase):
+    def test_the_simulator_adapter_leads_to_the_same_decisions_as_the_driver(self) -> None:
         for seed in range(5):
             with self.subTest(seed=seed):
-                told, decided = self.play(seed)
-                self.assertGreater(sum(a[0] == "send_attempt" for a in decided), 100)
+                recorded, decided = self.run_driver(seed)
+                self.assertGreater(sum(action[0] == "send_attempt" for action in decided), 100)
                 self.assertEqual(
-                    {"send_attempt", "reject", "fail", "set_timer", "poll_endpoints"}, {a[0] for a in decided}
+                    {"send_attempt", "reject", "fail", "set_timer", "poll_endpoints"},
+                    {action[0] for action in decided},
                 )
-                self.assertEqual(decided, self.through_bench(told, seed))
+                self.assertEqual(decided, self.run_simulator_adapter(recorded, seed))
 
-    def test_with_and_without_accounts(self) -> None:
-        """Asking the scheduler why it holds something changes nothing it decides."""
+    def test_latency_accounting_does_not_change_decisions(self) -> None:
+        """The accounts ask the scheduler why it holds requests."""
         for seed in range(3):
             with self.subTest(seed=seed):
-                self.asked = 0
-                self.assertEqual(self.play(seed), self.play(seed, accounts=True))
-                self.assertGreater(self.asked, 300)
+                self.reasons_asked = 0
+                self.assertEqual(self.run_driver(seed), self.run_driver(seed, accounts=True))
+                self.assertGreater(self.reasons_asked, 300)
 
-    def ask_all(self, driver: Driver) -> None:
+    def ask_why_held(self, driver: Driver) -> None:
         for id in driver.open:
             why_held(driver.scheduler, id)
-            self.asked += 1
+            self.reasons_asked += 1
 
-    def play(self, seed: int, accounts: bool = False) -> tuple[list[tuple[Any, ...]], list[tuple[Any, ...]]]:
-        """A made-up day through the driver alone: what it told the scheduler, and what that decided."""
+    def run_driver(
+        self, seed: int, accounts: bool = False
+    ) -> tuple[list[tuple[Any, ...]], list[tuple[Any, ...]]]:
+        """Runs the driver alone with random events; returns its record and the scheduler's actions."""
         start_logs(False, "critical")
-        chance = random.Random(seed)
+        generator = random.Random(seed)
         clock = Clockwork()
         site = parse_site(SITE)
-        told: list[tuple[Any, ...]] = []
+        recorded: list[tuple[Any, ...]] = []
         driver = Driver(clock, start_facts(site), seed, SitePlacement(site), lambda: None, log_for())  # type: ignore[arg-type]
-        driver.recorder = told.append
-        links = {n: Link_() for n in (0, 1)}
+        driver.recorder = recorded.append
+        links = {id: FakeLink() for id in (0, 1)}
         driver.links.update(links)  # type: ignore[arg-type]
         driver.shards.update({0: 0, 1: 1})
         if accounts:
-            driver.accounting.accounts = Accounts([p.promised for p in site.profile], clock.time)
+            driver.accounting.accounts = Accounts([profile.promised for profile in site.profile], clock.time)
         clock.settle()
         driver.endpoints_listed([(0, 0, 0, True, 0.0), (1, 0, 1, True, 0.0)], True, True)
         for step in range(600):
-            clock.move(clock.time + chance.random() * 0.02)
+            clock.move(clock.time + generator.random() * 0.02)
             if accounts:
-                self.ask_all(driver)
-            draw = chance.random()
+                self.ask_why_held(driver)
+            draw = generator.random()
             if draw < 0.5:
-                self.take(driver, chance)
+                self.admit_request(driver, generator)
             elif draw < 0.53 and driver.open:
-                driver.client_left(chance.choice(list(driver.open.values())))
+                driver.client_left(generator.choice(list(driver.open.values())))
             elif draw < 0.54:
                 driver.endpoint_poll_failed()
             if step in (200, 400):
                 driver.endpoints_listed([(1, 0, 1, step == 400, clock.time - 0.5)], False, False)
             for link in links.values():
-                while link.held and chance.random() < 0.45:
-                    f = link.held.pop(0)
-                    if not f.over:
-                        f.over = True
-                        how = chance.choice(
+                while link.attempts and generator.random() < 0.45:
+                    attempt = link.attempts.pop(0)
+                    if not attempt.over:
+                        attempt.over = True
+                        outcome = generator.choice(
                             [AttemptOutcome.SUCCEEDED] * 6
                             + [
                                 AttemptOutcome.ERROR,
@@ -224,60 +230,61 @@
                                 AttemptOutcome.UNREACHABLE,
                             ]
                         )
-                        told_too = (
-                            AttemptResult(units_elsewhere=chance.randrange(3))
-                            if chance.random() < 0.5
+                        result = (
+                            AttemptResult(units_elsewhere=generator.randrange(3))
+                            if generator.random() < 0.5
                             else EMPTY_RESULT
                         )
-                        driver._ended(f, how, told_too)
+                        driver._ended(attempt, outcome, result)
         clock.move(clock.time + 3.0)
-        self.assertEqual({}, driver.open, "every transaction has ended")
+        self.assertEqual({}, driver.open, "every request has ended")
         self.assertEqual({}, driver.first_writes.pending)
         if driver.accounting.accounts:
             self.assertEqual(0, driver.accounting.accounts.open)
             self.assertEqual(0, driver.accounting.accounts.window.remainders)
-        return told, [t[1:] for t in told if t[0] == "act"]
+        return recorded, [entry[1:] for entry in recorded if entry[0] == "act"]
 
-    def take(self, driver: Driver, chance: random.Random) -> None:
-        write = chance.random() < 0.5
-        volume = chance.choice((1, 2))
-        profile = chance.choice((1, 2)) if write else 0
-        extent = chance.randrange(4)
+    def admit_request(self, driver: Driver, generator: random.Random) -> None:
+        write = generator.random() < 0.5
+        volume = generator.choice((1, 2))
+        profile = generator.choice((1, 2)) if write else 0
+        extent = generator.randrange(4)
         shard = driver.placement.shard_of(volume, extent)
         if not write and shard < 0:
             return
         command = io_command(
-            Opcode.WRITE if write else Opcode.READ, volume, extent * 64, attempt=int(chance.random() < 0.1)
+            Opcode.WRITE if write else Opcode.READ, volume, extent * 64, attempt=int(generator.random() < 0.1)
         )
         key = f"{volume}/{extent}" if profile == 1 else None
         driver.admit(
-            Deaf(),
+            FakeClient(),
             Order(command),
             request_class=profile,
             service_tier=0,
             key=key,
-            deadline=driver.transport.now() + chance.uniform(0.05, 1.0),
+            deadline=driver.transport.now() + generator.uniform(0.05, 1.0),
             volume=volume,
             extent=(volume, extent),
-            units=float(1 + chance.randrange(8)),
+            units=float(1 + generator.randrange(8)),
             shard=shard,
             gateways=1,
             is_retry=command.repeat,
             arrived=driver.transport.now(),
         )
 
-    def through_bench(self, told: list[tuple[Any, ...]], seed: int) -> list[tuple[Any, ...]]:
-        link = Instances()
-        up = {"verb": "up", "salt": seed, "setup": setup_of(start_facts(parse_site(SITE)))}
+    def run_simulator_adapter(self, recorded: list[tuple[Any, ...]], seed: int) -> list[tuple[Any, ...]]:
+        """Passes the recorded events to the simulator adapter; returns the scheduler's actions."""
+        instances = Instances()
+        up = {"verb": "up", "salt": seed, "setup": simulator_setup(start_facts(parse_site(SITE)))}
         decided: list[tuple[Any, ...]] = []
-        happened: list[dict[str, Any]] = [up]
+        batch: list[dict[str, Any]] = [up]
         page: list[Any] = []
-        for entry in told:
+        for entry in recorded:
             if entry[0] == "event":
-                happened += bench_event(entry[2], entry[3:], page)
+                batch += simulator_events(entry[2], entry[3:], page)
             elif entry[0] == "batch":
-                line = json.dumps({"wall": entry[1], "heads": [{"i": "head/0", "happened": happened}]})
-                for reply in link.handle_line(line)["heads"]:
-                    decided += [bench_act(act) for act in reply["output"]]
-                happened = []
+                line = json.dumps({"wall": entry[1], "heads": [{"i": "head/0", "happened": batch}]})
+                for reply in instances.handle_line(line)["heads"]:
+                    decided += [action_of(action) for action in reply["output"]]
+                batch = []
         return decided
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -45,7 +45,7 @@
 from gorsethread.transport.virtual import Disk, Network, VirtualLoop, VirtualTransport, Weather
 from tests.harness import SCHEDULER_SETTINGS, RecordingActions, SchedulerTestCase
 from tests.live import SETTINGS, LiveRig, order
-from tests.scheduling.test_same_decisions import setup_of
+from tests.scheduling.test_same_decisions import simulator_setup
 
 COLD = SlowStartRule(9.0, 3.0, 13.0, 0.19)
 STATES_MOST = 200_000  # 93243 are reached in 5 steps of time; in 6 it is 333288, none of them bad either
@@ -518,7 +518,7 @@
     def test_the_benchs_link_carries_both_ways(self) -> None:
         link = Instances()
         facts = SchedulerSettings(**{**SCHEDULER_SETTINGS, "slow_start": COLD, "gateways": 60})
-        setup = json.loads(json.dumps(setup_of(facts)))
+        setup = json.loads(json.dumps(simulator_setup(facts)))
         setup["permissions"]["peerMessages"] = True
         setup["index"] = home = int.from_bytes(blake2b(b"1", digest_size=8).digest()) % 60
         line = {"wall": 100.0, "heads": [{"i": "h", "happened": [{"verb": "up", "setup": setup, "salt": 7}]}]}
