--- a/gorsethread/scheduling/fair_queueing.py
+++ b/gorsethread/scheduling/fair_queueing.py
@@ -39,7 +39,7 @@
         self.minimum_virtual_time = 0.0  # units per unit of weight
         self._newly_runnable: dict[str, Volume] = {}
         self._capacity_changed = True
-        self._waiting: dict[int, int] = {}  # number of waiting requests by shard
+        self._waiting: dict[int, int] = {}  # number of waiting requests by shard, one entry per shard at most
         self._faded_at = timers.started_at
 
     def volume_of(
@@ -59,7 +59,7 @@
         return volume
 
     def enqueue(self, request: Request) -> None:
-        """Queues a request. An idle volume restarts at the minimum virtual time at least (DUaL, 4.3.2)."""
+        """Queues a request; raises an idle volume to the minimum virtual time (DUaL, section 4.3.2)."""
         volume = request.volume
         if volume.id not in self.busy:
             self._update_minimum()
@@ -137,11 +137,11 @@
         return list(volumes.values())
 
     def search_needed(self) -> bool:
-        """Returns whether a request or a change of capacity has come since the last search."""
+        """Returns whether a request was queued or the capacity changed since the last search."""
         return self._capacity_changed or bool(self._newly_runnable)
 
     def search_done(self) -> None:
-        """Clears what made the search necessary."""
+        """Records that a search has been done: none is needed until the next change."""
         self._capacity_changed = False
         self._newly_runnable.clear()
 
--- a/gorsethread/scheduling/outlier_detection.py
+++ b/gorsethread/scheduling/outlier_detection.py
@@ -3,7 +3,7 @@
 from gorsethread.scheduling.model import AttemptOutcome, Backend, SchedulerSettings
 from gorsethread.scheduling.timers import REEVALUATION_DELAY, Timers
 
-ERROR_SMOOTHING = 0.1
+ERROR_SMOOTHING = 0.1  # weight of the newest attempt in the error rate
 HIGH_ERROR_RATE = 0.2  # fraction of attempts; above it, new objects go to other backends
 CONNECTION_FAILURES_ALLOWED = 1  # consecutive, before a cool-down: a dead backend accepts no connection
 CONNECTION_LOSSES_ALLOWED = 3  # consecutive: a connection may also break by itself
@@ -104,7 +104,8 @@
         """Returns whether a failing or silent backend may get one more attempt as a health check.
 
         If not, schedules a reevaluation for the time when it may. Without health checks, a backend with
-        little traffic would stay unused after one lost answer. The pause between them grows each time.
+        little traffic would stay unused after one lost answer. The pause between them doubles with each
+        unanswered attempt or failure, MAX_HEALTH_CHECK_DOUBLINGS times at most.
 
         service_time: the backend's mean service time, in seconds.
         """
--- a/gorsethread/scheduling/shard_assignment.py
+++ b/gorsethread/scheduling/shard_assignment.py
@@ -1,6 +1,6 @@
 """Assigns each shard to a backend, from the endpoint list and the drains in progress.
 
-A change of the list affects few of thousands of shards; only these are reassigned.
+A change of the list affects only a few of thousands of shards; only these are reassigned.
 """
 
 from gorsethread.scheduling.model import Backend
--- a/gorsethread/scheduling/slow_start.py
+++ b/gorsethread/scheduling/slow_start.py
@@ -1,4 +1,4 @@
-"""Limits what a backend that has just started is sent while it warms up."""
+"""Limits what is sent to a backend that has just started, while it warms up."""
 
 from gorsethread.scheduling.model import Backend, Request, SchedulerSettings
 from gorsethread.scheduling.random_draws import RandomDraws
@@ -6,8 +6,8 @@
 from gorsethread.scheduling.timers import Timers
 
 UNLIMITED = float("inf")
-# The longest delay of a backend's first attempt, as a fraction of the capacity, in seconds, that the backend
-# lacks within the rule's window.
+# The longest delay of a backend's first attempt, as a fraction of the capacity that the backend lacks within
+# the rule's window, in seconds of a warm backend.
 FIRST_DELAY_PART = 0.5
 
 
@@ -35,9 +35,11 @@
         """
         self.leases.backend_started(backend)
         rule = self.rule
-        missing = min(rule.window, rule.warm_after) * (1.0 - rule.initial_part)
+        missing_capacity = min(rule.window, rule.warm_after) * (1.0 - rule.initial_part)
         backend.first_attempt_at = (
-            0.0 if self.leases.enabled else self._timers.now + FIRST_DELAY_PART * missing * self._draws.next()
+            0.0
+            if self.leases.enabled
+            else self._timers.now + FIRST_DELAY_PART * missing_capacity * self._draws.next()
         )
 
     def units_left(self, backend: Backend) -> float:
@@ -57,7 +59,7 @@
         own_start = self._timers.started_at
         if backend.started_at <= own_start and now - own_start < self.rule.window:
             return 0.0  # an earlier run of this gateway may have spent the share
-        # By shard: a new list may leave out a backend for a moment, and the backend is not warm after that.
+        # By shard: a new list may leave out a backend for a moment, and it is still warming up after that.
         spent = self.leases.log.units_since(backend.shard, now - self.rule.window)
         return self.rule.units_allowed(age) / self.gateways - spent
 
--- a/tests/scheduling/test_same_decisions.py
+++ b/tests/scheduling/test_same_decisions.py
@@ -247,7 +247,7 @@
     def admit_request(self, driver: Driver, generator: random.Random) -> None:
         write = generator.random() < 0.5
         volume = generator.choice((1, 2))
-        profile = generator.choice((1, 2)) if write else 0
+        request_class = generator.choice((1, 2)) if write else 0
         extent = generator.randrange(4)
         shard = driver.placement.shard_of(volume, extent)
         if not write and shard < 0:
@@ -255,11 +255,11 @@
         command = io_command(
             Opcode.WRITE if write else Opcode.READ, volume, extent * 64, attempt=int(generator.random() < 0.1)
         )
-        key = f"{volume}/{extent}" if profile == 1 else None
+        key = f"{volume}/{extent}" if request_class == 1 else None
         driver.admit(
             FakeClient(),
             Order(command),
-            request_class=profile,
+            request_class=request_class,
             service_tier=0,
             key=key,
             deadline=driver.transport.now() + generator.uniform(0.05, 1.0),
