--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -67,11 +67,11 @@
 
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        honest = self.leases.grant
+        original = self.leases.grant
 
         def grant(shard: int, units: float, age: float) -> bool:
             started_at, self.leases.started_at = self.leases.started_at, -1e9
-            granted = honest(shard, units, age)
+            granted = original(shard, units, age)
             self.leases.started_at = started_at
             return granted
 
@@ -91,11 +91,11 @@
 
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        honest = self.leases.accept
+        original = self.leases.accept
 
         def accept(backend: Backend) -> None:
             number = backend.lease.request_number
-            honest(backend)
+            original(backend)
             backend.lease.request_number = number
 
         self.leases.accept = accept  # type: ignore[method-assign]
@@ -167,7 +167,7 @@
             result,
         )
         self.assertEqual(0, result.falls_by_page)
-        self.assertGreater(result.told_late, 0, "late notices of a start make the test stricter")
+        self.assertGreater(result.told_late, 0, "some start must be notified late, or this test checks less")
         self.assertGreater(result.cold_units, 50.0)
         self.assertGreater(result.messages, 50)
 
@@ -302,7 +302,9 @@
             ) -> None:
                 both = tuple(gateway if n == requesters[k] else gateways[k] for k in range(2))
                 # Numbers are unique: messages for an earlier request of this gateway have no effect.
-                relevant = frozenset((m, w) for m, w in new_messages if m != n or w.split()[2] == gateway[2])
+                relevant = frozenset(
+                    (peer, text) for peer, text in new_messages if peer != n or text.split()[2] == gateway[2]
+                )
                 found.append((event, (now, holder_started, grants, both, relevant, new_sends)))
 
             if now < last_time:
