--- a/gorsethread/durable_log/replication_messages.py
+++ b/gorsethread/durable_log/replication_messages.py
@@ -31,27 +31,27 @@
     incarnation: int
 
 
-class Have(msgspec.Struct, frozen=True, tag="have", array_like=True):
+class HelloReply(msgspec.Struct, frozen=True, tag="have", array_like=True):
     """The latest incarnation of the owner that the replica knows, and up to where it has all that holds."""
 
     incarnation: int
     last: SequenceNumber
 
 
-class Fetch(msgspec.Struct, frozen=True, tag="fetch", array_like=True):
+class FetchRecords(msgspec.Struct, frozen=True, tag="fetch", array_like=True):
     """From the owner: give back what is later than this number."""
 
     after: SequenceNumber
 
 
-class Give(msgspec.Struct, frozen=True, tag="give", array_like=True):
+class FetchedRecords(msgspec.Struct, frozen=True, tag="give", array_like=True):
     """Records back to the owner; more: others follow."""
 
     entries: list[LogEntry]
     more: bool
 
 
-class Put(msgspec.Struct, frozen=True, tag="put", array_like=True):
+class StoreRecords(msgspec.Struct, frozen=True, tag="put", array_like=True):
     """Records for the replica.
 
     Attributes:
@@ -69,23 +69,32 @@
     more: bool = False
 
 
-class Holds(msgspec.Struct, frozen=True, tag="holds", array_like=True):
+class RecordsStored(msgspec.Struct, frozen=True, tag="holds", array_like=True):
     """Everything up to this number is on the replica's disk."""
 
     last: SequenceNumber
 
 
-class Over(msgspec.Struct, frozen=True, tag="over", array_like=True):
+class IncarnationFenced(msgspec.Struct, frozen=True, tag="over", array_like=True):
     """Nothing is accepted from the owner's incarnation: this later one is known."""
 
     incarnation: int
 
 
-class Failed(msgspec.Struct, frozen=True, tag="failed", array_like=True):
+class StoreFailed(msgspec.Struct, frozen=True, tag="failed", array_like=True):
     """The replica's disk did not take the records."""
 
 
-Message = Hello | Have | Fetch | Give | Put | Holds | Over | Failed
+Message = (
+    Hello
+    | HelloReply
+    | FetchRecords
+    | FetchedRecords
+    | StoreRecords
+    | RecordsStored
+    | IncarnationFenced
+    | StoreFailed
+)
 DECODER: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(Message)
 _ENCODER = msgspec.msgpack.Encoder()
 
--- a/gorsethread/faults/branchmutants.py
+++ b/gorsethread/faults/branchmutants.py
@@ -175,13 +175,13 @@
 def _any_stream(head: Head) -> None:
     if head.holding is not None:
         holding: Any = head.holding
-        honest = holding._on_put
+        honest = holding._on_store_records
 
         async def put(stream: Any, origin: int, m: Any) -> None:
             holding.replica_of(origin).stream = stream
             await honest(stream, origin, m)
 
-        holding._on_put = put
+        holding._on_store_records = put
 
 
 @mutant("main site: what is in effect is not known")
--- a/gorsethread/faults/recordsmutants.py
+++ b/gorsethread/faults/recordsmutants.py
@@ -130,7 +130,7 @@
 
 @mutant("copies: a holder says so before its disk has it")
 def _holds_early(head: Head) -> None:
-    async def keep(held: Any, m: replication_messages.Put) -> bool:
+    async def keep(held: Any, m: replication_messages.StoreRecords) -> bool:
         return True
 
     _holding(head)._store_records = keep
@@ -155,9 +155,11 @@
     holding = _holding(head)
     honest = holding._store_records
 
-    async def keep(held: Any, m: replication_messages.Put) -> bool:
+    async def keep(held: Any, m: replication_messages.StoreRecords) -> bool:
         return bool(
-            await honest(held, replication_messages.Put(m.incarnation, m.replaces_all, m.entries[:1], m.last))
+            await honest(
+                held, replication_messages.StoreRecords(m.incarnation, m.replaces_all, m.entries[:1], m.last)
+            )
         )
 
     holding._store_records = keep
@@ -166,7 +168,7 @@
 @mutant("copies: given back without the last")
 def _gives_less(head: Head) -> None:
     promises = _promises(head)
-    honest = promises._on_records
+    honest = promises._on_records_fetched
 
     def given(other: int, records: RecordTable) -> None:
         kept = sorted(records.records.values())[:-3]
@@ -174,7 +176,7 @@
         less.last = records.last
         honest(other, less)
 
-    promises._on_records = given  # type: ignore[method-assign]
+    promises._on_records_fetched = given  # type: ignore[method-assign]
 
 
 @mutant("driver: sends before it is kept")
--- a/gorsethread/faults/world.py
+++ b/gorsethread/faults/world.py
@@ -72,7 +72,7 @@
         "promises",
         "nvme_gateway.replicated_log",
         "ReplicatedLog",
-        {"promise": "placed", "flushed": "_on_flushed", "held": "_on_placed", "given": "_on_records"},
+        {"promise": "placed", "flushed": "_on_flushed", "held": "_on_placed", "given": "_on_records_fetched"},
     ),
     **_points("holding", "nvme_gateway.replica_server", "ReplicaServer", {"greeted": "_greeted"}),
     **_points("promises.store", "durable_log.log_store", "LogStore", {"segment": "_remove_old_segments"}),
--- a/gorsethread/nvme_gateway/recovery_client.py
+++ b/gorsethread/nvme_gateway/recovery_client.py
@@ -96,17 +96,17 @@
         self._send(replication_messages.Hello(topology.fleet, topology.gateway, POLL_ONLY))
 
     def on_message(self, message: replication_messages.Message) -> None:
-        if isinstance(message, replication_messages.Have):
+        if isinstance(message, replication_messages.HelloReply):
             stages = self.client.stages
             now = self.client.transport.now()
             if stages.on_answer(self.other, message.last, message.incarnation, now):
-                self._send(replication_messages.Fetch(stages.own_last))
+                self._send(replication_messages.FetchRecords(stages.own_last))
             else:
                 self.ended = True
-        elif isinstance(message, replication_messages.Give):
+        elif isinstance(message, replication_messages.FetchedRecords):
             self._on_records(message)
 
-    def _on_records(self, message: replication_messages.Give) -> None:
+    def _on_records(self, message: replication_messages.FetchedRecords) -> None:
         transport = self.client.transport
         self.timeout.cancel()
         self.timeout = transport.at(transport.now() + ANSWER_TIMEOUT, self.stream.close)
--- a/gorsethread/nvme_gateway/replica_server.py
+++ b/gorsethread/nvme_gateway/replica_server.py
@@ -171,10 +171,10 @@
             self._on_question(session, message)
         elif session.origin == NO_GATEWAY:
             raise ProtocolError("no greeting came first")
-        elif isinstance(message, replication_messages.Fetch):
+        elif isinstance(message, replication_messages.FetchRecords):
             await self._on_fetch(session, message)
-        elif isinstance(message, replication_messages.Put):
-            await self._on_put(session.stream, session.origin, message)
+        elif isinstance(message, replication_messages.StoreRecords):
+            await self._on_store_records(session.stream, session.origin, message)
         elif isinstance(message, offline_messages.BRANCH_MESSAGES) and self.on_branch_message is not None:
             self.on_branch_message(session.stream, message)
 
@@ -199,24 +199,26 @@
         if incarnation >= latest:
             replica.stream = session.stream
         if 0 < incarnation < latest:
-            session.send(replication_messages.Over(latest))
+            session.send(replication_messages.IncarnationFenced(latest))
         else:
             last = replica.store.table.last if replica.complete else NO_SEQUENCE
-            session.send(replication_messages.Have(latest, last))
+            session.send(replication_messages.HelloReply(latest, last))
 
-    async def _on_fetch(self, session: _Session, message: replication_messages.Fetch) -> None:
+    async def _on_fetch(self, session: _Session, message: replication_messages.FetchRecords) -> None:
         later = self.replica_of(session.origin).store.table.later_than(message.after)
         parts = list(batches(later, BATCH_RECORDS, BATCH_BYTES)) or [[]]
         for number, part in enumerate(parts, 1):
             more = number < len(parts)
-            session.send(replication_messages.Give(replication_messages.to_entries(part), more))
+            session.send(replication_messages.FetchedRecords(replication_messages.to_entries(part), more))
             if more:
                 await session.stream.drained()
                 await self.transport.sleep(CATCH_UP_PAUSE)  # live work goes first
 
     # ---- storing
 
-    async def _on_put(self, stream: Stream, origin: int, message: replication_messages.Put) -> None:
+    async def _on_store_records(
+        self, stream: Stream, origin: int, message: replication_messages.StoreRecords
+    ) -> None:
         replica = self.replica_of(origin)
         async with replica.lock:
             # On an earlier stream a cut may have held back records that were removed since, and whose removal
@@ -225,22 +227,22 @@
                 raise StreamClosed("greeted anew since")
             answer: replication_messages.Message
             if not self.fence.accepts(origin, message.incarnation):
-                answer = replication_messages.Over(self.fence.latest[origin])
+                answer = replication_messages.IncarnationFenced(self.fence.latest[origin])
             elif await self._store_records(replica, message):
                 self._on_stored(replica, origin, message)
-                answer = replication_messages.Holds(message.last)
+                answer = replication_messages.RecordsStored(message.last)
             else:
-                answer = replication_messages.Failed()
+                answer = replication_messages.StoreFailed()
             stream.write(replication_messages.encode(answer))
 
-    def _on_stored(self, replica: Replica, origin: int, message: replication_messages.Put) -> None:
+    def _on_stored(self, replica: Replica, origin: int, message: replication_messages.StoreRecords) -> None:
         table = replica.store.table
         table.last = max(table.last, message.last)
         replica.up_to_date = not message.more and (message.replaces_all or replica.complete)
         records = replication_messages.to_records(message.entries)
         self.on_records_stored(origin, records, message.replaces_all, message.last)
 
-    async def _store_records(self, replica: Replica, message: replication_messages.Put) -> bool:
+    async def _store_records(self, replica: Replica, message: replication_messages.StoreRecords) -> bool:
         """Store records; return whether they are on the disk."""
         store = replica.store
         records = replication_messages.to_records(message.entries)
--- a/gorsethread/nvme_gateway/replicated_log.py
+++ b/gorsethread/nvme_gateway/replicated_log.py
@@ -115,7 +115,7 @@
             self.topology,
             self.recovery,
             self.living,
-            lambda other, records: self._on_records(other, records),
+            lambda other, records: self._on_records_fetched(other, records),
             self.log,
         )
         placements = found.table.placements()
@@ -190,7 +190,7 @@
         await self.transport.sleep(wait)
         self.recovery.advance(self.transport.now())
 
-    def _on_records(self, other: int, records: RecordTable) -> None:
+    def _on_records_fetched(self, other: int, records: RecordTable) -> None:
         """Another gateway held these records beyond the own ones."""
         self.log.info("records fetched", by=other, records=len(records.records), last=records.last)
         self.store.merge_recovered(records)
--- a/gorsethread/nvme_gateway/replication_client.py
+++ b/gorsethread/nvme_gateway/replication_client.py
@@ -142,14 +142,14 @@
     # ---- messages
 
     def _on_message(self, other: int, message: replication_messages.Message) -> None:
-        if isinstance(message, replication_messages.Have) and message.incarnation <= self.incarnation:
+        if isinstance(message, replication_messages.HelloReply) and message.incarnation <= self.incarnation:
             self.sender.connected(other, message.last, self.store.removals_dropped)
             self._send_next(other)
-        elif isinstance(message, replication_messages.Have | replication_messages.Over):
+        elif isinstance(message, replication_messages.HelloReply | replication_messages.IncarnationFenced):
             self._on_fenced(other, message.incarnation)
-        elif isinstance(message, replication_messages.Holds):
+        elif isinstance(message, replication_messages.RecordsStored):
             self._on_stored(other, message.last)
-        elif isinstance(message, replication_messages.Failed):
+        elif isinstance(message, replication_messages.StoreFailed):
             self._streams[other].close()
 
     def _on_fenced(self, other: int, incarnation: int) -> None:
@@ -183,7 +183,7 @@
         if batch is None:
             return
         entries = replication_messages.to_entries(batch.records)
-        message = replication_messages.Put(
+        message = replication_messages.StoreRecords(
             self.incarnation, batch.replaces_all, entries, batch.last, batch.more
         )
         stream.write(replication_messages.encode(message))
--- a/tests/fuzz_records.py
+++ b/tests/fuzz_records.py
@@ -60,13 +60,15 @@
         replication_messages.encode(m)
         for m in (
             replication_messages.Hello(1, 2, 9),
-            replication_messages.Have(9, (9, 4)),
-            replication_messages.Fetch((9, 1)),
-            replication_messages.Give(replication_messages.to_entries(OWN), True),
-            replication_messages.Put(9, True, replication_messages.to_entries(OWN + OTHERS), (9, 10)),
-            replication_messages.Holds((9, 8)),
-            replication_messages.Over(10),
-            replication_messages.Failed(),
+            replication_messages.HelloReply(9, (9, 4)),
+            replication_messages.FetchRecords((9, 1)),
+            replication_messages.FetchedRecords(replication_messages.to_entries(OWN), True),
+            replication_messages.StoreRecords(
+                9, True, replication_messages.to_entries(OWN + OTHERS), (9, 10)
+            ),
+            replication_messages.RecordsStored((9, 8)),
+            replication_messages.IncarnationFenced(10),
+            replication_messages.StoreFailed(),
             offline_messages.BranchHello(1, 3),
             offline_messages.Heartbeat(1),
             offline_messages.HeartbeatReply(1),
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -200,10 +200,10 @@
     def test_pieces_of_any_size_make_the_same_messages(self) -> None:
         messages = [
             replication_messages.Hello(1, 2, 3),
-            replication_messages.Have(3, (1, 2)),
-            replication_messages.Holds((4, 5)),
-            replication_messages.Failed(),
-            replication_messages.Put(
+            replication_messages.HelloReply(3, (1, 2)),
+            replication_messages.RecordsStored((4, 5)),
+            replication_messages.StoreFailed(),
+            replication_messages.StoreRecords(
                 3, False, replication_messages.to_entries([Record((1, 1), ExtentPlaced(1, 2, 3))]), (1, 1)
             ),
         ]
