--- a/gorsethread/faults/recordsmutants.py
+++ b/gorsethread/faults/recordsmutants.py
@@ -92,8 +92,8 @@
 @mutant("return: nobody is asked")
 def _not_asked(head: Head) -> None:
     def change(r: RecoveryStages) -> None:
-        r.alone = r.trusts_own_records = True
-        r.others = frozenset()
+        r.has_no_replicas = r.trusts_own_records = True
+        r.other_gateways = frozenset()
         r.advance(0.0)
 
     _returning(head, change)
@@ -107,7 +107,7 @@
 @mutant("return: one answer is enough")
 def _one_answer(head: Head) -> None:
     def change(r: RecoveryStages) -> None:
-        r.held_by = len(r.others)
+        r.required_replicas = len(r.other_gateways)
 
     _returning(head, change)
 
--- a/gorsethread/recovery/stages.py
+++ b/gorsethread/recovery/stages.py
@@ -5,8 +5,8 @@
 `COMPLETE`    nothing that it held is missing.
 
 It is COMPLETE once so many others have answered that one of them must hold whatever was acknowledged: every
-record is held by `held_by` of the others, so all but `held_by - 1` of them are enough. Where these can't be
-had it goes on without, and never waits for what cannot come: complete records of its own are believed after
+record is held by `required_replicas` of the others, so all but `required_replicas - 1` of them are enough.
+Where these can't be had it goes on without, and never waits for what cannot come: complete records of its own are believed after
 TRUST_AFTER seconds; incomplete ones, or none at all, keep it RESTRICTED for as long as it takes, or until a
 person accepts the loss. An empty folder is a first start or a lost disk: only the others can tell.
 """
@@ -53,10 +53,10 @@
     Attributes:
         own_last: Up to this number its own records are good.
         started: When it began, in seconds.
-        others: The numbers of all other gateways.
-        held_by: How many others hold every record.
+        other_gateways: The numbers of all other gateways.
+        required_replicas: How many others hold every record.
         trusts_own_records: Its own records may be believed without the others.
-        alone: Nobody else can know its records.
+        has_no_replicas: Nobody else can know its records.
         stage: See the module's description.
         stage_since: When the stage was entered, in seconds.
         answers: Up to where each of the others held its records when it answered.
@@ -64,16 +64,18 @@
         incarnation: The latest of this gateway that anyone knows.
     """
 
-    def __init__(self, now: float, own: OwnRecords, others: frozenset[int], held_by: int) -> None:
+    def __init__(
+        self, now: float, own: OwnRecords, other_gateways: frozenset[int], required_replicas: int
+    ) -> None:
         # Of incomplete records nobody can tell up to where they are good: all that others hold is wanted.
         self.own_last = own.last if own.complete else NO_SEQUENCE
         self.started = now
-        self.others = others
-        self.held_by = held_by
+        self.other_gateways = other_gateways
+        self.required_replicas = required_replicas
         self.trusts_own_records = own.loss_accepted or (own.complete and not own.empty)
         # Without replicas an empty folder is a first start, and incomplete records are for a person.
-        self.alone = held_by == 0 or not others
-        if self.alone and own.empty:
+        self.has_no_replicas = required_replicas == 0 or not other_gateways
+        if self.has_no_replicas and own.empty:
             self.trusts_own_records = True
         self.stage = Stage.POLLING
         self.stage_since = now
@@ -85,20 +87,22 @@
     @property
     def answers_needed(self) -> int:
         """The number of answers after which nothing can be missing."""
-        return max(0, len(self.others) - self.held_by + 1)
+        return max(0, len(self.other_gateways) - self.required_replicas + 1)
 
     @property
     def is_certain(self) -> bool:
         """Enough others have answered, and what they hold beyond its own records has come."""
         done = [other for other in self.answers if not self._holds_more(other)]
-        return not self.alone and len(done) >= self.answers_needed
+        return not self.has_no_replicas and len(done) >= self.answers_needed
 
     def _holds_more(self, other: int) -> bool:
         return self.answers[other] > self.own_last and other not in self.fetched
 
     def awaited(self) -> list[int]:
         """Return the others whose answer, or what they hold beyond its own records, is still to come."""
-        return sorted(other for other in self.others if other not in self.answers or self._holds_more(other))
+        return sorted(
+            other for other in self.other_gateways if other not in self.answers or self._holds_more(other)
+        )
 
     def on_answer(self, other: int, last: SequenceNumber, incarnation: int, now: float) -> bool:
         """Note the answer of another gateway.
@@ -112,7 +116,7 @@
         Returns:
             Whether what it holds beyond the own records is to be fetched.
         """
-        if other not in self.others:
+        if other not in self.other_gateways:
             return False
         self.answers[other] = last
         self.incarnation = max(self.incarnation, incarnation, last[0])
@@ -149,7 +153,7 @@
     def advance(self, now: float) -> None:
         """Enter the next stage where that is due."""
         before = self.stage
-        may_trust = self.trusts_own_records and (self.alone or now >= self.started + TRUST_AFTER)
+        may_trust = self.trusts_own_records and (self.has_no_replicas or now >= self.started + TRUST_AFTER)
         if self.is_certain or may_trust:
             self.stage = Stage.COMPLETE
         elif self.stage is Stage.POLLING and now >= self.started + POLLING_TIMEOUT:
--- a/tests/recovery/test_stages.py
+++ b/tests/recovery/test_stages.py
@@ -213,7 +213,7 @@
             r.trusts_own_records = True
 
         def one_answer(r: RecoveryStages) -> None:
-            r.held_by = 2
+            r.required_replicas = 2
 
         def not_fetched(r: RecoveryStages) -> None:
             honest = r.on_answer
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -348,7 +348,7 @@
         r = self.played(
             LOSSES,
             "from gorsethread.recovery.stages import RecoveryStages\n"
-            "RecoveryStages.alone = property(lambda r: True, lambda r, given: None)\n"
+            "RecoveryStages.has_no_replicas = property(lambda r: True, lambda r, given: None)\n"
             "RecoveryStages.awaited = lambda r: []\n",
         )
         self.assertGreater(r.denied, 0)
