--- a/gorsethread/durable_log/replication_messages.py
+++ b/gorsethread/durable_log/replication_messages.py
@@ -125,7 +125,7 @@
         self._buffer = b""
         self._decoder = decoder
 
-    def take(self, data: bytes) -> list[Any]:
+    def feed(self, data: bytes) -> list[Any]:
         """Return the messages that are complete now.
 
         Raises:
--- a/gorsethread/harness/site.py
+++ b/gorsethread/harness/site.py
@@ -49,7 +49,7 @@
 def calls(stream: Stream, first: bytes) -> str:
     """Who called a head for records, or the list, by its first bytes."""
     with contextlib.suppress(replication_messages.ProtocolError):
-        for m in replication_messages.MessageReader(offline_messages.DECODER).take(first):
+        for m in replication_messages.MessageReader(offline_messages.DECODER).feed(first):
             if isinstance(m, replication_messages.Hello):
                 return f"head {m.gateway}"
             if isinstance(m, offline_messages.BranchHello):
--- a/gorsethread/lab/asking.py
+++ b/gorsethread/lab/asking.py
@@ -86,7 +86,7 @@
     try:
         stream.write(encode(offline_messages.OperatorQuery(fleet, what, number)))
         while True:
-            for m in reader.take(await stream.read()):
+            for m in reader.feed(await stream.read()):
                 if isinstance(m, offline_messages.OperatorReply):
                     shown: dict[str, Any] = msgspec.json.decode(m.json)
                     return shown
--- a/gorsethread/nvme_gateway/offline/site_connections.py
+++ b/gorsethread/nvme_gateway/offline/site_connections.py
@@ -158,7 +158,7 @@
         stream.write(encode(messages.BranchHello(self._settings.fleet, self._settings.gateway)))
         self._send_progress(gateway)
         while True:
-            for message in reader.take(await stream.read()):
+            for message in reader.feed(await stream.read()):
                 connection.last_message_at = self._transport.now()
                 self._link.answer_received(connection.last_message_at)
                 if isinstance(message, messages.ReplayReply):
--- a/gorsethread/nvme_gateway/recovery_client.py
+++ b/gorsethread/nvme_gateway/recovery_client.py
@@ -71,7 +71,7 @@
         try:
             exchange.greet()
             while not exchange.ended:
-                for message in reader.take(await stream.read()):
+                for message in reader.feed(await stream.read()):
                     exchange.on_message(message)
                     if exchange.ended:
                         break
--- a/gorsethread/nvme_gateway/replication_client.py
+++ b/gorsethread/nvme_gateway/replication_client.py
@@ -126,7 +126,7 @@
         try:
             stream.write(replication_messages.encode(hello))
             while True:
-                for message in reader.take(await stream.read()):
+                for message in reader.feed(await stream.read()):
                     watch.heard()
                     self._on_message(other, message)
         except StreamClosed:
--- a/gorsethread/recovery/stages.py
+++ b/gorsethread/recovery/stages.py
@@ -1,14 +1,15 @@
-"""The stages of a gateway that restarts, and what each lets it do. Pure: no clock, no chance, no I/O.
-
-`POLLING`     its own records are read; the other gateways are asked what they hold of its log.
-`RESTRICTED`  it serves the extents that it knows; others it neither reports as never written nor places.
-`COMPLETE`    nothing that it held is missing.
-
-It is COMPLETE once so many others have answered that one of them must hold whatever was acknowledged: every
-record is held by `required_replicas` of the others, so all but `required_replicas - 1` of them are enough.
-Where these can't be had it goes on without, and never waits for what cannot come: complete records of its own are believed after
-TRUST_AFTER seconds; incomplete ones, or none at all, keep it RESTRICTED for as long as it takes, or until a
-person accepts the loss. An empty folder is a first start or a lost disk: only the others can tell.
+"""The stages of a restarting gateway, and what it may do in each. Pure: no clock, no randomness, no I/O.
+
+`POLLING`     it has read its own records and asks the other gateways which records of its log they hold.
+`RESTRICTED`  it serves the extents that it knows. It neither reports others as never written nor places them.
+`COMPLETE`    no record that it had is missing.
+
+Every record is held by `required_replicas` of the other gateways, so all but `required_replicas - 1` of them
+are enough: once that many have answered, one of them must hold whatever was acknowledged, and the stage is
+COMPLETE. Where that many do not answer, the gateway continues without them and never waits for an answer that
+cannot come: it believes complete records of its own after TRUST_AFTER seconds. With incomplete records, or
+none at all, it stays RESTRICTED until enough others answer or a person accepts the loss. An empty folder
+means a first start or a lost disk, which only the other gateways can tell apart.
 """
 
 from enum import Enum
--- a/tests/fuzz_records.py
+++ b/tests/fuzz_records.py
@@ -104,7 +104,7 @@
         reader = replication_messages.MessageReader(offline_messages.DECODER)
         try:
             for at in range(0, len(data), 1 + which):
-                reader.take(data[at : at + 1 + which])
+                reader.feed(data[at : at + 1 + which])
         except replication_messages.ProtocolError:
             return
 
--- a/tests/offline_writes/test_messages.py
+++ b/tests/offline_writes/test_messages.py
@@ -28,7 +28,7 @@
 @pytest.mark.parametrize(("message", "encoded"), ENCODED, ids=lambda value: type(value).__name__)
 def test_each_message_keeps_its_bytes(message: msgspec.Struct, encoded: str) -> None:
     assert encode(message).hex() == encoded
-    assert MessageReader(messages.DECODER).take(bytes.fromhex(encoded)) == [message]
+    assert MessageReader(messages.DECODER).feed(bytes.fromhex(encoded)) == [message]
 
 
 def test_no_kind_of_message_is_left_out() -> None:
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -210,13 +210,13 @@
         data = b"".join(replication_messages.encode(m) for m in messages)
         for size in (1, 3, 7, len(data)):
             reader = replication_messages.MessageReader()
-            got = [m for at in range(0, len(data), size) for m in reader.take(data[at : at + size])]
+            got = [m for at in range(0, len(data), size) for m in reader.feed(data[at : at + size])]
             self.assertEqual(messages, got)
 
     def test_what_is_no_message_is_refused(self) -> None:
         for data in (b"GET / HTTP/1.1\r\n", b"\x02\x00\x00\x00\xc1\xc1", b"\xff\xff\xff\xff"):
             with self.assertRaises(replication_messages.ProtocolError):
-                replication_messages.MessageReader().take(data)
+                replication_messages.MessageReader().feed(data)
 
 
 class Commands(unittest.TestCase):
