--- a/gorsethread/durable_log/records.py
+++ b/gorsethread/durable_log/records.py
@@ -19,7 +19,8 @@
 RECENT_RECORDS = 4096  # records that later_than() finds without sorting the table
 RECENT_BYTES = 1 << 21  # of these; either figure may be exceeded twofold
 RECORD_OVERHEAD = 64  # bytes that a record takes beside its data, at most
-QUEUED, STEP, DISCARDED, EFFECT = -1, -2, -3, -4  # first part of a subject that is no extent
+# The first part of a subject that is not an extent; stored in tombstones.
+QUEUED_WRITE, WRITE_PROGRESS, DISCARDED_WRITE, APPLIED_WRITE = -1, -2, -3, -4
 
 
 class ExtentPlaced(msgspec.Struct, frozen=True, tag="placed", array_like=True):
@@ -81,7 +82,7 @@
     @property
     def subject(self) -> Subject:
         """The queued write."""
-        return QUEUED, self.incarnation, self.position
+        return QUEUED_WRITE, self.incarnation, self.position
 
 
 class WriteProgress(msgspec.Struct, frozen=True, tag="step", array_like=True):
@@ -106,7 +107,7 @@
     @property
     def subject(self) -> Subject:
         """The queued write's progress."""
-        return STEP, self.incarnation, self.position
+        return WRITE_PROGRESS, self.incarnation, self.position
 
 
 class WriteDiscarded(msgspec.Struct, frozen=True, tag="discarded", array_like=True):
@@ -122,7 +123,7 @@
     @property
     def subject(self) -> Subject:
         """The discarded write."""
-        return DISCARDED, self.incarnation, self.position
+        return DISCARDED_WRITE, self.incarnation, self.position
 
 
 class WriteApplied(msgspec.Struct, frozen=True, tag="effect", array_like=True):
@@ -136,7 +137,7 @@
     @property
     def subject(self) -> Subject:
         """The branch's write."""
-        return EFFECT, self.branch, self.incarnation, self.position
+        return APPLIED_WRITE, self.branch, self.incarnation, self.position
 
 
 class Tombstone(msgspec.Struct, frozen=True, tag="gone", array_like=True):
--- a/gorsethread/faults/branches.py
+++ b/gorsethread/faults/branches.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from gorsethread.durable_log.records import STEP, WriteProgress, WriteQueued
+from gorsethread.durable_log.records import WRITE_PROGRESS, WriteProgress, WriteQueued
 from gorsethread.durable_log.recovery import parse_segment_file_name, recover
 from gorsethread.nvme.command import Opcode
 from gorsethread.nvme.subsystem import BLOCK
@@ -90,7 +90,7 @@
         ).table
         for r in table.records.values():
             if isinstance(r.fact, WriteQueued):
-                step = table.records.get((STEP, r.fact.incarnation, r.fact.position))
+                step = table.records.get((WRITE_PROGRESS, r.fact.incarnation, r.fact.position))
                 is_parked = (
                     step is not None and isinstance(step.fact, WriteProgress) and step.fact.stage == "parked"
                 )
--- a/gorsethread/nvme_gateway/offline/queue_persistence.py
+++ b/gorsethread/nvme_gateway/offline/queue_persistence.py
@@ -5,8 +5,8 @@
 from typing import NamedTuple
 
 from gorsethread.durable_log.records import (
-    QUEUED,
-    STEP,
+    QUEUED_WRITE,
+    WRITE_PROGRESS,
     Fact,
     Tombstone,
     WriteDiscarded,
@@ -112,7 +112,7 @@
         """The record of a write that is queued, at either gateway of the branch."""
         if number.gateway != self._gateway:
             return self._standby_writes.record_of(number)
-        record = self._log.store.table.records[QUEUED, number.incarnation, number.sequence].fact
+        record = self._log.store.table.records[QUEUED_WRITE, number.incarnation, number.sequence].fact
         assert isinstance(record, WriteQueued)
         return record
 
@@ -183,7 +183,7 @@
 
     def remove(self, number: WriteNumber) -> None:
         """Removes the records of an own write that is finished, here and wherever copies are."""
-        for kind in (QUEUED, STEP):
+        for kind in (QUEUED_WRITE, WRITE_PROGRESS):
             self._persist_until_stored(partial(Tombstone, [kind, number.incarnation, number.sequence]))
 
     def _progress_of(self, number: WriteNumber) -> WriteProgress | None:
--- a/gorsethread/nvme_gateway/offline/standby_replication.py
+++ b/gorsethread/nvme_gateway/offline/standby_replication.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from gorsethread.durable_log.records import QUEUED, Record, Tombstone, WriteProgress, WriteQueued
+from gorsethread.durable_log.records import QUEUED_WRITE, Record, Tombstone, WriteProgress, WriteQueued
 from gorsethread.nvme_gateway.offline.block_view import BlockView
 from gorsethread.nvme_gateway.offline.branch_settings import BranchSettings
 from gorsethread.nvme_gateway.offline.change_history import ChangeHistory
@@ -71,7 +71,7 @@
         for number in self._writes.take_unnamed(last):
             self._finished(number)
         for record in records:
-            if isinstance(record.fact, Tombstone) and record.fact.subject[0] == QUEUED:
+            if isinstance(record.fact, Tombstone) and record.fact.subject[0] == QUEUED_WRITE:
                 _, incarnation, sequence = record.fact.subject
                 self._finished(self._number((incarnation, sequence)))
             elif isinstance(record.fact, WriteProgress):
--- a/gorsethread/nvme_gateway/replay_receiver.py
+++ b/gorsethread/nvme_gateway/replay_receiver.py
@@ -6,7 +6,7 @@
 
 from typing import Any, NamedTuple
 
-from gorsethread.durable_log.records import EFFECT, Tombstone, WriteApplied
+from gorsethread.durable_log.records import APPLIED_WRITE, Tombstone, WriteApplied
 from gorsethread.durable_log.replication_messages import ProtocolError, encode
 from gorsethread.gateway.driver import Driver
 from gorsethread.gateway.interfaces import Placement
@@ -125,8 +125,8 @@
             )
             return
         for position in finished:
-            if (EFFECT, message.gateway, *position) in self._log.store.table.records:
-                self._log.append(Tombstone([EFFECT, message.gateway, *position]))
+            if (APPLIED_WRITE, message.gateway, *position) in self._log.store.table.records:
+                self._log.append(Tombstone([APPLIED_WRITE, message.gateway, *position]))
 
     def _query_received(self, stream: Stream, known: AppliedWrites, message: messages.StatusQuery) -> None:
         number = WriteNumber(*message.number)
@@ -197,7 +197,7 @@
             self._finish(number, outcome, 0.0)
         else:
             # It has not run: what was recorded as begun is taken back.
-            self._log.append(Tombstone([EFFECT, *number]))
+            self._log.append(Tombstone([APPLIED_WRITE, *number]))
             self._finish(number, outcome, retry_after)
 
     def _finish(self, number: WriteNumber, outcome: ReplayOutcome, retry_after: float) -> None:
