--- a/gorsethread/gateway/driver.py
+++ b/gorsethread/gateway/driver.py
@@ -250,7 +250,7 @@
         assert request.extent is not None
         released = self.first_writes.ended(request.extent, outcome)
         if released and self.placement_log is not None:
-            self.placement_log.freed(request.extent)
+            self.placement_log.released(request.extent)
 
     def _close(self, request: OpenRequest) -> None:
         if request.answered and not request.out:
--- a/gorsethread/gateway/interfaces.py
+++ b/gorsethread/gateway/interfaces.py
@@ -77,7 +77,7 @@
     def placed(self, place: tuple[int, int], shard: int, done: Callable[[bool], None]) -> None:
         """Done is called once, in a turn of its own: whether the placement is durable."""
 
-    def freed(self, place: tuple[int, int]) -> None:
+    def released(self, place: tuple[int, int]) -> None:
         """No first write of the extent has run."""
 
     def retry_after(self) -> float:
--- a/gorsethread/head/program.py
+++ b/gorsethread/head/program.py
@@ -130,7 +130,7 @@
                 copy,
                 self.log,
             )
-            self.holding.answer_question = lambda asked: as_json(branch.answer(asked))
+            self.holding.answer_operator_query = lambda asked: as_json(branch.answer(asked))
             self.holding.on_records_stored = branch.records_stored
         else:
             side = ReplayReceiver(self.transport, self.site, self.promises, self.driver, placement, self.log)
--- a/gorsethread/nvme_gateway/replica_server.py
+++ b/gorsethread/nvme_gateway/replica_server.py
@@ -72,7 +72,7 @@
 
     Attributes:
         on_branch_message: At a gateway of the main site: hears what branches' gateways send.
-        answer_question: At a branch's gateway: answers an operator's question.
+        answer_operator_query: At a branch's gateway: answers an operator's question.
         on_records_stored: Hears of another gateway's records as they are on this disk: whose, the records,
             whether they replace all, and up to which number all is here.
     """
@@ -94,7 +94,7 @@
         self.replicas: dict[int, Replica] = {}
         self._streams: set[Stream] = set()
         self.on_branch_message: Callable[[Stream, Any], None] | None = None
-        self.answer_question: Callable[[offline_messages.OperatorQuery], bytes] | None = None
+        self.answer_operator_query: Callable[[offline_messages.OperatorQuery], bytes] | None = None
         self.on_records_stored: Callable[[int, list[Record], bool, SequenceNumber], None] = lambda *_: None
 
     def start(self) -> None:
@@ -148,7 +148,7 @@
         session = _Session(stream, timeout)
         try:
             while True:
-                for message in reader.take(await stream.read()):
+                for message in reader.feed(await stream.read()):
                     await self._on_message(session, message)
         except StreamClosed:
             pass
@@ -168,7 +168,7 @@
         elif isinstance(message, offline_messages.BranchHello):
             self._identify(session, message.gateway, message.fleet)
         elif isinstance(message, offline_messages.OperatorQuery):
-            self._on_question(session, message)
+            self._on_operator_query(session, message)
         elif session.origin == NO_GATEWAY:
             raise ProtocolError("no greeting came first")
         elif isinstance(message, replication_messages.FetchRecords):
@@ -187,11 +187,11 @@
     def _foreign(self, gateway: int, fleet: int) -> ProtocolError:
         return ProtocolError(f"gateway {gateway} of fleet {fleet} is none of this fleet")
 
-    def _on_question(self, session: _Session, question: offline_messages.OperatorQuery) -> None:
+    def _on_operator_query(self, session: _Session, query: offline_messages.OperatorQuery) -> None:
         is_local = session.stream.peer.startswith(LOOPBACK)
-        if not is_local or question.fleet != self.fleet or self.answer_question is None:
+        if not is_local or query.fleet != self.fleet or self.answer_operator_query is None:
             raise ProtocolError("an operator's question that is not answered here")
-        session.send(offline_messages.OperatorReply(self.answer_question(question)))
+        session.send(offline_messages.OperatorReply(self.answer_operator_query(query)))
 
     def _greeted(self, session: _Session, incarnation: int) -> None:
         replica = self.replica_of(session.origin)
--- a/gorsethread/nvme_gateway/replicated_log.py
+++ b/gorsethread/nvme_gateway/replicated_log.py
@@ -221,7 +221,7 @@
         self._placing[extent] = [on_durable]
         self.append(ExtentPlaced(*extent, shard), lambda durable: self._on_placed(extent, durable))
 
-    def freed(self, extent: ExtentKey) -> None:
+    def released(self, extent: ExtentKey) -> None:
         """Record that an extent belongs to no shard again, if it did."""
         known = self.store.table.records.get(extent)
         if known is not None and isinstance(known.fact, ExtentPlaced):
