--- a/gorsethread/durable_log/log_store.py
+++ b/gorsethread/durable_log/log_store.py
@@ -1,8 +1,8 @@
-"""A folder that keeps one gateway's records: reads, writes and flushes them.
+"""Stores one gateway's records in a folder.
 
-A flush that failed is never repeated on the same file, since the system may have dropped what it held: a new
-segment with all that holds is started instead. On disk are at most two segments, the newest and the one
-before.
+A failed flush is never repeated on the same file, since the operating system may have dropped the data that
+was not written: a new segment with all current records is started instead. At most two segments are kept on
+disk, the newest and the one before it.
 """
 
 from collections.abc import Callable
@@ -28,23 +28,23 @@
 
 
 class FolderInUseError(GorsethreadError):
-    """Another process keeps its records in this folder."""
+    """Another process uses this folder."""
 
-    action = "End the other process first, or give this gateway the folder that is its own."
+    action = "End the other process first, or give this gateway its own folder."
 
 
 class LogStore:
-    """The log of one gateway in one folder; is_replica: it is another gateway's, kept for it.
+    """The log of one gateway in one folder; is_replica: the log is kept for another gateway.
 
-    It owns the table of all that holds (bounded as RecordTable says), the queue of records that wait for a
-    flush (emptied by flushes, failures and close()) and the segment in use. Nothing is written until
+    It owns the table of current records (bounded as described in RecordTable), the queue of records that wait
+    for a flush (emptied by flushes, failures and close()) and the segment in use. Nothing is written until
     start_incarnation().
 
     Attributes:
-        last: The last number that was accepted.
-        incomplete: What it has is known to lack something.
-        removals_dropped: Removals up to this number are not in the table any more.
-        started: start_incarnation() has ended once.
+        last: The highest number accepted so far.
+        incomplete: The records are known to lack some that the gateway once had.
+        removals_dropped: Removals up to this number are no longer in the table.
+        started: start_incarnation() has completed at least once.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         self.removals_dropped: SequenceNumber = NO_SEQUENCE
         self.started = False
         self.closed = False
-        self._segment_number = 0  # of the last segment of this incarnation
+        self._segment_number = 0  # number of the last segment of this incarnation
         self._active: ActiveSegment | None = None
         self._queue = CommitQueue()
         self._flushed: SequenceNumber = NO_SEQUENCE
@@ -81,19 +81,19 @@
     # ---- reading
 
     def open(self) -> RecoveredLog:
-        """Read what is there, and hold the folder until close().
+        """Lock the folder until close(), and read its records.
 
         Raises:
-            FolderInUseError: Another process holds it.
-            UnusableSegmentError: The folder is another's, or of a later version.
-            OSError: It can't be read.
+            FolderInUseError: Another process has locked the folder.
+            UnusableSegmentError: The folder is another gateway's, or has another format version.
+            OSError: The folder can't be read.
         """
         self._unlock = self.transport.lock(f"{self.folder}/{LOCK_FILE}")
         if self._unlock is None:
             raise FolderInUseError(f"{self.folder} is in use by another process")
         found = recover(load_segments(self.transport, self.folder), self.fleet, self.gateway)
         for line in found.faults:
-            self.log.error("records lost", folder=self.folder, fault=line)
+            self.log.error("records in the folder are lost or damaged", folder=self.folder, fault=line)
         self.table = found.table
         self.last = found.table.last
         self.incarnation = found.newest.incarnation
@@ -101,13 +101,13 @@
         return found
 
     def loss_accepted(self) -> bool:
-        """Return whether a person accepted that what this folder lost is lost."""
+        """Return whether an operator accepted the loss of the records that this folder lacks."""
         return self.transport.load(f"{self.folder}/{LOSS_ACCEPTED_FILE}") is not None
 
     # ---- writing
 
     async def start_incarnation(self, incarnation: int) -> None:
-        """Start a segment of this incarnation with all that holds; retried until the disk takes it."""
+        """Start a segment of this incarnation with the current records; retried until the disk writes it."""
         if incarnation > self.incarnation:
             self.incarnation = incarnation
             self._segment_number = 0
@@ -119,34 +119,37 @@
         self._wake_writer()
 
     def add(self, record: Record, on_committed: OnCommitted | None = None) -> None:
-        """Queue a record; numbers must grow. on_committed hears once whether the record is durable."""
+        """Queue a record, whose number must be higher than those before.
+
+        on_committed is called once with whether the record is durable.
+        """
         self.last = max(self.last, record.number)
         self._queue.add(record, on_committed)
         self._wake_writer()
 
     def replace_contents(self, table: RecordTable) -> None:
-        """Hold these records in place of all; the next segment starts with them."""
+        """Replace all records by these; the next segment starts with them."""
         self.table = table
         self.last = max(self.last, table.last)
 
     def merge_recovered(self, table: RecordTable) -> None:
-        """Hold also what others gave back; on disk with the next segment, which is started now."""
+        """Add the records fetched from other gateways, and start a new segment to write them to disk."""
         self.table.merge(table)
         if self.started:
             self._start_compaction()
 
     @property
     def flushed(self) -> SequenceNumber:
-        """Up to this number the table has all that holds."""
+        """The number up to which the table has all records."""
         return self._flushed
 
     @property
     def pending(self) -> int:
-        """The number of records that wait for a flush."""
+        """How many records wait for a flush."""
         return len(self._queue)
 
     def close(self) -> None:
-        """Stop; what is not flushed by now is reported as not durable."""
+        """Stop; records that are not flushed by now are reported as not durable."""
         self.closed = True
         self._fail_pending()
         self._close_segment()
@@ -154,7 +157,7 @@
             self._unlock()
             self._unlock = None
 
-    # ---- the writer: the only one that adds to the segment in use, and that exchanges it
+    # ---- the writer: only this task appends to the segment in use and switches to another
 
     def _wake_writer(self) -> None:
         if not self._writing and self.started and not self.closed:
@@ -199,7 +202,7 @@
             self._start_compaction()
 
     async def _restart_after_failure(self) -> bool:
-        """Start a new segment where it is time to retry; what is queued till then is not durable."""
+        """Start a new segment if it is time to retry; without one, fail the records that are queued."""
         if not self.disk.should_retry(self.transport.now()):
             self._fail_pending()
             return False
@@ -224,7 +227,7 @@
     # ---- segments
 
     async def _start_segment(self) -> None:
-        """Start a segment as soon as the disk takes one; nothing else writes meanwhile."""
+        """Start a segment as soon as the disk writes one; nothing else writes meanwhile."""
         while not self.closed:
             try:
                 await self._use(await self._write_segment())
@@ -241,21 +244,21 @@
             self.transport.spawn(self._compact())
 
     async def _compact(self) -> None:
-        """Write a new segment beside the one in use, which takes what comes until the new one is there."""
+        """Write a new segment; until it is on disk, records are appended to the one in use."""
         try:
             written = await self._write_segment()
-            if written.number == self._segment_number:  # else one was started since, after a failure
+            if written.number == self._segment_number:  # else another was started since, after a failure
                 self._compaction.ready = written
         except OSError as error:
-            # The segment in use goes on, and grows until a new one is due again.
-            self.log.error("no new segment", folder=self.folder, reason=str(error))
+            # The segment in use remains in use, and grows until a new one is due again.
+            self.log.error("a new segment could not be written", folder=self.folder, reason=str(error))
             if self._active is not None:
                 self._active.initial_size = self._active.size
             self._compaction.failed()
         self._wake_writer()
 
     async def _write_segment(self) -> WrittenSegment:
-        """Write a new segment with all that holds now; OSError where the disk does not take it."""
+        """Write a new segment with the current records; raises OSError where the disk fails."""
         self._compaction.snapshot_taken()
         self.removals_dropped = max(self.removals_dropped, self.table.drop_removals())
         snapshot = self.table.in_order()
@@ -274,11 +277,11 @@
         return await write_segment(self.transport, self.folder, header, snapshot)
 
     async def _use(self, segment: WrittenSegment) -> None:
-        """Send what comes to this segment, after what was flushed while it was made."""
+        """Append to this segment from now on, first the records flushed while it was written."""
         active = ActiveSegment(self.transport, segment)
-        late = self._compaction.take_flushed_since()
-        if late:
-            await active.append(active.encode(late))
+        missing = self._compaction.take_flushed_since()
+        if missing:
+            await active.append(active.encode(missing))
             active.initial_size = active.size
         self._compaction.finished()
         self._close_segment()
@@ -295,10 +298,10 @@
         self.disk.commit_ended(now, True, error.errno in NO_SPACE)
         retry_after = self.disk.retry_after(now, 0)
         self.log.error(
-            "the disk does not take records",
+            "the disk failed to write records",
             folder=self.folder,
             reason=str(error),
-            again_in=round(retry_after, 2),
+            retry_after=round(retry_after, 2),
         )
         self._close_segment()
         self.transport.at(now + retry_after, self._wake_writer)
--- a/gorsethread/durable_log/records.py
+++ b/gorsethread/durable_log/records.py
@@ -1,9 +1,9 @@
-"""The facts that a gateway's log keeps, and how tables of them combine.
+"""The facts that a gateway's log keeps, and how tables of them are merged.
 
-Every record has a sequence number, (incarnation, position in that incarnation), that is never given again.
+Every record has a sequence number, (incarnation, position in that incarnation), that is never used again.
 Its fact is about one *subject* (an extent, a queued write, ...). Of two records of one subject the one with
-the higher number holds, so records may be read in any order, repeatedly, from several segments or replicas,
-with the same outcome.
+the higher number is the current one, so records may be read in any order, repeatedly, from several segments
+or replicas, with the same result.
 """
 
 from bisect import bisect_right
@@ -16,15 +16,15 @@
 SequenceNumber = tuple[int, int]  # incarnation and position
 Subject = tuple[int, ...]
 NO_SEQUENCE: SequenceNumber = (0, 0)
-RECENT_RECORDS = 4096  # records that later_than() finds without sorting the table
-RECENT_BYTES = 1 << 21  # of these; either figure may be exceeded twofold
-RECORD_OVERHEAD = 64  # bytes that a record takes beside its data, at most
+RECENT_RECORDS = 4096  # latest records, which later_than() finds without sorting the table
+RECENT_BYTES = 1 << 21  # bytes of these records; the table holds up to twice either figure
+RECORD_OVERHEAD = 64  # upper bound of the bytes of a record without the data of its write
 # The first part of a subject that is not an extent; stored in tombstones.
 QUEUED_WRITE, WRITE_PROGRESS, DISCARDED_WRITE, APPLIED_WRITE = -1, -2, -3, -4
 
 
 class ExtentPlaced(msgspec.Struct, frozen=True, tag="placed", array_like=True):
-    """A first write of this extent may have gone to this shard, to which it belongs from now on."""
+    """The extent belongs to this shard from now on: its first write may have been sent there."""
 
     volume: int
     extent: int
@@ -37,7 +37,7 @@
 
 
 class ExtentReleased(msgspec.Struct, frozen=True, tag="freed", array_like=True):
-    """The extent's first write is known not to have run: it belongs to no shard again."""
+    """The extent belongs to no shard again: its first write is known not to have run."""
 
     volume: int
     extent: int
@@ -49,17 +49,17 @@
 
 
 class WriteQueued(msgspec.Struct, frozen=True, tag="queued", array_like=True):
-    """A write that a disconnected branch accepted.
+    """A write that a branch accepted while it was disconnected from the main site.
 
     Attributes:
-        incarnation: With position, its number in the branch's queue.
-        position: See incarnation.
+        incarnation: First part of the write's number in the branch's queue.
+        position: Second part of that number.
         request_class: Index of the request class in the site file.
-        host: NQN of the host that sent it.
-        accepted_at: Seconds of the wall clock.
-        own_dependencies: Numbers (branch, incarnation, position) of this branch's writes that come first.
-        other_dependencies: The same for other gateways' writes.
-        base_digest: What its blocks held as the branch last saw them; 0 where it did not.
+        host: NQN of the host that sent the write.
+        accepted_at: Wall-clock time in seconds.
+        own_dependencies: Numbers (branch, incarnation, position) of this branch's writes that it depends on.
+        other_dependencies: Numbers of other gateways' writes that it depends on.
+        base_digest: Digest of what the branch last saw in its blocks; 0 where it has not seen them.
     """
 
     incarnation: int = field(name="life")
@@ -86,15 +86,15 @@
 
 
 class WriteProgress(msgspec.Struct, frozen=True, tag="step", array_like=True):
-    """How far a queued write has come.
+    """The stage that a queued write has reached.
 
     Attributes:
-        incarnation: With position, the number of the write.
-        position: See incarnation.
-        stage: Value of the queue's stage.
-        suspects: Gateways of the main site that may have applied it.
-        reason: Why it is in this stage, for people.
-        forced: A person decided that it is to be applied whatever is known.
+        incarnation: First part of the write's number.
+        position: Second part of the write's number.
+        stage: Value of the stage in the branch's queue.
+        suspects: Gateways of the main site that may have applied the write.
+        reason: Why the write is in this stage, for an operator to read.
+        forced: An operator decided that the write is applied regardless of what is known about it.
     """
 
     incarnation: int = field(name="life")
@@ -111,7 +111,7 @@
 
 
 class WriteDiscarded(msgspec.Struct, frozen=True, tag="discarded", array_like=True):
-    """A person discarded a dead-lettered write; discarded_at in seconds of the wall clock."""
+    """An operator discarded a dead-lettered write; discarded_at is the wall-clock time in seconds."""
 
     incarnation: int = field(name="life")
     position: int = field(name="place")
@@ -127,7 +127,7 @@
 
 
 class WriteApplied(msgspec.Struct, frozen=True, tag="effect", array_like=True):
-    """At the main site: a branch's write may have run, or has."""
+    """Recorded at the main site: a branch's write has run (ran is true), or may have run."""
 
     branch: int
     incarnation: int = field(name="life")
@@ -141,7 +141,7 @@
 
 
 class Tombstone(msgspec.Struct, frozen=True, tag="gone", array_like=True):
-    """Nothing is known of this subject any more."""
+    """The records of this subject are removed."""
 
     removed: list[int] = field(name="what")
 
@@ -152,63 +152,64 @@
 
 
 Fact = ExtentPlaced | ExtentReleased | WriteQueued | WriteProgress | WriteDiscarded | WriteApplied | Tombstone
-REMOVALS: tuple[type, ...] = (ExtentReleased, Tombstone)  # kept until nothing earlier can come any more
+REMOVALS: tuple[type, ...] = (ExtentReleased, Tombstone)  # kept until no earlier record can arrive
 
 
 def record_bytes(fact: Fact) -> int:
-    """Estimate the bytes that a record of this fact takes."""
+    """Return an estimate of the bytes of a record of this fact."""
     return RECORD_OVERHEAD + (len(fact.data) if isinstance(fact, WriteQueued) else 0)
 
 
 class Record(NamedTuple):
-    """A fact under its sequence number."""
+    """A fact and its sequence number."""
 
     number: SequenceNumber
     fact: Fact
 
 
 def batches(records: Iterable[Record], max_records: int, max_bytes: int) -> Iterator[list[Record]]:
-    """Split records, in their order, into batches of limited size but one record at least."""
+    """Split records, keeping their order, into batches of limited size; each has at least one record."""
     batch: list[Record] = []
     size = 0
     for record in records:
-        more = record_bytes(record.fact)
-        if batch and (len(batch) >= max_records or size + more > max_bytes):
+        record_size = record_bytes(record.fact)
+        if batch and (len(batch) >= max_records or size + record_size > max_bytes):
             yield batch
             batch = []
             size = 0
         batch.append(record)
-        size += more
+        size += record_size
     if batch:
         yield batch
 
 
 class RecordTable:
-    """The latest record of each subject.
+    """The current record of each subject.
 
-    Bounded by the extents that the site's volumes have and by what branches may queue. Removals stay, since
-    an earlier record that comes late must not win; `drop_removals()` takes them out once nothing earlier can
-    come. The recent records are cut by half at twice RECENT_RECORDS or RECENT_BYTES.
+    The table is bounded by the number of extents of the site's volumes and by the limits of the branches'
+    queues. It keeps removals, since an earlier record that arrives late must not undo them, until
+    `drop_removals()` is called once no earlier record can arrive. The list of recent records is halved when
+    it exceeds twice RECENT_RECORDS or RECENT_BYTES.
     """
 
     def __init__(self, records: Iterable[Record] = ()) -> None:
         self.records: dict[Subject, Record] = {}
-        self.last: SequenceNumber = NO_SEQUENCE  # the highest number seen, of any subject
-        self._recent: list[Record] = []  # in order, all that came after _recent_from
+        self.last: SequenceNumber = NO_SEQUENCE  # the highest number applied, of any subject
+        self._recent: list[Record] = []  # in order: all records later than _recent_from
         self._recent_bytes = 0
         self._recent_from: SequenceNumber = NO_SEQUENCE
         for record in records:
             self.apply(record)
 
     def apply(self, record: Record) -> bool:
-        """Add a record; return whether it is the one that holds for its subject."""
+        """Add a record; return whether it is now the current one of its subject."""
         if record.number > self.last:
             self._add_recent(record)
         else:
-            self._clear_recent()  # out of order: the list would not be complete
+            self._clear_recent()  # out of order: the list would be incomplete
         subject = record.fact.subject
-        known = self.records.get(subject)
-        if known is not None and known.number >= record.number:
+        current = self.records.get(subject)
+        if current is not None and current.number >= record.number:
             return False
         self.records[subject] = record
         return True
@@ -221,7 +222,7 @@
             half = max(1, len(self._recent) // 2)
             self._recent_from = self._recent[half - 1].number
             del self._recent[:half]
-            self._recent_bytes = sum(record_bytes(one.fact) for one in self._recent)
+            self._recent_bytes = sum(record_bytes(recent.fact) for recent in self._recent)
 
     def _clear_recent(self) -> None:
         self._recent = []
@@ -229,28 +230,28 @@
         self._recent_bytes = 0
 
     def merge(self, other: "RecordTable") -> None:
-        """Apply all of another table."""
+        """Apply all records of another table."""
         for record in other.records.values():
             self.apply(record)
         self.last = max(self.last, other.last)
 
     def placements(self) -> dict[tuple[int, int], int]:
-        """Return the shard of each extent that has one."""
+        """Return the shard of each extent that belongs to one."""
         facts = (record.fact for record in self.records.values())
         return {fact.subject: fact.shard for fact in facts if isinstance(fact, ExtentPlaced)}
 
     def later_than(self, number: SequenceNumber) -> list[Record]:
-        """Return all later records that hold, in order, and perhaps some that were replaced since."""
+        """Return, in order, the current records after this number, and possibly some replaced since."""
         if number >= self._recent_from:
             return self._recent[bisect_right(self._recent, number, key=lambda record: record.number) :]
         return [record for record in self.in_order() if record.number > number]
 
     def in_order(self) -> list[Record]:
-        """Return all records that hold, by their numbers."""
+        """Return the current records, ordered by their numbers."""
         return sorted(self.records.values())
 
     def drop_removals(self) -> SequenceNumber:
-        """Forget what was removed; return the highest number of a dropped record."""
+        """Drop the records that are removals; return the highest number of a dropped record."""
         dropped = NO_SEQUENCE
         for subject, record in list(self.records.items()):
             if isinstance(record.fact, REMOVALS):
--- a/gorsethread/durable_log/recovery.py
+++ b/gorsethread/durable_log/recovery.py
@@ -1,8 +1,9 @@
-"""What a folder still holds of a gateway's log: its segments read and combined. No I/O.
+"""Recovers a gateway's log from the segments in a folder. No I/O.
 
-The newest segment starts with all that held as its making began. Where it is complete, no more of the one
-before is used than what was flushed to it since, which a killed process may not have moved. Where it is not
-complete, the others fill in what they can; the loss is reported all the same, as only replicas can mend it.
+The newest segment starts with a snapshot of the records that were current when its writing began. Where it is
+complete, only those records of the segment before it are used that were flushed since that snapshot, as a
+killed process may not have copied them. Where it is not complete, the records of the other segments are used
+too; the loss is reported nevertheless, as only replicas can restore what is missing.
 """
 
 from dataclasses import dataclass, field
@@ -13,19 +14,19 @@
 
 SEGMENT_SUFFIX = ".seg"
 LOCK_FILE = "lock"
-LOSS_ACCEPTED_FILE = "accepted"  # a person accepted the loss: gorsethread records accept
+LOSS_ACCEPTED_FILE = "accepted"  # written by `gorsethread records accept`: an operator accepted the loss
 INCARNATION_DIGITS = 16  # hexadecimal, in a segment's file name
 SEGMENT_DIGITS = 8
 
 
 class ForeignSegmentError(UnusableSegmentError):
-    """The folder is another gateway's, or another fleet's."""
+    """The folder belongs to another gateway or another fleet."""
 
     action = "Give each gateway the folder that it had before; two may have been exchanged."
 
 
 class SegmentId(NamedTuple):
-    """Where a segment stands in the order of a gateway's segments."""
+    """The position of a segment in the order of a gateway's segments."""
 
     incarnation: int
     segment: int
@@ -37,7 +38,7 @@
 
 
 def parse_segment_file_name(name: str) -> SegmentId | None:
-    """Return which segment a file is by its name; None for a file that is no segment."""
+    """Return the segment that a file name stands for; None where the file is not a segment."""
     incarnation, _, segment = name.removesuffix(SEGMENT_SUFFIX).partition("-")
     if not name.endswith(SEGMENT_SUFFIX):
         return None
@@ -53,7 +54,7 @@
 
 
 class SegmentFile(NamedTuple):
-    """A file of a log; segment is None where its header can't be read."""
+    """A segment file; segment is None where its header can't be read."""
 
     name: str
     segment: Segment | None
@@ -61,16 +62,16 @@
 
 @dataclass
 class RecoveredLog:
-    """What was read of a folder.
+    """The log that was recovered from a folder.
 
     Attributes:
-        table: All records that hold.
-        complete: Nothing that this folder held is known to be lost.
-        empty: There was nothing in it.
-        newest: Of the newest file, also of one that can't be read.
-        faults: A line each, for people.
-        torn_bytes: Bytes at segments' ends, as a killed process leaves them; no fault.
-        files: Newest first.
+        table: The current records.
+        complete: No record that this folder had is known to be lost.
+        empty: The folder has no segments.
+        newest: The newest segment, even if its header can't be read.
+        faults: One line for each fault, for an operator to read.
+        torn_bytes: Bytes at the ends of segments, as a killed process leaves them; not a fault.
+        files: The segment files, newest first.
     """
 
     table: RecordTable = field(default_factory=RecordTable)
@@ -83,16 +84,16 @@
 
 
 def recover(files: dict[str, bytes], fleet: int | None, gateway: int | None) -> RecoveredLog:
-    """Read and combine the segments of a folder.
+    """Read and merge the segments of a folder.
 
     Args:
-        files: All of the folder, by their names.
-        fleet: To whom it must belong; None: to anyone.
-        gateway: The same for the gateway.
+        files: The bytes of the folder's files by their names.
+        fleet: The fleet that the segments must belong to; None: any.
+        gateway: The gateway that the segments must belong to; None: any.
 
     Raises:
-        ForeignSegmentError: A segment is another's.
-        UnusableSegmentError: A later version wrote a segment.
+        ForeignSegmentError: A segment belongs to another fleet or gateway, or has another's file name.
+        UnusableSegmentError: A segment has another format version.
     """
     recovered = RecoveredLog()
     _read_files(recovered, files, fleet, gateway)
@@ -100,7 +101,7 @@
     recovered.complete = _is_complete(recovered)
     newest = recovered.files[0] if recovered.files else None
     if newest is not None and newest.segment is not None and newest.segment.header.incomplete:
-        recovered.faults.append(f"{newest.name}: what it began with was known to lack something")
+        recovered.faults.append(f"{newest.name}: its snapshot was known to lack records")
     return recovered
 
 
@@ -115,7 +116,7 @@
         segment = read_segment(files[name])
         recovered.files.append(SegmentFile(name, segment))
         if segment is None:
-            recovered.faults.append(f"{name}: its begin can't be read")
+            recovered.faults.append(f"{name}: its header can't be read")
             continue
         _check_owner(segment, name, segment_id, fleet, gateway)
         recovered.torn_bytes += segment.torn_bytes
@@ -141,10 +142,10 @@
     if segment.missing_records:
         expected = segment.header.snapshot_records
         faults.append(
-            f"{name}: {segment.missing_records} of the {expected} records it began with are not there"
+            f"{name}: {segment.missing_records} of the {expected} records of its snapshot are missing"
         )
     faults += [
-        f"{name}: records {first[1]} to {last[1]} of life {first[0]} are not there"
+        f"{name}: records {first[1]} to {last[1]} of incarnation {first[0]} are missing"
         for first, last in segment.sequence_gaps
     ]
     return faults
@@ -158,17 +159,23 @@
         use_all = index == 0 or newest is None or not newest.complete
         records = segment.records if use_all or newest is None else _later_records(segment, newest)
         recovered.table.merge(RecordTable(records))
-        if not segment.header.is_replica:  # a replica may not have got all from before its header yet
+        if (
+            not segment.header.is_replica
+        ):  # a replica may not have received all records up to its header's number
             recovered.table.last = max(recovered.table.last, segment.header.last)
 
 
 def _later_records(segment: Segment, newest: Segment) -> list[Record]:
-    """What was flushed to an older segment after the newest one's snapshot was taken."""
+    """Return the records flushed to an older segment after the newest segment's snapshot was taken."""
     return [record for record in segment.records if record.number > newest.header.last]
 
 
 def _is_complete(recovered: RecoveredLog) -> bool:
-    """Older segments can't replace the newest: what it lost may have removed or replaced their records."""
+    """Return whether no record is known to be lost.
+
+    Older segments can't make up for a loss in the newest one: the lost records may have removed or replaced
+    theirs.
+    """
     if recovered.empty:
         return True
     newest = recovered.files[0].segment
@@ -177,10 +184,10 @@
     if len(recovered.files) == 1:
         return True
     if _later_records(newest, newest):
-        return True  # it was in use, so what the one before had got meanwhile was moved to it
-    before = recovered.files[1]
+        return True  # it was in use, so the records flushed to the previous one meanwhile were copied to it
+    previous = recovered.files[1]
     header = newest.header
-    if parse_segment_file_name(before.name) != (header.incarnation, header.segment - 1):
+    if parse_segment_file_name(previous.name) != (header.incarnation, header.segment - 1):
         return True
-    # What was flushed to the one before meanwhile may be what is corrupt.
-    return before.segment is not None and before.segment.complete
+    # The corrupt bytes may be records that were flushed to the previous segment meanwhile.
+    return previous.segment is not None and previous.segment.complete
--- a/gorsethread/durable_log/replica_placement.py
+++ b/gorsethread/durable_log/replica_placement.py
@@ -1,9 +1,10 @@
-"""Which other gateways hold replicas of a gateway's log. Pure: all that see the same choose the same.
+"""Chooses the gateways that hold replicas of a gateway's log. Pure: the same input gives the same choice.
 
-By rendezvous hashing (highest random weight, Thaler and Ravishankar): each candidate has a weight drawn from
-both gateways' numbers, so one that goes or comes moves only what it held. Other machines than the gateway's
-own go first, then zones without a replica yet: what fails together is not used together, where there is a
-choice.
+The choice uses rendezvous hashing (highest random weight, Thaler and Ravishankar): each candidate has a
+weight derived from both gateways' numbers, so a gateway that joins or leaves moves only the replicas that it
+holds.
+Gateways on other machines than the origin and the replicas chosen so far are preferred, then those in zones
+without a replica: where there is a choice, replicas do not share a failure domain.
 """
 
 from collections.abc import Iterable
@@ -13,14 +14,14 @@
 
 
 class FailureDomain(NamedTuple):
-    """What a gateway is lost together with: its zone, and the machine it runs on."""
+    """The zone of a gateway and the machine it runs on, whose failure the gateway shares."""
 
     zone: int
     machine: str
 
 
 def weight(origin: int, replica: int) -> int:
-    """Return the rendezvous weight of a gateway as a holder of another's replica."""
+    """Return the rendezvous weight of a gateway for holding a replica of the origin's log."""
     return xxhash.xxh3_64_intdigest(f"{origin}/{replica}".encode())
 
 
@@ -31,9 +32,9 @@
 
     Args:
         origin: The gateway whose log it is.
-        domains: Of all gateways, the origin included.
-        living: Candidates; the origin among them is passed over.
-        copies: How many to choose; fewer are returned where too few others live.
+        domains: The failure domains of all gateways, including the origin.
+        living: Candidates, the gateways that are not considered dead; the origin is ignored.
+        copies: How many to choose; fewer are returned where there are too few candidates.
     """
     candidates = {gateway for gateway in living if gateway != origin and gateway in domains}
     machines = {domains[origin].machine}
--- a/gorsethread/durable_log/replication.py
+++ b/gorsethread/durable_log/replication.py
@@ -1,10 +1,10 @@
-"""Replicas of one gateway's log at others: what goes to whom next, and up to where enough of them have it.
+"""Decides what is sent to each replica of a gateway's log, and which records enough replicas have.
 
-Pure cores of both sides: no I/O, no clock, no chance. The sender counts only what a replica confirmed to have
-on its own disk. A replica that was away gets what holds and is later than what it has; removals are dropped
-in time, so one that is further behind than these gets everything again. A replica knows the latest
-incarnation of each gateway and accepts nothing from an earlier one, so of two processes of one gateway the
-later fences off the other.
+Pure cores of both sides: no I/O, no clock, no randomness. The sender counts only records that a replica
+confirmed to have on its own disk. A replica that was disconnected receives the current records that are later
+than its own; removals are dropped in time, so a replica that is further behind than the dropped ones receives
+everything again. A replica knows the latest incarnation of each gateway and accepts nothing from an earlier
+one, so of two processes of one gateway the later fences off the other.
 """
 
 from collections.abc import Iterable
@@ -12,25 +12,25 @@
 
 from gorsethread.durable_log.records import NO_SEQUENCE, Record, RecordTable, SequenceNumber, batches
 
-BATCH_RECORDS = 256  # records of one message
-BATCH_BYTES = 1 << 18  # and about as many bytes, but one record at least
-REPLICATION_TIMEOUT = 1.0  # seconds within which enough replicas must have a record, else it fails
-MIN_RECONNECT_DELAY = 0.2  # seconds from a lost connection to a replica to the next attempt; doubles
+MAX_BATCH_RECORDS = 256  # records of one message
+MAX_BATCH_BYTES = 1 << 18  # of one message, estimated; a larger record is sent alone
+REPLICATION_TIMEOUT = 1.0  # seconds until a record that too few replicas have counts as not durable
+MIN_RECONNECT_DELAY = 0.2  # seconds from a lost connection to the next attempt; doubles with each failure
 MAX_RECONNECT_DELAY = 3.0  # seconds
-CATCH_UP_PAUSE = 0.02  # seconds between batches of older records, so that live work goes first
-ALL_SEQUENCES: SequenceNumber = (1 << 62, 0)  # higher than any that is given
+CATCH_UP_PAUSE = 0.02  # seconds between batches of older records, so that new requests go first
+ALL_SEQUENCES: SequenceNumber = (1 << 62, 0)  # higher than any number that is used
 
 
 @dataclass
 class ReplicaState:
-    """One replica, as the sender knows it.
+    """What the sender knows of one replica.
 
     Attributes:
-        confirmed: Up to this number it has all that holds; None while it is not connected.
-        sent: Up to this number all has been sent to it.
-        in_flight: A batch is on its way.
-        resend_all: The next batch replaces everything that it has.
-        behind: The last batch was not all there was.
+        confirmed: The number up to which it has all current records; None while it is not connected.
+        sent: The number up to which all current records were sent to it.
+        in_flight: A batch was sent and not confirmed yet.
+        resend_all: The next batch replaces all of its records.
+        behind: More records were left after the last batch.
     """
 
     confirmed: SequenceNumber | None = None
@@ -45,10 +45,10 @@
     """Records for a replica.
 
     Attributes:
-        replaces_all: What the replica has is void.
-        records: In order.
-        last: With this batch the replica has all that holds up to this number.
-        more: More follows.
+        replaces_all: The records replace all that the replica has.
+        records: The records, in order.
+        last: The number up to which the replica has all current records after this batch.
+        more: More batches follow.
     """
 
     replaces_all: bool
@@ -58,21 +58,21 @@
 
 
 class ReplicationSender:
-    """The owner's side; required: how many replicas must have a record.
+    """The side of the log's owner; required: how many replicas must have a record.
 
-    Its table of replicas has those that choose() was given last, and former ones until the present ones have
-    as much.
+    Its table has the replicas that the last call of set_replicas() named, and former ones until all of these
+    have as many records.
     """
 
     def __init__(self, required: int) -> None:
         self.required = required
         self.replicas: dict[int, ReplicaState] = {}
-        self.fenced = False  # others know a later incarnation of this gateway
+        self.fenced = False  # another gateway knows a later incarnation of this one
 
-    def choose(self, gateways: Iterable[int]) -> tuple[list[int], list[int]]:
-        """Set the replicas; return the added and the removed.
+    def set_replicas(self, gateways: Iterable[int]) -> tuple[list[int], list[int]]:
+        """Set the gateways that hold replicas; return the added and the removed ones.
 
-        None is removed before all that were chosen have as much as it has.
+        A former replica is removed only once all chosen ones have as many records.
         """
         chosen = list(gateways)
         added = [gateway for gateway in chosen if gateway not in self.replicas]
@@ -95,8 +95,8 @@
 
         Args:
             gateway: The replica.
-            last: Up to this number it has this gateway's records.
-            removals_dropped: Removals up to this number can't be sent any more.
+            last: The number up to which it has this gateway's records.
+            removals_dropped: The number up to which removals can't be sent any more.
         """
         replica = self.replicas.get(gateway)
         if replica is None:
@@ -107,19 +107,19 @@
         replica.resend_all = last < removals_dropped
 
     def disconnected(self, gateway: int) -> None:
-        """Note that the connection to a replica ended; it keeps what it has."""
+        """Note that the connection to a replica ended; the replica keeps its records."""
         replica = self.replicas.get(gateway)
         if replica is not None:
             replica.confirmed = None
             replica.in_flight = False
 
     def next_batch(self, gateway: int, table: RecordTable, last: SequenceNumber) -> ReplicationBatch | None:
-        """Return what goes to a replica next; None: nothing now.
+        """Return the next batch for a replica; None where nothing is to be sent now.
 
         Args:
             gateway: The replica.
-            table: All records that hold.
-            last: Up to this number the table is complete.
+            table: The current records.
+            last: The number up to which the table is complete.
         """
         replica = self.replicas.get(gateway)
         if replica is None or replica.confirmed is None or replica.in_flight:
@@ -129,7 +129,7 @@
         if replica.resend_all:
             replica.sent = NO_SEQUENCE
         later = [record for record in table.later_than(replica.sent) if record.number <= last]
-        records = next(batches(later, BATCH_RECORDS, BATCH_BYTES), [])
+        records = next(batches(later, MAX_BATCH_RECORDS, MAX_BATCH_BYTES), [])
         more = len(later) > len(records)
         batch = ReplicationBatch(replica.resend_all, records, records[-1].number if more else last, more)
         replica.sent = batch.last
@@ -139,7 +139,7 @@
         return batch
 
     def confirmed(self, gateway: int, last: SequenceNumber) -> bool:
-        """Note that a replica has all up to this number on its disk; return whether it is still behind."""
+        """Note that a replica stored all records up to this number; return whether it is still behind."""
         replica = self.replicas.get(gateway)
         if replica is None or replica.confirmed is None:
             return False
@@ -148,35 +148,35 @@
         return replica.behind
 
     def resend_all(self) -> None:
-        """Send everything again: the table got records that are older than what replicas have."""
+        """Send everything again, as the table got records older than those that replicas have."""
         for replica in self.replicas.values():
             replica.resend_all = replica.confirmed is not None
 
     @property
     def replicated(self) -> SequenceNumber:
-        """Up to this number enough replicas have everything; without any required, all."""
+        """The number up to which enough replicas have all records; ALL_SEQUENCES where none is required."""
         if self.required == 0:
             return ALL_SEQUENCES
-        known = [replica.confirmed for replica in self.replicas.values() if replica.confirmed is not None]
-        if len(known) < self.required:
+        confirmed = [replica.confirmed for replica in self.replicas.values() if replica.confirmed is not None]
+        if len(confirmed) < self.required:
             return NO_SEQUENCE
-        return sorted(known, reverse=True)[self.required - 1]
+        return sorted(confirmed, reverse=True)[self.required - 1]
 
     @property
     def has_quorum(self) -> bool:
-        """As many replicas as are required are connected."""
+        """Whether as many replicas as required are connected."""
         connected = sum(replica.confirmed is not None for replica in self.replicas.values())
         return connected >= self.required
 
 
 class IncarnationFence:
-    """The replica's side: the latest incarnation of each gateway, as many as there are gateways."""
+    """The replica's side: the latest known incarnation of each gateway; one entry per gateway."""
 
     def __init__(self) -> None:
         self.latest: dict[int, int] = {}
 
-    def greet(self, origin: int, incarnation: int) -> int:
-        """Return the latest known incarnation of a gateway, this one included; a later one fences it off."""
+    def note_incarnation(self, origin: int, incarnation: int) -> int:
+        """Note an incarnation of a gateway; return the latest known one, which fences off earlier ones."""
         self.latest[origin] = max(incarnation, self.latest.get(origin, 0))
         return self.latest[origin]
 
--- a/gorsethread/durable_log/replication_messages.py
+++ b/gorsethread/durable_log/replication_messages.py
@@ -1,7 +1,7 @@
-"""Messages between gateways about logs, as bytes of a stream: a length, then one message.
+"""Messages between gateways about logs, each sent on a stream as a length and the encoded message.
 
-The owner of a log calls, the gateway that holds its replica answers. Messages are bounded; a stream with
-bytes that can't be read is ended. Tags and order of fields are the protocol.
+The owner of a log connects, and the gateway that holds its replica answers. Messages are bounded; a stream
+with bytes that can't be decoded is closed. The tags and the order of the fields are the protocol.
 """
 
 import struct
@@ -14,17 +14,17 @@
 from gorsethread.errors import GorsethreadError
 
 LENGTH = struct.Struct("<I")
-MAX_MESSAGE = 3 << 20  # bytes; a branch's write has 1 MiB of data at most
+MAX_MESSAGE = 3 << 20  # bytes; a branch's write has up to 1 MiB of data
 
 
 class ProtocolError(GorsethreadError):
-    """Bytes between gateways that are no message of this program."""
+    """Received bytes are not a valid message between gateways."""
 
-    action = "See that what listens at the peers' addresses are gateways of this site, all of one version."
+    action = "Check that only gateways of this site, all of one version, listen at the peers' addresses."
 
 
 class Hello(msgspec.Struct, frozen=True, tag="hello", array_like=True):
-    """From the owner, first; fleet: of its site; incarnation 0: it only asks."""
+    """The owner's first message; fleet: its site's number; incarnation 0: it only asks for records."""
 
     fleet: int
     gateway: int
@@ -32,20 +32,20 @@
 
 
 class HelloReply(msgspec.Struct, frozen=True, tag="have", array_like=True):
-    """The latest incarnation of the owner that the replica knows, and up to where it has all that holds."""
+    """The latest incarnation of the owner known to the replica, and the number up to which it is complete."""
 
     incarnation: int
     last: SequenceNumber
 
 
 class FetchRecords(msgspec.Struct, frozen=True, tag="fetch", array_like=True):
-    """From the owner: give back what is later than this number."""
+    """The owner requests its records that are later than this number."""
 
     after: SequenceNumber
 
 
 class FetchedRecords(msgspec.Struct, frozen=True, tag="give", array_like=True):
-    """Records back to the owner; more: others follow."""
+    """Records returned to the owner; more: another such message follows."""
 
     entries: list[LogEntry]
     more: bool
@@ -55,11 +55,11 @@
     """Records for the replica.
 
     Attributes:
-        incarnation: Of the owner.
-        replaces_all: In place of all that the replica has.
+        incarnation: The owner's incarnation.
+        replaces_all: The records replace all that the replica has.
         entries: The records.
-        last: With these the replica has all that holds up to this number.
-        more: More follows.
+        last: The number up to which the replica has all current records after this message.
+        more: Another such message follows.
     """
 
     incarnation: int
@@ -70,19 +70,19 @@
 
 
 class RecordsStored(msgspec.Struct, frozen=True, tag="holds", array_like=True):
-    """Everything up to this number is on the replica's disk."""
+    """All records up to this number are on the replica's disk."""
 
     last: SequenceNumber
 
 
 class IncarnationFenced(msgspec.Struct, frozen=True, tag="over", array_like=True):
-    """Nothing is accepted from the owner's incarnation: this later one is known."""
+    """The owner's incarnation is rejected, as the replica knows this later one."""
 
     incarnation: int
 
 
 class StoreFailed(msgspec.Struct, frozen=True, tag="failed", array_like=True):
-    """The replica's disk did not take the records."""
+    """The replica's disk failed to write the records."""
 
 
 Message = (
@@ -100,13 +100,13 @@
 
 
 def encode(message: msgspec.Struct) -> bytes:
-    """Return a message as bytes of a stream."""
+    """Return the bytes that are sent for a message."""
     payload = _ENCODER.encode(message)
     return LENGTH.pack(len(payload)) + payload
 
 
 def to_entries(records: list[Record]) -> list[LogEntry]:
-    """Return records as they are in messages."""
+    """Return records in the form that messages have."""
     return [LogEntry(*record.number, record.fact) for record in records]
 
 
@@ -116,9 +116,9 @@
 
 
 class MessageReader:
-    """Turns bytes as they come into messages; buffers one incomplete message at most.
+    """Decodes messages from the bytes of a stream; buffers at most one incomplete message.
 
-    The decoder is of all messages that may come.
+    The decoder must know all messages that may arrive.
     """
 
     def __init__(self, decoder: msgspec.msgpack.Decoder[Any] = DECODER) -> None:
@@ -126,17 +126,17 @@
         self._decoder = decoder
 
     def feed(self, data: bytes) -> list[Any]:
-        """Return the messages that are complete now.
+        """Add received bytes and return the messages that they complete.
 
         Raises:
-            ProtocolError: The bytes are no message, or too long a one.
+            ProtocolError: The bytes are not a message, or the message is too long.
         """
         self._buffer += data
         messages: list[Any] = []
         while len(self._buffer) >= LENGTH.size:
             length = LENGTH.unpack_from(self._buffer)[0]
             if length > MAX_MESSAGE:
-                raise ProtocolError(f"a message of {length} bytes")
+                raise ProtocolError(f"message of {length} bytes exceeds {MAX_MESSAGE} bytes")
             end = LENGTH.size + length
             if len(self._buffer) < end:
                 break
--- a/gorsethread/durable_log/segment_files.py
+++ b/gorsethread/durable_log/segment_files.py
@@ -1,4 +1,4 @@
-"""The segments of one folder as files: written, appended to, removed, read."""
+"""Reads, writes, appends to and removes the segment files of one folder."""
 
 from typing import NamedTuple
 
@@ -13,9 +13,10 @@
 )
 from gorsethread.transport.base import Transport
 
-ENCODED_AT_ONCE = 2000  # records encoded in one go, so that a large table holds up no gateway
-ENCODED_AT_ONCE_BYTES = 1 << 21
-SEGMENTS_KEPT = 2  # the newest, and the one before in case the newest is damaged
+# Limits of the records encoded without a pause, so that a large table does not block the gateway.
+MAX_ENCODED_AT_ONCE = 2000
+MAX_ENCODED_AT_ONCE_BYTES = 1 << 21
+SEGMENTS_KEPT = 2  # the newest, and the one before it in case the newest is damaged
 
 
 class WrittenSegment(NamedTuple):
@@ -35,14 +36,14 @@
 async def write_segment(
     transport: Transport, folder: str, header: SegmentHeader, snapshot: list[Record]
 ) -> WrittenSegment:
-    """Write a new segment and flush it; other work runs while it is encoded.
+    """Write a new segment and flush it; other tasks run between the batches that are encoded.
 
     Raises:
-        OSError: The disk did not take it.
+        OSError: The disk failed to write it.
     """
     seed = checksum_seed(header.fleet, header.gateway, header.incarnation, header.segment)
     parts = [encode_segment(header, [])]
-    for batch in batches(snapshot, ENCODED_AT_ONCE, ENCODED_AT_ONCE_BYTES):
+    for batch in batches(snapshot, MAX_ENCODED_AT_ONCE, MAX_ENCODED_AT_ONCE_BYTES):
         parts.append(encode_records(batch, seed))
         await transport.sleep(0.0)
     data = b"".join(parts)
@@ -52,21 +53,21 @@
 
 
 class ActiveSegment:
-    """The segment that later records go to: its open file, checksum seed and size."""
+    """The segment that records are appended to: its open file, checksum seed and size."""
 
     def __init__(self, transport: Transport, segment: WrittenSegment) -> None:
-        """Open the file of a written segment; OSError where that fails."""
+        """Open the file of a written segment; raises OSError where that fails."""
         self._journal = transport.journal(segment.path)
         self._seed = segment.seed
         self.size = segment.size  # bytes
-        self.initial_size = segment.size  # bytes; compaction is due by how much it has grown since
+        self.initial_size = segment.size  # bytes; the growth since then decides when compaction is due
 
     def encode(self, records: list[Record]) -> bytes:
-        """Return the bytes of records as they are in this segment."""
+        """Return the frames of records for this segment."""
         return encode_records(records, self._seed)
 
     async def append(self, data: bytes) -> None:
-        """Write and flush what encode() returned; OSError where the disk does not take it."""
+        """Write and flush what encode() returned; raises OSError where that fails."""
         await self._journal.add(data)
         self.size += len(data)
 
@@ -76,7 +77,7 @@
 
 
 def remove_old_segments(transport: Transport, folder: str) -> None:
-    """Remove all but the newest segments."""
+    """Remove all but the SEGMENTS_KEPT newest segments."""
     identified = [(parse_segment_file_name(name), name) for name in transport.names(folder)]
     ordered = sorted((segment_id, name) for segment_id, name in identified if segment_id is not None)
     for _, name in ordered[:-SEGMENTS_KEPT]:
@@ -84,24 +85,24 @@
 
 
 def load_segments(transport: Transport, folder: str) -> dict[str, bytes]:
-    """Return the segments of a folder by their file names."""
-    found: dict[str, bytes] = {}
+    """Return the bytes of the segments of a folder by their file names."""
+    segments: dict[str, bytes] = {}
     for name in transport.names(folder):
         if parse_segment_file_name(name) is None:
             continue
         data = transport.load(f"{folder}/{name}")
         if data is not None:
-            found[name] = data
-    return found
+            segments[name] = data
+    return segments
 
 
 def load_misplaced_records(transport: Transport, folder: str, fleet: int, gateway: int) -> RecordTable:
-    """Read a gateway's records from a folder that is not where they are kept.
+    """Read a gateway's records from a folder where they are not normally kept.
 
-    After an exchange of disks a gateway's own records, or replicas of them, are in another's folder.
+    After disks were exchanged, a gateway's own records, or replicas of them, are in another gateway's folder.
 
     Returns:
-        An empty table where they can't be read.
+        The records; an empty table where they can't be read.
     """
     try:
         return recover(load_segments(transport, folder), fleet, gateway).table
--- a/gorsethread/durable_log/segments.py
+++ b/gorsethread/durable_log/segments.py
@@ -1,8 +1,10 @@
-"""Records as bytes: a segment has a header, a snapshot of all that held as it was started, and later records.
+"""The stored format of records.
 
-A frame is mark, length, checksum, payload. The checksum also covers to whom the segment belongs, so a frame
-of another gateway's or another segment's, left where a disk put it, is not accepted. Frames behind corrupt
-bytes are found again by their mark. A later format version is refused as a whole.
+A segment has a header, a snapshot of the records that were current when it was started, and later records.
+A frame has a mark, a length, a checksum and a payload. The checksum also covers which fleet, gateway,
+incarnation and segment the frame belongs to, so a frame of another gateway or segment that a disk wrote to
+the wrong place is not accepted. Frames after corrupt bytes are found by their mark. A segment of another
+format version is refused as a whole.
 """
 
 import struct
@@ -17,29 +19,29 @@
 VERSION = 1
 MARK = b"\xa7\x5e"
 FRAME_HEADER = struct.Struct("<2sII")  # mark, bytes of payload, checksum
-MAX_PAYLOAD = 2 << 20  # bytes; most records have some tens, a branch's write has 1 MiB of data at most
+MAX_PAYLOAD = 2 << 20  # bytes; most records have a few tens of bytes, a branch's write up to 1 MiB of data
 
 
 class UnusableSegmentError(GorsethreadError):
-    """A segment that this program must not touch; the text gives the reason."""
+    """A segment that this program must not read or change; the text gives the reason."""
 
     action = "Give the gateway its own folder, or run the version of the program that wrote this one."
 
 
 class SegmentHeader(msgspec.Struct, frozen=True, array_like=True):
-    """The first frame of a segment; the order of the fields is the stored format.
+    """The first frame of a segment; the order of its fields is part of the stored format.
 
     Attributes:
         version: Format version; stays the first field in all versions.
         fleet: Number of the fleet (site).
-        gateway: Whose records these are.
-        incarnation: Of the gateway, when the segment was started.
+        gateway: Number of the gateway that the records belong to.
+        incarnation: The gateway's incarnation when the segment was started.
         segment: Number of the segment in this incarnation.
-        position: The last that the incarnation had given when the segment was started.
-        snapshot_records: Number of frames that follow with what held then.
-        is_replica: Kept for another gateway, which sends only what still holds, so numbers are not
-            contiguous.
-        incomplete: The snapshot is known to lack something that the gateway once had.
+        position: The last position used in this incarnation when the segment was started.
+        snapshot_records: Number of frames of the snapshot, which follow the header.
+        is_replica: The segment is kept for another gateway, which sends only current records, so the
+            numbers of its records are not contiguous.
+        incomplete: The snapshot is known to lack records that the gateway once had.
     """
 
     version: int
@@ -54,7 +56,7 @@
 
     @property
     def last(self) -> SequenceNumber:
-        """The highest number that the snapshot may have."""
+        """The highest number that a record of the snapshot can have."""
         return self.incarnation, self.position
 
 
@@ -71,7 +73,7 @@
 
 
 def checksum_seed(fleet: int, gateway: int, incarnation: int, segment: int) -> int:
-    """Return the seed that binds frames to their segment."""
+    """Return the initial checksum of frames, which binds them to their segment."""
     return int(google_crc32c.value(struct.pack("<QQQQ", fleet, gateway, incarnation, segment)))
 
 
@@ -90,21 +92,21 @@
 
 
 def encode_record(record: Record, seed: int) -> bytes:
-    """Return the frame of a record; seed: see checksum_seed()."""
+    """Return the frame of a record; checksum_seed() returns the seed."""
     return _frame(_ENCODER.encode(LogEntry(*record.number, record.fact)), seed)
 
 
 @dataclass
 class Segment:
-    """What can be read of a segment.
+    """What could be read of a segment.
 
     Attributes:
         header: The first frame.
-        records: All that could be read, in the order of the file.
-        torn_bytes: Bytes at the end that are no complete frame, as a killed process leaves them.
-        corrupt_ranges: Offsets (from, to) of unreadable bytes with good frames behind them.
-        missing_records: How many records of the snapshot are not there.
-        sequence_gaps: Later numbers that are not there, first and last of each gap.
+        records: The records that could be read, in the order of the file.
+        torn_bytes: Bytes after the last valid frame, such as the partial frame of a killed process.
+        corrupt_ranges: Offsets (from, to) of unreadable bytes that are followed by valid frames.
+        missing_records: Number of records that are missing from the snapshot.
+        sequence_gaps: The first and last number of each gap in the numbers after the snapshot.
     """
 
     header: SegmentHeader
@@ -116,7 +118,7 @@
 
     @property
     def complete(self) -> bool:
-        """Nothing is known to be lost; a torn end is no loss."""
+        """No record is known to be lost; a torn end is not a loss."""
         return not (self.corrupt_ranges or self.missing_records or self.sequence_gaps)
 
 
@@ -124,10 +126,10 @@
     """Read the bytes of a segment.
 
     Returns:
-        None where the header can't be read, so that nothing of it can be trusted.
+        The segment; None where its header can't be read, so that none of its bytes can be trusted.
 
     Raises:
-        UnusableSegmentError: A later version wrote it.
+        UnusableSegmentError: The segment has another format version.
     """
     first = _payload_at(data, 0, 0)
     header = _decode_header(first) if first is not None else None
@@ -140,7 +142,7 @@
 
 
 def _payload_at(data: bytes, offset: int, seed: int) -> bytes | None:
-    """Return the payload of the frame at this offset; None where there is no good one."""
+    """Return the payload of the frame at this offset; None where there is no valid frame."""
     if len(data) - offset < FRAME_HEADER.size:
         return None
     mark, length, checksum = FRAME_HEADER.unpack_from(data, offset)
@@ -170,7 +172,7 @@
 
 
 def _read_frames(segment: Segment, data: bytes, offset: int) -> None:
-    """Collect all good frames from the offset on, and what lies between them."""
+    """Add the records of the valid frames from the offset on, and the unreadable ranges between them."""
     seed = _header_seed(segment.header)
     unreadable_from: int | None = None
     while 0 <= offset < len(data):
@@ -191,7 +193,7 @@
 
 
 def _find_losses(segment: Segment) -> None:
-    """Count what is missing: records later than the snapshot have contiguous numbers, except in a replica."""
+    """Find missing records: numbers after the snapshot are contiguous, except in a replica."""
     header = segment.header
     snapshot_found = 0
     expected = header.position + 1
--- a/gorsethread/nvme_gateway/replica_server.py
+++ b/gorsethread/nvme_gateway/replica_server.py
@@ -12,9 +12,9 @@
 from gorsethread.durable_log.log_store import LogStore
 from gorsethread.durable_log.records import NO_SEQUENCE, Record, RecordTable, SequenceNumber, batches
 from gorsethread.durable_log.replication import (
-    BATCH_BYTES,
-    BATCH_RECORDS,
     CATCH_UP_PAUSE,
+    MAX_BATCH_BYTES,
+    MAX_BATCH_RECORDS,
     IncarnationFence,
 )
 from gorsethread.durable_log.replication_messages import ProtocolError
@@ -134,7 +134,7 @@
         store.table.merge(load_misplaced_records(self.transport, misplaced, self.fleet, origin))
         replica = Replica(store, found.complete)
         self.replicas[origin] = replica
-        self.fence.greet(origin, found.newest.incarnation)
+        self.fence.note_incarnation(origin, found.newest.incarnation)
         self.on_records_stored(origin, store.table.in_order(), True, store.table.last)
         return replica
 
@@ -195,7 +195,7 @@
 
     def _greeted(self, session: _Session, incarnation: int) -> None:
         replica = self.replica_of(session.origin)
-        latest = self.fence.greet(session.origin, incarnation)
+        latest = self.fence.note_incarnation(session.origin, incarnation)
         if incarnation >= latest:
             replica.stream = session.stream
         if 0 < incarnation < latest:
@@ -206,7 +206,7 @@
 
     async def _on_fetch(self, session: _Session, message: replication_messages.FetchRecords) -> None:
         later = self.replica_of(session.origin).store.table.later_than(message.after)
-        parts = list(batches(later, BATCH_RECORDS, BATCH_BYTES)) or [[]]
+        parts = list(batches(later, MAX_BATCH_RECORDS, MAX_BATCH_BYTES)) or [[]]
         for number, part in enumerate(parts, 1):
             more = number < len(parts)
             session.send(replication_messages.FetchedRecords(replication_messages.to_entries(part), more))
--- a/gorsethread/nvme_gateway/replication_client.py
+++ b/gorsethread/nvme_gateway/replication_client.py
@@ -93,7 +93,7 @@
         topology = self.topology
         living = [gateway for gateway in self.living() if gateway in topology.addresses]
         chosen = choose_replicas(topology.gateway, topology.domains, living, topology.copies)
-        added, removed = self.sender.choose(chosen)
+        added, removed = self.sender.set_replicas(chosen)
         for gateway in removed:
             stream = self._streams.get(gateway)
             if stream is not None:
--- a/tests/durable_log/test_records.py
+++ b/tests/durable_log/test_records.py
@@ -215,7 +215,7 @@
         self.assertEqual(SLOW_AFTER, disk.retry_after(SLOW_AFTER + 0.1, 0))
         disk.commit_ended(2.0)
         self.assertEqual(
-            (0.0, DiskState.HEALTHY, 2.0), (disk.retry_after(2.0, 0), disk.state(2.0), disk.longest)
+            (0.0, DiskState.HEALTHY, 2.0), (disk.retry_after(2.0, 0), disk.state(2.0), disk.longest_commit)
         )
         self.assertGreater(disk.retry_after(2.0, MAX_PENDING), 0.0)
 
--- a/tests/recovery/test_stages.py
+++ b/tests/recovery/test_stages.py
@@ -10,7 +10,7 @@
 
 from gorsethread.durable_log.records import NO_SEQUENCE, ExtentPlaced, ExtentReleased, Record, RecordTable
 from gorsethread.durable_log.replica_placement import FailureDomain, choose_replicas
-from gorsethread.durable_log.replication import BATCH_RECORDS, IncarnationFence, ReplicationSender
+from gorsethread.durable_log.replication import MAX_BATCH_RECORDS, IncarnationFence, ReplicationSender
 from gorsethread.recovery.stages import POLLING_TIMEOUT, TRUST_AFTER, OwnRecords, RecoveryStages, Stage
 
 OTHERS = frozenset({1, 2, 3})
@@ -261,7 +261,7 @@
     def setUp(self) -> None:
         self.table = RecordTable()
         self.sender = ReplicationSender(1)
-        self.sender.choose([1, 2])
+        self.sender.set_replicas([1, 2])
 
     def placed(self, place: int, life: int = 1) -> Any:
         self.table.apply(Record((life, place), ExtentPlaced(1, place, 0)))
@@ -280,7 +280,7 @@
         self.assertEqual(last, self.sender.replicated)
 
     def test_one_that_was_away_hears_what_is_later_and_one_too_far_behind_all(self) -> None:
-        for place in range(1, 3 * BATCH_RECORDS):
+        for place in range(1, 3 * MAX_BATCH_RECORDS):
             last = self.placed(place)
         self.sender.connected(1, (1, 10), NO_SEQUENCE)
         got: list[Record] = []
@@ -289,7 +289,7 @@
             assert piece is not None
             got += piece.records
             self.sender.confirmed(1, piece.last)
-        self.assertEqual(3 * BATCH_RECORDS - 11, len(got))
+        self.assertEqual(3 * MAX_BATCH_RECORDS - 11, len(got))
         self.assertIsNone(self.sender.next_batch(1, self.table, last))
         self.sender.connected(2, (1, 10), (1, 11))
         piece = self.sender.next_batch(2, self.table, last)
@@ -300,11 +300,11 @@
         last = self.placed(1)
         for n in (1, 2):
             self.sender.connected(n, last, NO_SEQUENCE)
-        self.assertEqual(([3], []), self.sender.choose([2, 3]))
+        self.assertEqual(([3], []), self.sender.set_replicas([2, 3]))
         self.sender.connected(3, NO_SEQUENCE, NO_SEQUENCE)
-        self.assertEqual(([], []), self.sender.choose([2, 3]))
+        self.assertEqual(([], []), self.sender.set_replicas([2, 3]))
         self.sender.confirmed(3, last)
-        self.assertEqual(([], [1]), self.sender.choose([2, 3]))
+        self.assertEqual(([], [1]), self.sender.set_replicas([2, 3]))
 
     def test_none_needed_holds_at_once(self) -> None:
         self.assertGreater(ReplicationSender(0).replicated, (10**15, 0))
@@ -312,17 +312,17 @@
 
     def test_an_earlier_life_is_shut_out(self) -> None:
         keeping = IncarnationFence()
-        self.assertEqual(5, keeping.greet(3, 5))
-        self.assertEqual(5, keeping.greet(3, 4))
+        self.assertEqual(5, keeping.note_incarnation(3, 5))
+        self.assertEqual(5, keeping.note_incarnation(3, 4))
         self.assertFalse(keeping.accepts(3, 4))
         self.assertTrue(keeping.accepts(3, 5))
-        self.assertEqual(5, keeping.greet(3, 0), "who only asks")
+        self.assertEqual(5, keeping.note_incarnation(3, 0), "who only asks")
 
     @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 6)), max_size=60), st.randoms())
     def test_a_holder_has_what_the_owner_says_it_has(self, steps: list[tuple[int, int]], chance: Any) -> None:
         """Records, losses of the way, compaction in any order: what a holder is known to have it can give."""
         table, sender, place, forgot = RecordTable(), ReplicationSender(1), 0, NO_SEQUENCE
-        sender.choose([1])
+        sender.set_replicas([1])
         holder, reached = RecordTable(), NO_SEQUENCE
         out: Any = None
         for what, extent in steps:
