--- a/gorsethread/durable_log/compaction.py
+++ b/gorsethread/durable_log/compaction.py
@@ -5,7 +5,6 @@
 
 # A segment is due once it has grown by this, or by its initial size if that is more.
 COMPACT_AFTER_BYTES = 1 << 20
-# growth of a segment until it is due, or twice its initial size if that is more
 
 
 def is_due(segment: ActiveSegment) -> bool:
--- a/gorsethread/durable_log/replication.py
+++ b/gorsethread/durable_log/replication.py
@@ -17,7 +17,7 @@
 REPLICATION_TIMEOUT = 1.0  # seconds until a record that too few replicas have counts as not durable
 MIN_RECONNECT_DELAY = 0.2  # seconds from a lost connection to the next attempt; doubles with each failure
 MAX_RECONNECT_DELAY = 3.0  # seconds
-CATCH_UP_PAUSE = 0.02  # seconds between batches of older records, so that new requests go first
+CATCH_UP_PAUSE = 0.02  # seconds between batches of older records, so that current requests go first
 ALL_SEQUENCES: SequenceNumber = (1 << 62, 0)  # higher than any number that is used
 
 
--- a/gorsethread/nvme_gateway/__init__.py
+++ b/gorsethread/nvme_gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway of a site file over NVMe/TCP: its durable and offline parts; the rest is in head/ still."""
+"""The durable and offline parts of the NVMe/TCP gateway; its other parts are in gorsethread/head/."""
--- a/gorsethread/nvme_gateway/log_folders.py
+++ b/gorsethread/nvme_gateway/log_folders.py
@@ -1,11 +1,11 @@
-"""Where a gateway's log and its replicas of others' logs are, below the folder that it was given."""
+"""The folders of a gateway's log and of its replicas of other logs, below the folder for its records."""
 
 
 def own_log_folder(folder: str, gateway: int) -> str:
     """Return the folder of a gateway's own log.
 
-    It has the gateway's number, so that of two gateways whose folders were exchanged neither takes the
-    other's.
+    The name has the gateway's number, so that two gateways whose folders were exchanged do not use each
+    other's log.
     """
     return f"{folder}/own-{gateway}"
 
--- a/gorsethread/nvme_gateway/recovery_client.py
+++ b/gorsethread/nvme_gateway/recovery_client.py
@@ -1,4 +1,4 @@
-"""Polls the other gateways for this gateway's records after a start, and fetches what it lacks."""
+"""Polls the other gateways for this gateway's records after a start, and fetches those that it lacks."""
 
 from collections.abc import Callable
 from typing import Any
@@ -12,13 +12,14 @@
 from gorsethread.recovery.stages import RecoveryStages, Stage
 from gorsethread.transport.base import Stream, StreamClosed, Transport, Unreachable
 
-POLL_ONLY = 0  # the incarnation of a greeting that only asks
+POLL_ONLY = 0  # the incarnation in a Hello that only asks for records
 
 
 class RecoveryClient:
-    """The polls of one recovery; its tables are those of the recovery's stages.
+    """Polls the other gateways during one recovery; the state is in the recovery's stages.
 
-    on_records hears what one gateway held beyond the own records, once all of it has come.
+    on_records is called with a gateway's number and the records it held beyond this gateway's own, once all
+    of them have arrived. living returns the gateways that are not considered dead.
     """
 
     def __init__(
@@ -39,59 +40,59 @@
         self.stopped = False
 
     async def poll_all(self) -> None:
-        """Poll until nothing is awaited any more, those first who most likely hold the records."""
+        """Poll the gateways, the likeliest holders of replicas first, until no answer is awaited."""
         topology = self.topology
         candidates = topology.addresses
-        likely = choose_replicas(topology.gateway, topology.domains, candidates, len(candidates))
-        order = PollOrder(likely, len(topology.domains))
+        likeliest_first = choose_replicas(topology.gateway, topology.domains, candidates, len(candidates))
+        order = PollOrder(likeliest_first, len(topology.domains))
         while not self.stopped:
-            other = order.take_next()
-            if other is None:
+            peer = order.take_next()
+            if peer is None:
                 return
-            if other in self.stages.awaited():
-                self.transport.spawn(self._poll(other, order))
+            if peer in self.stages.awaited():
+                self.transport.spawn(self._poll(peer, order))
             await self.transport.sleep(order.interval)
             while not order.waiting and self.stages.awaited() and not self.stopped:
                 await self.transport.sleep(MIN_RECONNECT_DELAY)  # polls in progress may still fail
 
-    async def _poll(self, other: int, order: PollOrder) -> None:
+    async def _poll(self, peer: int, order: PollOrder) -> None:
         started = self.transport.now()
-        if self.stages.stage is not Stage.POLLING and other not in self.living():
-            await self.transport.sleep(MAX_RECONNECT_DELAY)  # it hardly answers
+        if self.stages.stage is not Stage.POLLING and peer not in self.living():
+            await self.transport.sleep(MAX_RECONNECT_DELAY)  # it is unlikely to answer
         try:
-            await self._poll_once(other)
+            await self._poll_once(peer)
         except (Unreachable, StreamClosed, replication_messages.ProtocolError) as error:
-            self.log.debug("a gateway could not be polled", other=other, reason=str(error))
-        order.on_ended(other, other not in self.stages.awaited(), self.transport.now() - started)
+            self.log.debug("a gateway could not be polled", other=peer, reason=str(error))
+        order.on_poll_ended(peer, peer not in self.stages.awaited(), self.transport.now() - started)
 
-    async def _poll_once(self, other: int) -> None:
-        stream = await self.transport.connect(*self.topology.addresses[other], CONNECT_TIMEOUT)
-        exchange = _Exchange(self, other, stream)
+    async def _poll_once(self, peer: int) -> None:
+        stream = await self.transport.connect(*self.topology.addresses[peer], CONNECT_TIMEOUT)
+        poll = _Poll(self, peer, stream)
         reader = replication_messages.MessageReader()
         try:
-            exchange.greet()
-            while not exchange.ended:
+            poll.send_hello()
+            while not poll.ended:
                 for message in reader.feed(await stream.read()):
-                    exchange.on_message(message)
-                    if exchange.ended:
+                    poll.on_message(message)
+                    if poll.ended:
                         break
         finally:
-            exchange.timeout.cancel()
+            poll.timeout.cancel()
             stream.close()
 
 
-class _Exchange:
-    """What one gateway says on one stream; ends itself by closing the stream after ANSWER_TIMEOUT."""
+class _Poll:
+    """One poll of a gateway: its stream, which is closed after ANSWER_TIMEOUT without an answer."""
 
-    def __init__(self, client: RecoveryClient, other: int, stream: Stream) -> None:
+    def __init__(self, client: RecoveryClient, peer: int, stream: Stream) -> None:
         self.client = client
-        self.other = other
+        self.peer = peer
         self.stream = stream
         self.ended = False
-        self._received = RecordTable()  # bounded as the table of the gateway that sends it
+        self._received = RecordTable()  # as bounded as the table of the gateway that sends the records
         self.timeout = client.transport.at(client.transport.now() + ANSWER_TIMEOUT, stream.close)
 
-    def greet(self) -> None:
+    def send_hello(self) -> None:
         topology = self.client.topology
         self._send(replication_messages.Hello(topology.fleet, topology.gateway, POLL_ONLY))
 
@@ -99,7 +100,7 @@
         if isinstance(message, replication_messages.HelloReply):
             stages = self.client.stages
             now = self.client.transport.now()
-            if stages.on_answer(self.other, message.last, message.incarnation, now):
+            if stages.on_answer(self.peer, message.last, message.incarnation, now):
                 self._send(replication_messages.FetchRecords(stages.own_last))
             else:
                 self.ended = True
@@ -113,7 +114,7 @@
         for record in replication_messages.to_records(message.entries):
             self._received.apply(record)
         if not message.more:
-            self.client.on_records(self.other, self._received)
+            self.client.on_records(self.peer, self._received)
             self.ended = True
 
     def _send(self, message: replication_messages.Message) -> None:
--- a/gorsethread/nvme_gateway/replay_execution.py
+++ b/gorsethread/nvme_gateway/replay_execution.py
@@ -1,4 +1,4 @@
-"""Applies one replayed write at the main site, by the gateway's own decisions, as a request like others."""
+"""Executes replayed writes at the main site as requests of the gateway's driver, like those of clients."""
 
 from collections.abc import Callable
 
@@ -21,37 +21,38 @@
 MAX_ATTEMPT = 0x7F
 IDEMPOTENCY_KEY_LIMIT = 1 << 64
 
-Finished = Callable[[ReplayOutcome, float], None]  # with the Retry-After in seconds
-RequestFinished = Callable[[ReplayOutcome, bytes, float], None]  # with the data of a read, the Retry-After
+OnFinished = Callable[[ReplayOutcome, float], None]  # outcome, Retry-After in seconds
+# Outcome, data of a read, Retry-After in seconds.
+OnRequestFinished = Callable[[ReplayOutcome, bytes, float], None]
 
 
 class ReplayRequest:
-    """A replayed write, or the read before it, as a client of the driver; owns its open request."""
+    """A replayed write, or the read that precedes it, as a client of the driver; owns its open request."""
 
-    def __init__(self, finished: RequestFinished, idempotent: bool, driver: Driver) -> None:
-        self._finished = finished
+    def __init__(self, on_finished: OnRequestFinished, idempotent: bool, driver: Driver) -> None:
+        self._on_finished = on_finished
         self._idempotent = idempotent
         self._driver = driver
         self._open: OpenRequest | None = None
 
     def opened(self, request: OpenRequest) -> None:
-        """The driver took it."""
+        """Note the request that the driver admitted."""
         self._open = request
 
     def succeeded(self, _shard: int, data: bytes) -> None:
-        """A backend did it."""
-        self._finished(ReplayOutcome.APPLIED, data, 0.0)
+        """Report that a backend executed the request."""
+        self._on_finished(ReplayOutcome.APPLIED, data, 0.0)
 
     def rejected(self, return_after: float) -> None:
-        """It was rejected with that Retry-After."""
-        self._finished(self._outcome(), b"", return_after)
+        """Report that the request was rejected with this Retry-After in seconds."""
+        self._on_finished(self._outcome(), b"", return_after)
 
     def failed(self) -> None:
-        """It failed."""
-        self._finished(self._outcome(), b"", RETRY_AFTER_FAILURE)
+        """Report that the request failed."""
+        self._on_finished(self._outcome(), b"", RETRY_AFTER_FAILURE)
 
     def _outcome(self) -> ReplayOutcome:
-        """RETRY where none of its attempts may have run, or that does no harm."""
+        """Return RETRY where no attempt may have run, or a second run does no harm; else UNKNOWN."""
         assert self._open is not None
         request = self._driver.scheduler.requests.get(self._open.id)
         may_have_run = request is None or request.ran_at is not None
@@ -59,13 +60,13 @@
 
 
 class ReplayExecutor:
-    """Hands replayed writes to the driver, which owns them while they run.
+    """Passes replayed writes to the driver, which owns them while they run.
 
     Args:
-        transport: Tells the time.
+        transport: The clock.
         site: The site file.
-        driver: Of this gateway.
-        placement: Of extents.
+        driver: This gateway's driver.
+        placement: The shards of extents.
     """
 
     def __init__(self, transport: Transport, site: pb.Site, driver: Driver, placement: Placement) -> None:
@@ -78,43 +79,48 @@
         self._service_tiers = {tier.name: index for index, tier in enumerate(site.plan)}
 
     def has_request_class(self, request_class: int) -> bool:
-        """The site file has a class of that index."""
+        """Return whether the site file has a request class with this index."""
         return 0 <= request_class < len(self._site.profile)
 
     def is_idempotent(self, request_class: int) -> bool:
-        """Writes of that class may be applied twice without harm."""
+        """Return whether writes of this class may be applied twice without harm."""
         return self._site.profile[request_class].effect == pb.REDOABLE
 
     def fits(self, message: ReplayWrite) -> bool:
-        """The write lies within a volume of the site file, and its fields within their ranges."""
+        """Return whether the write is within a volume of the site file and its fields are valid."""
         volume = self._volumes.get(message.volume)
         if volume is None or message.data == b"" or len(message.data) % BLOCK != 0:
             return False
         within_volume = 0 <= message.block <= volume.blocks - len(message.data) // BLOCK
-        known_key = 0 <= message.idempotency_key < IDEMPOTENCY_KEY_LIMIT
-        known_attempt = 0 <= message.attempt <= MAX_ATTEMPT
-        return within_volume and known_key and known_attempt and 0 <= message.hints <= MAX_HINTS
+        valid_key = 0 <= message.idempotency_key < IDEMPOTENCY_KEY_LIMIT
+        valid_attempt = 0 <= message.attempt <= MAX_ATTEMPT
+        return within_volume and valid_key and valid_attempt and 0 <= message.hints <= MAX_HINTS
 
-    def execute(self, message: ReplayWrite, finished: Finished) -> None:
-        """Applies a write; where the branch saw its blocks, only if they still hold that, or the new data.
+    def execute(self, message: ReplayWrite, on_finished: OnFinished) -> None:
+        """Apply a write; a write with a base version is applied only if its blocks have not changed since.
+
+        They count as unchanged if they hold what the branch last saw in them, or already the new data.
 
         Args:
-            message: The write, which fits.
-            finished: Called once, with APPLIED, UNKNOWN, CONFLICT or RETRY.
+            message: A write for which fits() is true.
+            on_finished: Called once, with APPLIED, UNKNOWN, CONFLICT or RETRY.
         """
         if not message.base_version:
-            self._write(message, finished)
+            self._write(message, on_finished)
             return
 
-        def read(outcome: ReplayOutcome, data: bytes, retry_after: float) -> None:
+        def on_read(outcome: ReplayOutcome, data: bytes, retry_after: float) -> None:
             if outcome is not ReplayOutcome.APPLIED:
-                finished(ReplayOutcome.RETRY, retry_after)
+                on_finished(ReplayOutcome.RETRY, retry_after)
                 return
-            found = combined_version(block_digests(data, BLOCK))
-            if found in (message.base_version, combined_version(block_digests(message.data, BLOCK))):
-                self._write(message, finished)
+            current_version = combined_version(block_digests(data, BLOCK))
+            if current_version in (
+                message.base_version,
+                combined_version(block_digests(message.data, BLOCK)),
+            ):
+                self._write(message, on_finished)
             else:
-                finished(ReplayOutcome.CONFLICT, 0.0)
+                on_finished(ReplayOutcome.CONFLICT, 0.0)
 
         volume = self._volumes[message.volume]
         request_class = self._classifier.profile(volume.plan, Opcode.READ, len(message.data), 0)
@@ -128,15 +134,15 @@
             label=0,
         )
         order = Order(command, b"", len(message.data))
-        self._open(message, order, request_class, ReplayRequest(read, True, self._driver))
+        self._open(message, order, request_class, ReplayRequest(on_read, True, self._driver))
 
-    def _write(self, message: ReplayWrite, finished: Finished) -> None:
-        def written(outcome: ReplayOutcome, _data: bytes, retry_after: float) -> None:
-            finished(outcome, retry_after)
+    def _write(self, message: ReplayWrite, on_finished: OnFinished) -> None:
+        def on_written(outcome: ReplayOutcome, _data: bytes, retry_after: float) -> None:
+            on_finished(outcome, retry_after)
 
         order = Order(self._write_command(message), message.data, 0)
         idempotent = self.is_idempotent(message.request_class)
-        request = ReplayRequest(written, idempotent, self._driver)
+        request = ReplayRequest(on_written, idempotent, self._driver)
         self._open(message, order, message.request_class, request)
 
     def _write_command(self, message: ReplayWrite) -> Command:
@@ -152,17 +158,17 @@
 
     def _open(self, message: ReplayWrite, order: Order, request_class: int, request: ReplayRequest) -> None:
         volume = self._volumes[message.volume]
-        known = self._site.profile[request_class]
+        class_settings = self._site.profile[request_class]
         extent = message.block // volume.extent_blocks
         now = self._transport.now()
-        timeout = max(MIN_TIMEOUT, known.cut_off - self._site.rules.answer_slack)
+        timeout = max(MIN_TIMEOUT, class_settings.cut_off - self._site.rules.answer_slack)
         request.opened(
             self._driver.admit(
                 request,
                 order,
                 request_class=request_class,
                 service_tier=self._service_tiers[volume.plan],
-                key=f"{message.volume}/{extent}" if known.in_order else None,
+                key=f"{message.volume}/{extent}" if class_settings.in_order else None,
                 deadline=now + timeout,
                 volume=message.volume,
                 units=float(units_of(len(message.data), self._site.links.unit_bytes)),
--- a/gorsethread/nvme_gateway/replay_receiver.py
+++ b/gorsethread/nvme_gateway/replay_receiver.py
@@ -1,7 +1,7 @@
-"""The main site's side of branches' replay: takes each write once, and answers what became of it.
+"""The main site's side of branches' replay: accepts each write once and reports its outcome.
 
-What is applied, running or unknown is kept by `offline_writes/applied_writes.py`, and in this gateway's
-durable log where it may not run twice.
+`offline_writes/applied_writes.py` keeps track of writes that are applied, running or of unknown outcome.
+Writes that must not run twice are also recorded in this gateway's durable log.
 """
 
 from typing import Any, NamedTuple
@@ -22,22 +22,22 @@
 
 
 class Waiter(NamedTuple):
-    """Who queried or sent a running write, and the send token that the answer carries."""
+    """A stream that waits for the outcome of a running write, and the send token for the reply."""
 
     stream: Stream
     send_token: int
 
 
 class ReplayReceiver:
-    """Owns what is known of branches' writes, and who waits for running ones (emptied as each ends).
+    """Owns the state of branches' writes and the waiters for running ones, which are dropped as each ends.
 
     Args:
-        transport: Tells the time.
+        transport: The clock.
         site: The site file.
         log: This gateway's durable log.
-        driver: Runs the writes.
-        placement: Of extents.
-        logger: For faults.
+        driver: Executes the writes.
+        placement: The shards of extents.
+        logger: Receives errors and warnings.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
                 )
 
     def _known_writes(self) -> AppliedWrites | None:
-        """None while this gateway does not know yet what it had begun."""
+        """Return the state of branches' writes; None until the gateway knows which ones it had begun."""
         if self._log.recovery.stage is not RecoveryStage.COMPLETE or not self._log.store.started:
             return None
         if self._applied_writes is None:
@@ -76,31 +76,31 @@
             self._recover()
         return self._applied_writes
 
-    # ---- Messages
+    # ---- messages
 
     def message_received(self, stream: Stream, message: Any) -> None:
-        """A message of a branch's gateway; ProtocolError where none sends it."""
+        """Handle a message of a branch's gateway; raises ProtocolError where the sender is not one."""
         if isinstance(message, messages.Heartbeat):
             stream.write(encode(messages.HeartbeatReply(message.count)))
             return
-        known = self._known_writes()
+        writes = self._known_writes()
         if isinstance(message, messages.ReplayProgress):
             self._check_gateway(message.gateway)
-            if known is not None:
-                self._progress_received(known, message)
+            if writes is not None:
+                self._progress_received(writes, message)
         elif isinstance(message, messages.StatusQuery | messages.ReplayWrite):
             self._check_gateway(message.number[0])
-            if not self._fits_site(message) or known is None:
+            if not self._fits_site(message) or writes is None:
                 number = WriteNumber(*message.number)
                 self._reply(stream, number, ReplayOutcome.RETRY, retry_after=RETRY_AFTER_RECOVERY)
             elif isinstance(message, messages.StatusQuery):
-                self._query_received(stream, known, message)
+                self._query_received(stream, writes, message)
             else:
-                self._write_received(stream, known, message)
+                self._write_received(stream, writes, message)
 
     def _check_gateway(self, gateway: int) -> None:
         if gateway not in self._branch_gateways:
-            raise ProtocolError(f"gateway {gateway} is of no branch")
+            raise ProtocolError(f"gateway {gateway} does not belong to a branch")
 
     def _fits_site(self, message: messages.StatusQuery | messages.ReplayWrite) -> bool:
         fits = self._executor.has_request_class(message.request_class)
@@ -108,48 +108,50 @@
             fits = self._executor.fits(message)
         if not fits:
             self._logger.error(
-                "a branch's write fits nothing in this gateway's site file",
+                "a branch's write does not match this gateway's site file",
                 number=message.number,
-                to_do="give all heads of the site the same site file",
+                to_do="give all gateways of the site the same site file",
             )
         return fits
 
-    def _progress_received(self, known: AppliedWrites, message: messages.ReplayProgress) -> None:
+    def _progress_received(self, writes: AppliedWrites, message: messages.ReplayProgress) -> None:
         exceptions = frozenset(message.exceptions)
-        finished = known.progress_reported(
+        finished = writes.progress_reported(
             message.gateway, message.epoch, message.completed_up_to, exceptions
         )
         if finished is None:
             self._logger.warning(
-                "an earlier epoch of a branch is fenced", branch=message.gateway, epoch=message.epoch
+                "a message with an earlier epoch of a branch was rejected",
+                branch=message.gateway,
+                epoch=message.epoch,
             )
             return
         for position in finished:
             if (APPLIED_WRITE, message.gateway, *position) in self._log.store.table.records:
                 self._log.append(Tombstone([APPLIED_WRITE, message.gateway, *position]))
 
-    def _query_received(self, stream: Stream, known: AppliedWrites, message: messages.StatusQuery) -> None:
+    def _query_received(self, stream: Stream, writes: AppliedWrites, message: messages.StatusQuery) -> None:
         number = WriteNumber(*message.number)
         idempotent = self._executor.is_idempotent(message.request_class)
-        answer = known.queried(number, message.epoch, idempotent)
+        answer = writes.queried(number, message.epoch, idempotent)
         if answer.outcome is ReplayOutcome.PENDING:
             self._waiters.setdefault(number, []).append(Waiter(stream, 0))
         else:
             self._reply(stream, number, answer.outcome, answer.detail)
 
-    def _write_received(self, stream: Stream, known: AppliedWrites, message: messages.ReplayWrite) -> None:
+    def _write_received(self, stream: Stream, writes: AppliedWrites, message: messages.ReplayWrite) -> None:
         number = WriteNumber(*message.number)
         idempotent = self._executor.is_idempotent(message.request_class)
         if message.forced:
-            known.released(number)
-        outcome = known.received(number, message.send_token, message.epoch, idempotent)
+            writes.released(number)
+        outcome = writes.received(number, message.send_token, message.epoch, idempotent)
         if outcome in (ReplayOutcome.START, ReplayOutcome.PENDING):
             self._waiters.setdefault(number, []).append(Waiter(stream, message.send_token))
             if outcome is ReplayOutcome.START:
                 self._begin(message, idempotent)
             return
         fenced = outcome is ReplayOutcome.FENCED
-        detail = known.epoch_of(number.gateway) if fenced else message.send_token
+        detail = writes.epoch_of(number.gateway) if fenced else message.send_token
         self._reply(stream, number, outcome, detail, RETRY_AFTER_RECOVERY)
 
     def _reply(
@@ -162,7 +164,7 @@
     ) -> None:
         stream.write(encode(messages.ReplayReply(number, int(outcome), send_token, retry_after)))
 
-    # ---- Running writes
+    # ---- running writes
 
     def _begin(self, message: messages.ReplayWrite, idempotent: bool) -> None:
         number = WriteNumber(*message.number)
@@ -174,14 +176,15 @@
             self._finish(number, ReplayOutcome.RETRY, retry_after)
             return
 
-        def recorded(stored: bool) -> None:
-            if stored:
+        def on_recorded(durable: bool) -> None:
+            if durable:
                 self._execute(message)
             else:
                 self._executed(number, ReplayOutcome.RETRY, RETRY_AFTER_RECOVERY)
 
-        # With as many copies as any promise: after a loss of this machine nobody takes it for not begun.
-        self._log.append(WriteApplied(*number, False), recorded)
+        # Recorded on as many replicas as any acknowledged record, so that after a loss of this machine no
+        # gateway assumes that the write was not begun.
+        self._log.append(WriteApplied(*number, False), on_recorded)
 
     def _execute(self, message: messages.ReplayWrite) -> None:
         number = WriteNumber(*message.number)
@@ -196,7 +199,7 @@
         elif outcome is ReplayOutcome.UNKNOWN:
             self._finish(number, outcome, 0.0)
         else:
-            # It has not run: what was recorded as begun is taken back.
+            # It has not run: remove the record that it was begun.
             self._log.append(Tombstone([APPLIED_WRITE, *number]))
             self._finish(number, outcome, retry_after)
 
--- a/gorsethread/nvme_gateway/replica_server.py
+++ b/gorsethread/nvme_gateway/replica_server.py
@@ -1,7 +1,7 @@
-"""Holds replicas of other gateways' logs on this gateway's disk, and gives records back when asked.
+"""Stores replicas of other gateways' logs on this gateway's disk and returns their records on request.
 
-Which incarnation may write is decided by `durable_log/replication.py`. What branches' gateways and operators
-send to the same port is passed on.
+`durable_log/replication.py` decides which incarnation may write. Messages that branches' gateways and
+operators send to the same port are passed on to their handlers.
 """
 
 import asyncio
@@ -27,21 +27,21 @@
 from gorsethread.sitefile.reading import split_address
 from gorsethread.transport.base import Stream, StreamClosed, Timer, Transport
 
-MAX_STREAMS_PER_GATEWAY = 4  # one to replicate, one that polls, and as many that have not ended yet
+MAX_STREAMS_PER_GATEWAY = 4  # one that replicates, one that polls, and two earlier ones that have not ended
 GREETING_TIMEOUT = 3.0  # seconds
-LOOPBACK = "127."  # operators ask on this machine only
+LOOPBACK = "127."  # operators' queries are answered on this machine only
 NO_GATEWAY = -1
 
 
 class Replica:
-    """One other gateway's log on this gateway's disk.
+    """The replica of another gateway's log on this gateway's disk.
 
     Attributes:
         store: Its records.
-        complete: Nothing is known to be missing; of an incomplete replica everything is requested anew.
-        up_to_date: All that its owner had when it greeted is here.
-        lock: Held while a batch is stored, whatever streams there are.
-        stream: The latest that the owner greeted on; batches are accepted only from this one.
+        complete: No record is known to be missing; all records of an incomplete replica are requested again.
+        up_to_date: It has all records that its owner had when the owner connected.
+        lock: Held while a batch is stored, so that batches of different streams do not interleave.
+        stream: The stream on which the owner last sent a Hello; batches are accepted only from this one.
     """
 
     def __init__(self, store: LogStore, complete: bool) -> None:
@@ -53,7 +53,7 @@
 
 
 class _Session:
-    """One stream: who greeted on it, and the timer that ends it where nobody does."""
+    """One stream, the gateway that identified itself on it, and the timer that closes it if none does."""
 
     def __init__(self, stream: Stream, greeting_timeout: Timer) -> None:
         self.stream = stream
@@ -67,29 +67,29 @@
 class ReplicaServer:
     """The replicas of other gateways, and the port where gateways and operators connect.
 
-    Its tables have one replica for each other gateway and MAX_STREAMS_PER_GATEWAY streams for each at most;
-    streams leave as they end, replicas with stop().
+    Its tables have at most one replica and MAX_STREAMS_PER_GATEWAY streams for each gateway; streams are
+    removed when they end, and replicas are closed by stop().
 
     Attributes:
-        on_branch_message: At a gateway of the main site: hears what branches' gateways send.
-        answer_operator_query: At a branch's gateway: answers an operator's question.
-        on_records_stored: Hears of another gateway's records as they are on this disk: whose, the records,
-            whether they replace all, and up to which number all is here.
+        on_branch_message: At a gateway of the main site, called with each message of a branch's gateway.
+        answer_operator_query: At a branch's gateway, returns the answer to an operator's query.
+        on_records_stored: Called when records of another gateway are on this disk, with the gateway, the
+            records, whether they replace all earlier ones, and the number up to which all records are here.
     """
 
     def __init__(
         self, transport: Transport, site: pb.Site, gateway: int, folder: str, log: Any, listen: str = ""
     ) -> None:
-        """Set up; listen: the address to use instead of the one of the site file."""
+        """Set up; listen: the address to use instead of the site file's."""
         self.transport = transport
         self.folder = folder
         self.log = log
         self.gateway = gateway
         self.fleet = fleet_of(site)
-        self.gateways = {one.number for one in site.head}
-        known = {one.number: one.peers for one in site.head} if site.records.copies else {}
-        by_site = known.get(gateway, "")
-        self.address = split_address(listen or by_site) if by_site else None
+        self.gateways = {entry.number for entry in site.head}
+        addresses = {entry.number: entry.peers for entry in site.head} if site.records.copies else {}
+        site_address = addresses.get(gateway, "")
+        self.address = split_address(listen or site_address) if site_address else None
         self.fence = IncarnationFence()
         self.replicas: dict[int, Replica] = {}
         self._streams: set[Stream] = set()
@@ -98,7 +98,7 @@
         self.on_records_stored: Callable[[int, list[Record], bool, SequenceNumber], None] = lambda *_: None
 
     def start(self) -> None:
-        """Listen; OSError where the address can't be had."""
+        """Listen; raises OSError where the address can't be used."""
         if self.address is None:
             return
         max_streams = MAX_STREAMS_PER_GATEWAY * len(self.gateways)
@@ -116,25 +116,25 @@
             stream.close()
 
     def replica_of(self, origin: int) -> Replica:
-        """Return the replica of a gateway's log, opened where it is not yet.
+        """Return the replica of a gateway's log; open it if it is not open yet.
 
         Raises:
-            FolderInUseError: Another process holds the folder.
-            UnusableSegmentError: The folder is another's, or of a later version.
-            OSError: It can't be read.
+            FolderInUseError: Another process has locked the folder.
+            UnusableSegmentError: The folder is another gateway's, or has another format version.
+            OSError: The folder can't be read.
         """
-        known = self.replicas.get(origin)
-        if known is not None:
-            return known
+        opened = self.replicas.get(origin)
+        if opened is not None:
+            return opened
         folder = replica_folder(self.folder, origin)
         store = LogStore(self.transport, folder, self.fleet, origin, self.log, True)
-        found = store.open()
-        # After an exchange of disks the gateway's own records are here.
+        recovered = store.open()
+        # After disks were exchanged, the origin's own log may be on this disk.
         misplaced = own_log_folder(self.folder, origin)
         store.table.merge(load_misplaced_records(self.transport, misplaced, self.fleet, origin))
-        replica = Replica(store, found.complete)
+        replica = Replica(store, recovered.complete)
         self.replicas[origin] = replica
-        self.fence.note_incarnation(origin, found.newest.incarnation)
+        self.fence.note_incarnation(origin, recovered.newest.incarnation)
         self.on_records_stored(origin, store.table.in_order(), True, store.table.last)
         return replica
 
@@ -143,7 +143,7 @@
     async def _serve(self, stream: Stream) -> None:
         self._streams.add(stream)
         reader = replication_messages.MessageReader(offline_messages.DECODER)
-        # Who connects and sends nothing would take up a stream that a gateway needs.
+        # A client that connects and sends nothing would use up a stream that a gateway needs.
         timeout = self.transport.at(self.transport.now() + GREETING_TIMEOUT, stream.close)
         session = _Session(stream, timeout)
         try:
@@ -153,7 +153,9 @@
         except StreamClosed:
             pass
         except (GorsethreadError, OSError) as error:
-            self.log.error("no replica is held", of=session.origin, reason=str(error))
+            self.log.error(
+                "a stream to this gateway's replicas was closed", of=session.origin, reason=str(error)
+            )
         finally:
             timeout.cancel()
             self._streams.discard(stream)
@@ -170,7 +172,7 @@
         elif isinstance(message, offline_messages.OperatorQuery):
             self._on_operator_query(session, message)
         elif session.origin == NO_GATEWAY:
-            raise ProtocolError("no greeting came first")
+            raise ProtocolError("the first message is not a greeting")
         elif isinstance(message, replication_messages.FetchRecords):
             await self._on_fetch(session, message)
         elif isinstance(message, replication_messages.StoreRecords):
@@ -185,12 +187,12 @@
         session.greeting_timeout.cancel()
 
     def _foreign(self, gateway: int, fleet: int) -> ProtocolError:
-        return ProtocolError(f"gateway {gateway} of fleet {fleet} is none of this fleet")
+        return ProtocolError(f"gateway {gateway} of fleet {fleet} is not another gateway of this fleet")
 
     def _on_operator_query(self, session: _Session, query: offline_messages.OperatorQuery) -> None:
         is_local = session.stream.peer.startswith(LOOPBACK)
         if not is_local or query.fleet != self.fleet or self.answer_operator_query is None:
-            raise ProtocolError("an operator's question that is not answered here")
+            raise ProtocolError("an operator's query that this gateway does not answer")
         session.send(offline_messages.OperatorReply(self.answer_operator_query(query)))
 
     def _greeted(self, session: _Session, incarnation: int) -> None:
@@ -206,13 +208,13 @@
 
     async def _on_fetch(self, session: _Session, message: replication_messages.FetchRecords) -> None:
         later = self.replica_of(session.origin).store.table.later_than(message.after)
-        parts = list(batches(later, MAX_BATCH_RECORDS, MAX_BATCH_BYTES)) or [[]]
-        for number, part in enumerate(parts, 1):
-            more = number < len(parts)
-            session.send(replication_messages.FetchedRecords(replication_messages.to_entries(part), more))
+        later_batches = list(batches(later, MAX_BATCH_RECORDS, MAX_BATCH_BYTES)) or [[]]
+        for number, batch in enumerate(later_batches, 1):
+            more = number < len(later_batches)
+            session.send(replication_messages.FetchedRecords(replication_messages.to_entries(batch), more))
             if more:
                 await session.stream.drained()
-                await self.transport.sleep(CATCH_UP_PAUSE)  # live work goes first
+                await self.transport.sleep(CATCH_UP_PAUSE)  # current requests go first
 
     # ---- storing
 
@@ -221,10 +223,10 @@
     ) -> None:
         replica = self.replica_of(origin)
         async with replica.lock:
-            # On an earlier stream a cut may have held back records that were removed since, and whose removal
-            # is forgotten by now.
+            # A network cut may have delayed records on an earlier stream that were removed since, and whose
+            # removal has been dropped by now.
             if replica.stream is not stream:
-                raise StreamClosed("greeted anew since")
+                raise StreamClosed("the owner has connected again since")
             answer: replication_messages.Message
             if not self.fence.accepts(origin, message.incarnation):
                 answer = replication_messages.IncarnationFenced(self.fence.latest[origin])
@@ -243,7 +245,7 @@
         self.on_records_stored(origin, records, message.replaces_all, message.last)
 
     async def _store_records(self, replica: Replica, message: replication_messages.StoreRecords) -> bool:
-        """Store records; return whether they are on the disk."""
+        """Write records to the disk; return whether they are durable."""
         store = replica.store
         records = replication_messages.to_records(message.entries)
         if message.replaces_all:
--- a/gorsethread/nvme_gateway/replicated_log.py
+++ b/gorsethread/nvme_gateway/replicated_log.py
@@ -1,7 +1,7 @@
-"""A gateway's log: on its own disk, at the gateways that hold replicas, and back from them after a start.
+"""A gateway's log: stored on its disk, replicated to other gateways and recovered from them after a start.
 
-Gateways of a branch hold replicas for each other, and the main site's for each other: where the link between
-them is cut, each side acknowledges alone.
+The gateways of a branch hold replicas for each other, and so do those of the main site, so that each side can
+acknowledge writes while the link between them is cut.
 """
 
 from collections.abc import Callable
@@ -31,7 +31,7 @@
 
 __all__ = ["CONNECT_TIMEOUT", "ReplicatedLog"]
 
-STAGE_INTERVAL = 0.05  # seconds between looks at the stage, as answers come in between
+STAGE_INTERVAL = 0.05  # seconds between updates of the stage, as answers arrive in between
 MIN_STAGE_INTERVAL = 0.001
 MS_PER_SECOND = 1000.0
 ExtentKey = tuple[int, int]  # volume, extent
@@ -41,13 +41,13 @@
 class ReplicatedLog:
     """The log of this gateway, from open() and start() to stop().
 
-    It numbers records, and says whether new ones may be requested and when they are durable. Its table of
-    extents that are being placed is emptied as each is on enough disks, or is known not to be.
+    It numbers records and reports whether new ones may be requested and when they are durable. An extent that
+    is being placed leaves its table once its record is on enough disks, or is known not to be.
 
     Attributes:
-        on_records_recovered: Called where others had more of this gateway's records than it had.
-        recovery: The stages of this start.
-        incarnation: Of this start; 0 while others are polled.
+        on_records_recovered: Called when later records of this gateway were fetched from another one.
+        recovery: The stages of the recovery after this start.
+        incarnation: The incarnation of this start; 0 while the other gateways are polled.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         living: Callable[[], list[int]],
         log: Any,
     ) -> None:
-        """Set up; living: the gateways that the view does not consider dead."""
+        """Set up; living returns the gateways that the membership view does not consider dead."""
         self.transport = transport
         self.placement = placement
         self.living = living
@@ -81,32 +81,32 @@
 
     @property
     def sender(self) -> ReplicationSender:
-        """What the replicas have."""
+        """The state of the replicas."""
         return self.replication.sender
 
     @property
     def waiting(self) -> int:
-        """The number of extents and records that somebody waits for."""
+        """The number of extents and records that are not durable yet and that a caller waits for."""
         return len(self._placing) + self.replication.waiting
 
     # ---- start and stop
 
     def open(self) -> None:
-        """Read what the own folder has.
+        """Lock and read the gateway's own folder.
 
         Raises:
-            FolderInUseError: Another process holds it.
-            UnusableSegmentError: The folder is another's, or of a later version.
-            OSError: It can't be read.
+            FolderInUseError: Another process has locked the folder.
+            UnusableSegmentError: The folder is another gateway's, or has another format version.
+            OSError: The folder can't be read.
         """
         gateway = self.topology.gateway
-        found = self.store.open()
-        # After an exchange of disks the replica that another held of this gateway's log is here.
+        recovered = self.store.open()
+        # After disks were exchanged, another gateway's replica of this log may be on this disk.
         misplaced = replica_folder(self.folder, gateway)
-        found.table.merge(load_misplaced_records(self.transport, misplaced, self.fleet, gateway))
+        recovered.table.merge(load_misplaced_records(self.transport, misplaced, self.fleet, gateway))
         self.recovery = RecoveryStages(
             self.transport.now(),
-            OwnRecords(found.table.last, found.complete, found.empty, self.store.loss_accepted()),
+            OwnRecords(recovered.table.last, recovered.complete, recovered.empty, self.store.loss_accepted()),
             frozenset(self.topology.addresses),
             self.topology.required,
         )
@@ -115,27 +115,27 @@
             self.topology,
             self.recovery,
             self.living,
-            lambda other, records: self._on_records_fetched(other, records),
+            lambda peer, records: self._on_records_fetched(peer, records),
             self.log,
         )
-        placements = found.table.placements()
+        placements = recovered.table.placements()
         self.placement.known(placements)
         self.log.info(
-            "own records",
+            "read the records in the own folder",
             extents=len(placements),
-            last=found.table.last,
-            complete=found.complete,
-            empty=found.empty,
-            torn=found.torn_bytes,
+            last=recovered.table.last,
+            complete=recovered.complete,
+            empty=recovered.empty,
+            torn_bytes=recovered.torn_bytes,
         )
 
     def start(self) -> None:
-        """Poll the others, and serve as far as the stages allow."""
+        """Poll the other gateways, and start an incarnation as soon as the stages allow it."""
         self.transport.spawn(self._recover())
         self.transport.spawn(self.recovery_client.poll_all())
 
     def stop(self) -> None:
-        """End all work; what is not durable by now is reported as not durable."""
+        """Stop all work; records that are not durable by now are reported as not durable."""
         self.stopped = True
         self.recovery_client.stopped = True
         self.store.close()
@@ -153,18 +153,20 @@
             self.store.incomplete = False
             self.store.merge_recovered(RecordTable())
         after = self.recovery.stage_since - self.recovery.started
-        self.log.info("nothing that it held is missing", after=round(after, 3))
+        self.log.info("no record is missing any more", after=round(after, 3))
 
     async def _start_incarnation(self) -> None:
         stage = self.recovery.stage
         self.incarnation = self.recovery.next_incarnation(self.transport.wall() * MS_PER_SECOND)
         self.store.incomplete = stage is not Stage.COMPLETE
         await self.store.start_incarnation(self.incarnation)
-        self.log.info("serves by its records", stage=self.recovery.stage.value, incarnation=self.incarnation)
+        self.log.info(
+            "serving from recovered records", stage=self.recovery.stage.value, incarnation=self.incarnation
+        )
         self.replication.start(self.incarnation)
 
     async def _wait_for_completion(self) -> bool:
-        """Return True once nothing is missing, False where the log was stopped before."""
+        """Wait until no record is missing; return False if the log was stopped before."""
         reported = False
         while self.recovery.stage is not Stage.COMPLETE:
             await self._advance()
@@ -173,9 +175,9 @@
             if self.recovery.records_lost and not reported:
                 reported = True
                 self.log.error(
-                    "records are lost and too few others answer",
+                    "records are lost and too few other gateways answer",
                     awaited=self.recovery.awaited(),
-                    to_do="bring those gateways back, or accept: gorsethread records accept",
+                    to_do="start those gateways, or accept the loss with: gorsethread records accept",
                 )
             if self.recovery.records_lost and self.store.loss_accepted():
                 self.recovery.accept_loss(self.transport.now())
@@ -190,28 +192,31 @@
         await self.transport.sleep(wait)
         self.recovery.advance(self.transport.now())
 
-    def _on_records_fetched(self, other: int, records: RecordTable) -> None:
-        """Another gateway held these records beyond the own ones."""
-        self.log.info("records fetched", by=other, records=len(records.records), last=records.last)
+    def _on_records_fetched(self, peer: int, records: RecordTable) -> None:
+        """Add the later records that another gateway held of this log."""
+        self.log.info("records fetched", by=peer, records=len(records.records), last=records.last)
         self.store.merge_recovered(records)
         self.sender.resend_all()
         self.placement.known(self.store.table.placements())
         self.on_records_recovered()
-        self.recovery.on_fetched(other, self.transport.now())
+        self.recovery.on_fetched(peer, self.transport.now())
 
     # ---- new records
 
     def retry_after(self) -> float:
-        """Return 0.0 where a record may be requested now, else the seconds after which to retry."""
+        """Return 0.0 where a record may be requested now, else the seconds until a retry."""
         if not self.store.started or self.sender.fenced or not self.sender.has_quorum:
-            least = RETRY_AFTER
+            delay = RETRY_AFTER
         else:
-            disk = self.store.disk.retry_after(self.transport.now(), self.store.pending)
-            least = max(self.recovery.retry_after(), disk)
-        return spread_retry_after(least, self._chance.random()) if least else 0.0
+            disk_delay = self.store.disk.retry_after(self.transport.now(), self.store.pending)
+            delay = max(self.recovery.retry_after(), disk_delay)
+        return spread_retry_after(delay, self._chance.random()) if delay else 0.0
 
     def placed(self, extent: ExtentKey, shard: int, on_durable: OnDurable) -> None:
-        """Record that an extent belongs to a shard; on_durable hears once, later, whether that is durable."""
+        """Record that an extent belongs to a shard.
+
+        on_durable is called once, after this call returned, with whether the record is durable.
+        """
         if extent in self._placing:
             self._placing[extent].append(on_durable)
             return
@@ -222,28 +227,28 @@
         self.append(ExtentPlaced(*extent, shard), lambda durable: self._on_placed(extent, durable))
 
     def released(self, extent: ExtentKey) -> None:
-        """Record that an extent belongs to no shard again, if it did."""
-        known = self.store.table.records.get(extent)
-        if known is not None and isinstance(known.fact, ExtentPlaced):
+        """Record that an extent belongs to no shard any more, if it belonged to one."""
+        current = self.store.table.records.get(extent)
+        if current is not None and isinstance(current.fact, ExtentPlaced):
             self.append(ExtentReleased(*extent))
 
     @property
     def next_sequence(self) -> SequenceNumber:
-        """The number of the record that is appended next."""
+        """The sequence number of the next record."""
         return self.incarnation, self._position + 1
 
     def append(self, fact: Fact, on_durable: OnDurable | None = None, own_disk_only: bool = False) -> None:
         """Append a record.
 
         Args:
-            fact: What it says.
-            on_durable: Hears once whether the record is on enough disks.
-            own_disk_only: The own disk is enough.
+            fact: The record's fact.
+            on_durable: Called once with whether the record is on enough disks.
+            own_disk_only: The record counts as durable once it is on the gateway's own disk.
         """
         self._position += 1
         number = self.incarnation, self._position
         self.store.add(
-            Record(number, fact), lambda kept: self._on_flushed(number, kept, on_durable, own_disk_only)
+            Record(number, fact), lambda durable: self._on_flushed(number, durable, on_durable, own_disk_only)
         )
 
     def _on_flushed(
--- a/gorsethread/nvme_gateway/replication_client.py
+++ b/gorsethread/nvme_gateway/replication_client.py
@@ -1,7 +1,7 @@
-"""Sends a gateway's records to the gateways that hold its replicas, and notes what they have.
+"""Sends a gateway's records to the gateways that hold its replicas, and tracks what these have stored.
 
-Who holds replicas, what goes to whom next and up to where enough of them have it is decided by the pure cores
-`durable_log/replica_placement.py` and `durable_log/replication.py`.
+The pure cores `durable_log/replica_placement.py` and `durable_log/replication.py` decide which gateways hold
+replicas, what is sent to each next, and which records enough of them have.
 """
 
 from collections import deque
@@ -22,16 +22,16 @@
 from gorsethread.nvme_gateway.replication_topology import ANSWER_TIMEOUT, CONNECT_TIMEOUT, ReplicationTopology
 from gorsethread.transport.base import Stream, StreamClosed, Transport, Unreachable
 
-WATCH_INTERVAL = 1.0  # seconds between looks at whether a replica answers
-CHOICE_INTERVAL = 0.5  # seconds between choices of replicas among those that live
+WATCH_INTERVAL = 1.0  # seconds between checks whether a replica still answers
+CHOICE_INTERVAL = 0.5  # seconds between choices of replicas among the gateways that are not dead
 OnReplicated = Callable[[bool], None]
 
 
 class ReplicationClient:
-    """The owner's side of replication, from start() to stop().
+    """The log owner's side of replication, from start() to stop().
 
-    Its table of streams has one for each replica at most; they leave as they end. Its queue of records that
-    are not on enough replicas yet is emptied by their answers, each record after REPLICATION_TIMEOUT at the
+    Its table of streams has at most one for each replica, removed when it ends. A record that is not on
+    enough replicas yet leaves the queue when the replicas confirm it, or after REPLICATION_TIMEOUT at the
     latest.
     """
 
@@ -43,7 +43,7 @@
         living: Callable[[], list[int]],
         log: Any,
     ) -> None:
-        """Set up; living: the gateways that the view does not consider dead."""
+        """Set up; living returns the gateways that the membership view does not consider dead."""
         self.transport = transport
         self.topology = topology
         self.store = store
@@ -56,7 +56,7 @@
         self._streams: dict[int, Stream] = {}
 
     def start(self, incarnation: int) -> None:
-        """Connect to the replicas as this incarnation."""
+        """Start connecting to the replicas, as this incarnation."""
         self.incarnation = incarnation
         self._choose_replicas()
 
@@ -70,11 +70,14 @@
 
     @property
     def waiting(self) -> int:
-        """The number of records that are not on enough replicas yet."""
+        """How many records wait to be on enough replicas."""
         return len(self._unreplicated)
 
     def when_replicated(self, number: SequenceNumber, on_replicated: OnReplicated) -> None:
-        """Report once whether enough replicas have the record within REPLICATION_TIMEOUT; numbers grow."""
+        """Call on_replicated once with whether enough replicas have the record in REPLICATION_TIMEOUT.
+
+        The number must be higher than those of earlier calls.
+        """
         self._unreplicated.append((number, on_replicated))
         self.transport.at(
             self.transport.now() + REPLICATION_TIMEOUT, lambda: self._report_until(number, False)
@@ -104,82 +107,82 @@
             self.log.info("replicas chosen", gateways=sorted(self.sender.replicas))
         self.transport.at(self.transport.now() + CHOICE_INTERVAL, self._choose_replicas)
 
-    async def _keep_connected(self, other: int) -> None:
+    async def _keep_connected(self, peer: int) -> None:
         delay = MIN_RECONNECT_DELAY
-        while other in self.sender.replicas and not self.stopped and not self.sender.fenced:
+        while peer in self.sender.replicas and not self.stopped and not self.sender.fenced:
             try:
-                await self._connect_once(other)
+                await self._connect_once(peer)
                 delay = MIN_RECONNECT_DELAY
             except (Unreachable, replication_messages.ProtocolError) as error:
-                self.log.debug("no connection to a replica", other=other, reason=str(error))
+                self.log.debug("no connection to a replica", other=peer, reason=str(error))
                 delay = min(MAX_RECONNECT_DELAY, 2.0 * delay)
-            self.sender.disconnected(other)
+            self.sender.disconnected(peer)
             await self.transport.sleep(delay)
 
-    async def _connect_once(self, other: int) -> None:
-        stream = await self.transport.connect(*self.topology.addresses[other], CONNECT_TIMEOUT)
-        self._streams[other] = stream
+    async def _connect_once(self, peer: int) -> None:
+        stream = await self.transport.connect(*self.topology.addresses[peer], CONNECT_TIMEOUT)
+        self._streams[peer] = stream
         reader = replication_messages.MessageReader()
-        watch = _SilenceWatch(self, other, stream)
-        watch.look()
+        watch = _SilenceWatch(self, peer, stream)
+        watch.check()
         hello = replication_messages.Hello(self.topology.fleet, self.topology.gateway, self.incarnation)
         try:
             stream.write(replication_messages.encode(hello))
             while True:
                 for message in reader.feed(await stream.read()):
-                    watch.heard()
-                    self._on_message(other, message)
+                    watch.on_message()
+                    self._on_message(peer, message)
         except StreamClosed:
             pass
         finally:
-            self._streams.pop(other, None)
+            self._streams.pop(peer, None)
             stream.close()
 
-    def is_stream_of(self, other: int, stream: Stream) -> bool:
-        """Return whether this is the present stream to a replica."""
-        return self._streams.get(other) is stream
+    def is_stream_of(self, peer: int, stream: Stream) -> bool:
+        """Return whether this is the current stream to a replica."""
+        return self._streams.get(peer) is stream
 
     # ---- messages
 
-    def _on_message(self, other: int, message: replication_messages.Message) -> None:
+    def _on_message(self, peer: int, message: replication_messages.Message) -> None:
         if isinstance(message, replication_messages.HelloReply) and message.incarnation <= self.incarnation:
-            self.sender.connected(other, message.last, self.store.removals_dropped)
-            self._send_next(other)
+            self.sender.connected(peer, message.last, self.store.removals_dropped)
+            self._send_next(peer)
         elif isinstance(message, replication_messages.HelloReply | replication_messages.IncarnationFenced):
-            self._on_fenced(other, message.incarnation)
+            self._on_fenced(peer, message.incarnation)
         elif isinstance(message, replication_messages.RecordsStored):
-            self._on_stored(other, message.last)
+            self._on_stored(peer, message.last)
         elif isinstance(message, replication_messages.StoreFailed):
-            self._streams[other].close()
+            self._streams[peer].close()
 
-    def _on_fenced(self, other: int, incarnation: int) -> None:
+    def _on_fenced(self, peer: int, incarnation: int) -> None:
         self.sender.fenced = True
         self.log.error(
             "a later incarnation of this gateway is known; nothing is acknowledged any more",
-            by=other,
+            by=peer,
             incarnation=incarnation,
             own=self.incarnation,
-            to_do="end one of the two processes of this gateway",
+            to_do="stop one of the two processes of this gateway",
         )
 
-    def _on_stored(self, other: int, last: SequenceNumber) -> None:
-        behind = self.sender.confirmed(other, last)
+    def _on_stored(self, peer: int, last: SequenceNumber) -> None:
+        behind = self.sender.confirmed(peer, last)
         self._report_until(self.sender.replicated, True)
         if behind:
-            self.transport.at(self.transport.now() + CATCH_UP_PAUSE, lambda: self._send_next(other))
+            self.transport.at(self.transport.now() + CATCH_UP_PAUSE, lambda: self._send_next(peer))
         else:
-            self._send_next(other)
+            self._send_next(peer)
 
     def send_to_all(self) -> None:
-        """Send to each connected replica what is next for it."""
+        """Send its next batch to each connected replica."""
         for gateway in list(self._streams):
             self._send_next(gateway)
 
-    def _send_next(self, other: int) -> None:
-        stream = self._streams.get(other)
+    def _send_next(self, peer: int) -> None:
+        stream = self._streams.get(peer)
         if stream is None:
             return
-        batch = self.sender.next_batch(other, self.store.table, self.store.flushed)
+        batch = self.sender.next_batch(peer, self.store.table, self.store.flushed)
         if batch is None:
             return
         entries = replication_messages.to_entries(batch.records)
@@ -190,24 +193,24 @@
 
 
 class _SilenceWatch:
-    """Closes a stream whose replica owes an answer for ANSWER_TIMEOUT: its machine may have vanished."""
+    """Closes a stream whose replica has not answered for ANSWER_TIMEOUT: its machine may be down."""
 
-    def __init__(self, client: ReplicationClient, other: int, stream: Stream) -> None:
+    def __init__(self, client: ReplicationClient, peer: int, stream: Stream) -> None:
         self._client = client
-        self._other = other
+        self._peer = peer
         self._stream = stream
-        self._heard_at = client.transport.now()
+        self._last_message_at = client.transport.now()
 
-    def heard(self) -> None:
-        self._heard_at = self._client.transport.now()
+    def on_message(self) -> None:
+        self._last_message_at = self._client.transport.now()
 
-    def look(self) -> None:
+    def check(self) -> None:
         client = self._client
-        if not client.is_stream_of(self._other, self._stream):
+        if not client.is_stream_of(self._peer, self._stream):
             return
         now = client.transport.now()
-        replica = client.sender.replicas.get(self._other)
+        replica = client.sender.replicas.get(self._peer)
         answer_due = replica is None or replica.in_flight or replica.confirmed is None
-        if answer_due and now - self._heard_at > ANSWER_TIMEOUT:
+        if answer_due and now - self._last_message_at > ANSWER_TIMEOUT:
             self._stream.close()
-        client.transport.at(now + WATCH_INTERVAL, self.look)
+        client.transport.at(now + WATCH_INTERVAL, self.check)
--- a/gorsethread/nvme_gateway/replication_topology.py
+++ b/gorsethread/nvme_gateway/replication_topology.py
@@ -1,4 +1,4 @@
-"""Which gateways hold replicas for which, and where they are, as the site file says."""
+"""The gateways that may hold each other's replicas, and their addresses, from the site file."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.sitefile.reading import split_address
 
-CONNECT_TIMEOUT = 1.0  # seconds until another gateway's connection must stand
+CONNECT_TIMEOUT = 1.0  # seconds within which a connection to another gateway must be established
 ANSWER_TIMEOUT = 3.0  # seconds that another gateway's answer may take
 Address = tuple[str, int]
 
@@ -18,11 +18,11 @@
 
     Attributes:
         fleet: The site's number.
-        gateway: The gateway.
-        copies: How many replicas its log is to have.
-        required: How many of them must have a record before it is acknowledged.
-        domains: Of all gateways of the site.
-        addresses: Of the other gateways that may hold its replicas.
+        gateway: The gateway's number.
+        copies: How many replicas of its log there should be.
+        required: How many replicas must have a record before it is acknowledged.
+        domains: The failure domains of all gateways of the site.
+        addresses: The addresses of the other gateways that may hold its replicas.
     """
 
     fleet: int
@@ -37,13 +37,16 @@
     """Return a gateway's part in the replication of a site."""
     addresses: dict[int, Address] = {}
     if site.records.copies:
-        beside = gateways_beside(site, gateway)
+        candidates = gateways_on_same_side(site, gateway)
         addresses = {
-            one.number: split_address(one.peers) for one in site.head if one.peers and one.number in beside
+            entry.number: split_address(entry.peers)
+            for entry in site.head
+            if entry.peers and entry.number in candidates
         }
-    # A gateway whose machine the site file does not name is on one of its own.
+    # A gateway for which the site file names no machine counts as being on a machine of its own.
     domains = {
-        one.number: FailureDomain(one.zone, one.machine or f"of head {one.number}") for one in site.head
+        entry.number: FailureDomain(entry.zone, entry.machine or f"of head {entry.number}")
+        for entry in site.head
     }
     required = min(site.records.held_by, len(addresses))
     return ReplicationTopology(
@@ -51,13 +54,13 @@
     )
 
 
-def gateways_beside(site: pb.Site, gateway: int) -> set[int]:
-    """Return the other gateways on its side of a branch's link: of its branch, or all that are in none.
+def gateways_on_same_side(site: pb.Site, gateway: int) -> set[int]:
+    """Return the other gateways of the gateway's branch, or of the main site if it is in no branch.
 
-    So each side has its replicas where the link is cut.
+    They are on its side of the link, so that each side still has its replicas while the link is cut.
     """
     for branch in site.branch:
         if gateway in branch.head:
             return set(branch.head) - {gateway}
     in_branches = {number for branch in site.branch for number in branch.head}
-    return {one.number for one in site.head} - in_branches - {gateway}
+    return {entry.number for entry in site.head} - in_branches - {gateway}
--- a/gorsethread/recovery/__init__.py
+++ b/gorsethread/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""A gateway that restarts: what it may do while it does not know yet what it held. Pure, no I/O."""
+"""Decides what a restarting gateway may do until it has recovered its records. Pure: no I/O."""
--- a/gorsethread/recovery/stages.py
+++ b/gorsethread/recovery/stages.py
@@ -17,13 +17,13 @@
 
 from gorsethread.durable_log.records import NO_SEQUENCE, SequenceNumber
 
-POLLING_TIMEOUT = 1.0  # seconds that a gateway polls before it serves what it knows
-TRUST_AFTER = 2.0  # seconds until complete records of its own are believed, though too few have answered
-RETRY_AFTER = 0.3  # seconds after which a client may ask again for what is not known yet
+POLLING_TIMEOUT = 1.0  # seconds for which a gateway only polls, before it serves the extents that it knows
+TRUST_AFTER = 2.0  # seconds until complete own records are believed although too few others answered
+RETRY_AFTER = 0.3  # seconds after which a client may retry a request for an extent that is not known yet
 
 
 class Stage(Enum):
-    """How far the recovery is; see the module's description."""
+    """The stage of a recovery; the module's docstring describes each."""
 
     POLLING = "asking"
     RESTRICTED = "care"
@@ -31,13 +31,13 @@
 
 
 class OwnRecords(NamedTuple):
-    """What reading a gateway's own folder found.
+    """What was found in a gateway's own folder.
 
     Attributes:
-        last: The last number in it.
-        complete: Nothing that it held is known to be lost.
-        empty: There was nothing in it.
-        loss_accepted: A person accepted that what is lost is lost.
+        last: The highest number of a record in it.
+        complete: No record that it had is known to be lost.
+        empty: It has no records.
+        loss_accepted: An operator accepted the loss of the missing records.
     """
 
     last: SequenceNumber
@@ -47,34 +47,34 @@
 
 
 class RecoveryStages:
-    """One recovery of a gateway, from its start on.
+    """The recovery of a gateway after one start.
 
-    Its tables have an entry for each other gateway at most, and last as long as the recovery.
+    Its tables have at most one entry for each other gateway, and live as long as the recovery.
 
     Attributes:
-        own_last: Up to this number its own records are good.
-        started: When it began, in seconds.
+        own_last: The number up to which the gateway's own records are complete.
+        started: When the recovery started, in seconds.
         other_gateways: The numbers of all other gateways.
-        required_replicas: How many others hold every record.
-        trusts_own_records: Its own records may be believed without the others.
-        has_no_replicas: Nobody else can know its records.
-        stage: See the module's description.
+        required_replicas: How many other gateways hold every acknowledged record.
+        trusts_own_records: The gateway's own records may be believed without answers of others.
+        has_no_replicas: No other gateway can have this gateway's records.
+        stage: The current stage; the module's docstring describes each.
         stage_since: When the stage was entered, in seconds.
-        answers: Up to where each of the others held its records when it answered.
-        fetched: Of the others, those from which all later records have come.
-        incarnation: The latest of this gateway that anyone knows.
+        answers: For each gateway that answered, the number up to which it held this gateway's records.
+        fetched: The other gateways whose later records have all been fetched.
+        incarnation: The latest known incarnation of this gateway.
     """
 
     def __init__(
         self, now: float, own: OwnRecords, other_gateways: frozenset[int], required_replicas: int
     ) -> None:
-        # Of incomplete records nobody can tell up to where they are good: all that others hold is wanted.
+        # Incomplete records may lack any number, so everything that others hold is fetched.
         self.own_last = own.last if own.complete else NO_SEQUENCE
         self.started = now
         self.other_gateways = other_gateways
         self.required_replicas = required_replicas
         self.trusts_own_records = own.loss_accepted or (own.complete and not own.empty)
-        # Without replicas an empty folder is a first start, and incomplete records are for a person.
+        # Without replicas an empty folder is a first start; an operator has to accept incomplete records.
         self.has_no_replicas = required_replicas == 0 or not other_gateways
         if self.has_no_replicas and own.empty:
             self.trusts_own_records = True
@@ -87,83 +87,85 @@
 
     @property
     def answers_needed(self) -> int:
-        """The number of answers after which nothing can be missing."""
+        """The number of answers after which no record can be missing."""
         return max(0, len(self.other_gateways) - self.required_replicas + 1)
 
     @property
     def is_certain(self) -> bool:
-        """Enough others have answered, and what they hold beyond its own records has come."""
-        done = [other for other in self.answers if not self._holds_more(other)]
-        return not self.has_no_replicas and len(done) >= self.answers_needed
+        """Whether enough others have answered, and their later records have been fetched."""
+        fully_fetched = [gateway for gateway in self.answers if not self._holds_more(gateway)]
+        return not self.has_no_replicas and len(fully_fetched) >= self.answers_needed
 
-    def _holds_more(self, other: int) -> bool:
-        return self.answers[other] > self.own_last and other not in self.fetched
+    def _holds_more(self, gateway: int) -> bool:
+        return self.answers[gateway] > self.own_last and gateway not in self.fetched
 
     def awaited(self) -> list[int]:
-        """Return the others whose answer, or what they hold beyond its own records, is still to come."""
+        """Return the gateways whose answer or later records have not arrived yet."""
         return sorted(
-            other for other in self.other_gateways if other not in self.answers or self._holds_more(other)
+            gateway
+            for gateway in self.other_gateways
+            if gateway not in self.answers or self._holds_more(gateway)
         )
 
-    def on_answer(self, other: int, last: SequenceNumber, incarnation: int, now: float) -> bool:
+    def on_answer(self, gateway: int, last: SequenceNumber, incarnation: int, now: float) -> bool:
         """Note the answer of another gateway.
 
         Args:
-            other: Who answered.
-            last: Up to this number it holds this gateway's records.
-            incarnation: The latest of this gateway that it knows.
-            now: Seconds.
+            gateway: The gateway that answered.
+            last: The number up to which it holds this gateway's records.
+            incarnation: The latest incarnation of this gateway that it knows.
+            now: The current time in seconds.
 
         Returns:
-            Whether what it holds beyond the own records is to be fetched.
+            Whether it holds records later than this gateway's own, which are to be fetched.
         """
-        if other not in self.other_gateways:
+        if gateway not in self.other_gateways:
             return False
-        self.answers[other] = last
+        self.answers[gateway] = last
         self.incarnation = max(self.incarnation, incarnation, last[0])
         self.advance(now)
-        return self._holds_more(other)
+        return self._holds_more(gateway)
 
-    def on_fetched(self, other: int, now: float) -> None:
-        """Note that all that another gateway holds beyond the own records has come."""
-        self.fetched.add(other)
+    def on_fetched(self, gateway: int, now: float) -> None:
+        """Note that all later records of another gateway have been fetched."""
+        self.fetched.add(gateway)
         self.advance(now)
 
     def accept_loss(self, now: float) -> None:
-        """Note that a person accepted that what is lost is lost."""
+        """Note that an operator accepted the loss of the missing records."""
         self.trusts_own_records = True
         self.advance(now)
 
     def next_incarnation(self, wall_ms: float) -> int:
-        """Return an incarnation later than any that is known.
+        """Return an incarnation later than any known one.
 
-        The wall clock (milliseconds) makes it also later than one that nobody remembers, as long as clocks
-        are not set back.
+        The wall-clock time (milliseconds) makes it also later than one that no gateway remembers, as long as
+        clocks are not set back.
         """
         return max(self.incarnation + 1, int(wall_ms))
 
     def retry_after(self) -> float:
-        """Return 0.0 where unknown extents may be placed, else the seconds after which to ask again."""
+        """Return 0.0 where unknown extents may be placed, else the seconds until a retry."""
         return 0.0 if self.stage is Stage.COMPLETE else RETRY_AFTER
 
     @property
     def records_lost(self) -> bool:
-        """It can't become COMPLETE by itself: its own records are not enough, and too few others answer."""
+        """Whether it can't become COMPLETE by itself: own records are incomplete, too few others answer."""
         return self.stage is Stage.RESTRICTED and not self.trusts_own_records
 
     def advance(self, now: float) -> None:
-        """Enter the next stage where that is due."""
-        before = self.stage
+        """Enter the next stage if it is due at this time (seconds)."""
+        previous = self.stage
         may_trust = self.trusts_own_records and (self.has_no_replicas or now >= self.started + TRUST_AFTER)
         if self.is_certain or may_trust:
             self.stage = Stage.COMPLETE
         elif self.stage is Stage.POLLING and now >= self.started + POLLING_TIMEOUT:
             self.stage = Stage.RESTRICTED
-        if self.stage is not before:
+        if self.stage is not previous:
             self.stage_since = now
 
     def next_timer(self, now: float) -> float | None:
-        """Return when advance() is next of use, in seconds; None: never again by time alone."""
+        """Return when time alone may change the stage next, in seconds; None where it can't."""
         if self.stage is Stage.COMPLETE:
             return None
         times = [self.started + POLLING_TIMEOUT]
--- a/tests/recovery/test_spacing.py
+++ b/tests/recovery/test_spacing.py
@@ -51,7 +51,9 @@
         opens.reserve(2e9)
         self.assertLessEqual(opens.reserve(1e9), 1.0)
         for n in range(500):
-            self.assertLessEqual(opens.reserve(1e9 + 0.01 * n), (MAX_SLOTS_AHEAD + 2) * opens.round_seconds)
+            self.assertLessEqual(
+                opens.reserve(1e9 + 0.01 * n), (MAX_SLOTS_AHEAD + 2) * opens.rotation_seconds
+            )
 
     def test_without_a_bound_nobody_waits(self) -> None:
         self.assertEqual([0.0] * 5, [ConnectionSlots(0.0, 1, 9).reserve(1e9) for _ in range(5)])
@@ -60,13 +62,13 @@
         asks = PollOrder([4, 2, 9], 200)
         self.assertEqual(200 / INITIAL_POLLS_PER_SECOND, asks.interval)
         self.assertEqual(4, asks.take_next())
-        asks.on_ended(4, False, 1.0)
+        asks.on_poll_ended(4, False, 1.0)
         self.assertEqual([2, 9, 4, None], [asks.take_next() for _ in range(4)])
         for _ in range(20):
-            asks.on_ended(2, True, 0.01)
+            asks.on_poll_ended(2, True, 0.01)
         self.assertEqual(200 / MAX_POLLS_PER_SECOND, asks.interval)
         for _ in range(20):
-            asks.on_ended(2, True, 0.5)
+            asks.on_poll_ended(2, True, 0.5)
         self.assertEqual(200 / INITIAL_POLLS_PER_SECOND, asks.interval)
 
     def test_return_times_are_spread(self) -> None:
