--- a/tests/fuzz_records.py
+++ b/tests/fuzz_records.py
@@ -1,8 +1,8 @@
-"""Coverage-guided fuzzing of what heads read of each other and of disks, run by hand:
+"""Coverage-guided fuzzing of the decoders of segments and of messages between gateways, run by hand:
 
     .venv/bin/python tests/fuzz_records.py -max_total_time=300
 
-Seeds are whole segments and messages. What may be raised is named; anything else is a finding.
+The seeds are valid segments and messages. Expected exceptions are caught; any other is a finding.
 """
 
 import sys
@@ -35,17 +35,17 @@
     from gorsethread.offline_writes import messages as offline_messages
 
 OWN = [Record((9, n), ExtentPlaced(1, n, n % 3) if n % 4 else ExtentReleased(1, n)) for n in range(1, 9)]
-HELD = WriteQueued(9, 6, 1, 2, 1, 0, "1/0", "h", 7, 0, 16, 1.5, [(1, 9, 5)], [], 3, b"data" * 9)
+QUEUED = WriteQueued(9, 6, 1, 2, 1, 0, "1/0", "h", 7, 0, 16, 1.5, [(1, 9, 5)], [], 3, b"data" * 9)
 OWN[5:] = [
-    Record((9, 6), HELD),
+    Record((9, 6), QUEUED),
     Record((9, 7), WriteProgress(9, 6, "parked", [0], "why")),
     Record((9, 8), Tombstone([-1, 9, 6])),
 ]
-OTHERS = [
+OTHER_RECORDS = [
     Record((9, 9), WriteApplied(3, 9, 6, True)),
     Record((9, 10), WriteDiscarded(9, 6, 1, 2, 1.5, "why")),
 ]
-NAMES = [segment_file_name(9, 1), segment_file_name(9, 2)]
+SEGMENT_NAMES = [segment_file_name(9, 1), segment_file_name(9, 2)]
 
 
 def segment(number: int) -> bytes:
@@ -64,7 +64,7 @@
             replication_messages.FetchRecords((9, 1)),
             replication_messages.FetchedRecords(replication_messages.to_entries(OWN), True),
             replication_messages.StoreRecords(
-                9, True, replication_messages.to_entries(OWN + OTHERS), (9, 10)
+                9, True, replication_messages.to_entries(OWN + OTHER_RECORDS), (9, 10)
             ),
             replication_messages.RecordsStored((9, 8)),
             replication_messages.IncarnationFenced(10),
@@ -82,40 +82,41 @@
     )
 
 
-def one(data: bytes) -> None:
+def fuzz_one_input(data: bytes) -> None:
     if not data:
         return
-    which, data = data[0], data[1:]
-    if which % 3 == 0:
+    selector, data = data[0], data[1:]
+    if selector % 3 == 0:
         try:
-            found = read_segment(data)
+            segment_read = read_segment(data)
         except UnusableSegmentError:
             return
-        if found is not None:
-            # A frame with a good sum is one that was written, short of a collision.
-            assert all(r in OWN for r in found.records) or found.header != SegmentHeader(1, 1, 2, 9, 1, 4, 4)
-    elif which % 3 == 1:
+        if segment_read is not None:
+            # Short of a collision, a frame with a valid checksum is one that was written.
+            is_seed = segment_read.header == SegmentHeader(1, 1, 2, 9, 1, 4, 4)
+            assert all(r in OWN for r in segment_read.records) or not is_seed
+    elif selector % 3 == 1:
         cut = data[0] % len(data) if data else 0
         try:
-            recover({NAMES[0]: data[:cut], NAMES[1]: data[cut:]}, 1, 2)
+            recover({SEGMENT_NAMES[0]: data[:cut], SEGMENT_NAMES[1]: data[cut:]}, 1, 2)
         except UnusableSegmentError:
             return
     else:
         reader = replication_messages.MessageReader(offline_messages.DECODER)
         try:
-            for at in range(0, len(data), 1 + which):
-                reader.feed(data[at : at + 1 + which])
+            for offset in range(0, len(data), 1 + selector):
+                reader.feed(data[offset : offset + 1 + selector])
         except replication_messages.ProtocolError:
             return
 
 
 def main() -> None:
     corpus = Path(sys.argv[-1]) if len(sys.argv) > 1 and Path(sys.argv[-1]).is_dir() else None
-    for which, data in ((0, segment(1)), (1, segment(1) + segment(2)), (2, messages())):
-        one(bytes([which]) + data)
+    for selector, data in ((0, segment(1)), (1, segment(1) + segment(2)), (2, messages())):
+        fuzz_one_input(bytes([selector]) + data)
         if corpus is not None:
-            (corpus / f"seed-{which}").write_bytes(bytes([which]) + data)
-    atheris.Setup(sys.argv, one)
+            (corpus / f"seed-{selector}").write_bytes(bytes([selector]) + data)
+    atheris.Setup(sys.argv, fuzz_one_input)
     atheris.Fuzz()
 
 
