--- a/gorsethread/nvme_gateway/replay_receiver.py
+++ b/gorsethread/nvme_gateway/replay_receiver.py
@@ -79,7 +79,7 @@
     # ---- messages
 
     def message_received(self, stream: Stream, message: Any) -> None:
-        """Handle a message of a branch's gateway; raises ProtocolError where the sender is not one."""
+        """Handle a message of a branch's gateway; raises ProtocolError where the sender is in no branch."""
         if isinstance(message, messages.Heartbeat):
             stream.write(encode(messages.HeartbeatReply(message.count)))
             return
--- a/gorsethread/nvme_gateway/replicated_log.py
+++ b/gorsethread/nvme_gateway/replicated_log.py
@@ -75,7 +75,7 @@
         self.recovery_client: RecoveryClient
         self.incarnation = 0
         self.stopped = False
-        self._chance = transport.chance("promises")
+        self._random = transport.chance("promises")
         self._position = 0
         self._placing: dict[ExtentKey, list[OnDurable]] = {}
 
@@ -210,7 +210,7 @@
         else:
             disk_delay = self.store.disk.retry_after(self.transport.now(), self.store.pending)
             delay = max(self.recovery.retry_after(), disk_delay)
-        return spread_retry_after(delay, self._chance.random()) if delay else 0.0
+        return spread_retry_after(delay, self._random.random()) if delay else 0.0
 
     def placed(self, extent: ExtentKey, shard: int, on_durable: OnDurable) -> None:
         """Record that an extent belongs to a shard.
--- a/gorsethread/nvme_gateway/replication_client.py
+++ b/gorsethread/nvme_gateway/replication_client.py
@@ -193,7 +193,7 @@
 
 
 class _SilenceWatch:
-    """Closes a stream whose replica has not answered for ANSWER_TIMEOUT: its machine may be down."""
+    """Closes a stream whose replica has owed an answer for ANSWER_TIMEOUT; its machine may be down."""
 
     def __init__(self, client: ReplicationClient, peer: int, stream: Stream) -> None:
         self._client = client
--- a/gorsethread/recovery/stages.py
+++ b/gorsethread/recovery/stages.py
@@ -8,7 +8,7 @@
 are enough: once that many have answered, one of them must hold whatever was acknowledged, and the stage is
 COMPLETE. Where that many do not answer, the gateway continues without them and never waits for an answer that
 cannot come: it believes complete records of its own after TRUST_AFTER seconds. With incomplete records, or
-none at all, it stays RESTRICTED until enough others answer or a person accepts the loss. An empty folder
+none at all, it stays RESTRICTED until enough others answer or an operator accepts the loss. An empty folder
 means a first start or a lost disk, which only the other gateways can tell apart.
 """
 
--- a/tests/durable_log/test_records.py
+++ b/tests/durable_log/test_records.py
@@ -119,18 +119,18 @@
         for cut in range(ends[0], len(data)):
             parsed = read_valid_segment(data[:cut])
             self.assertTrue(parsed.complete, cut)
-            whole = max(n for n, end in enumerate(ends) if end <= cut)
-            self.assertEqual((whole, cut - ends[whole]), (len(parsed.records), parsed.torn_bytes), cut)
+            complete = max(n for n, end in enumerate(ends) if end <= cut)
+            self.assertEqual((complete, cut - ends[complete]), (len(parsed.records), parsed.torn_bytes), cut)
         for cut in range(ends[0]):
             self.assertIsNone(read_segment(data[:cut]))
 
     def test_any_corrupt_byte_is_reported_and_the_frames_after_it_are_read(self) -> None:
         data, start = segment(in_snapshot=4, later_records=6), len(segment())
         last = len(segment(in_snapshot=4, later_records=5))
-        chance = random.Random(1)
+        rng = random.Random(1)
         for at in range(start, last):
             corrupt = bytearray(data)
-            corrupt[at] ^= 1 + chance.randrange(255)
+            corrupt[at] ^= 1 + rng.randrange(255)
             parsed = read_valid_segment(bytes(corrupt))
             self.assertFalse(parsed.complete, at)
             self.assertGreaterEqual(len(parsed.records), 9)
@@ -158,12 +158,13 @@
     @given(st.binary(max_size=200), st.integers(0, 400))
     @settings(max_examples=300)
     def test_random_bytes_add_no_records_and_raise_nothing(self, noise: bytes, at: int) -> None:
-        whole = segment(in_snapshot=2, later_records=3)
-        for data in (noise, whole[:at] + noise + whole[at:]):
+        complete = segment(in_snapshot=2, later_records=3)
+        for data in (noise, complete[:at] + noise + complete[at:]):
             parsed = read_segment(data)
             if parsed is not None:
                 self.assertLessEqual(
-                    {r.number for r in parsed.records}, {r.number for r in read_valid_segment(whole).records}
+                    {r.number for r in parsed.records},
+                    {r.number for r in read_valid_segment(complete).records},
                 )
 
 
@@ -308,10 +309,10 @@
             self.durable.clear()
             process = self.start_process(seed)
             store, _ = self.open_store(process)
-            chance = random.Random(seed)
+            rng = random.Random(seed)
             for position in range(1, 60):
                 self.add_record(store, position)
-                self.wait(chance.uniform(0.0, 0.002))
+                self.wait(rng.uniform(0.0, 0.002))
             recovered = self.recover_after_kill(process)
             recovered_positions = {r.number[1] for r in recovered.table.records.values()}
             self.assertTrue(recovered.complete, recovered.faults)
@@ -375,7 +376,7 @@
             self.disk.files.clear()
             process = self.start_process(seed)
             store, _ = self.open_store(process)
-            chance = random.Random(seed)
+            rng = random.Random(seed)
             last_durable: dict[int, int] = {}  # by extent
 
             def note_durable(n: int, last_durable: dict[int, int] = last_durable) -> Callable[[bool], None]:
@@ -384,8 +385,8 @@
             for n in range(1, 12_000):
                 store.add(Record((INCARNATION, n), ExtentPlaced(1, n % 300, 1)), note_durable(n))
                 if n % 400 == 0:
-                    (self.disk.broken.add if chance.random() < 0.06 else self.disk.broken.discard)("head 2")
-                    self.wait(chance.choice((0.001, 0.004, 0.02)))
+                    (self.disk.broken.add if rng.random() < 0.06 else self.disk.broken.discard)("head 2")
+                    self.wait(rng.choice((0.001, 0.004, 0.02)))
             recovered = self.recover_after_kill(process)
             self.assertTrue(recovered.complete, recovered.faults)
             recovered_numbers = {r.fact.subject[1]: r.number[1] for r in recovered.table.records.values()}
@@ -397,7 +398,7 @@
             self.disk.files.clear()
             process = self.start_process(seed)
             store, _ = self.open_store(process)
-            chance = random.Random(seed)
+            rng = random.Random(seed)
             self.disk.slow["head 2"] = 0.02  # so that writing a new segment takes long
             last_durable: dict[int, int] = {}  # by extent
 
@@ -415,9 +416,9 @@
             while not store._compaction.running:
                 add(200)
                 self.wait(0.004)
-            for _ in range(1 + chance.randrange(300)):
+            for _ in range(1 + rng.randrange(300)):
                 add(1)
-                self.wait(chance.uniform(0.0, 0.0005))
+                self.wait(rng.uniform(0.0, 0.0005))
             self.disk.slow.clear()
             recovered = self.recover_after_kill(process)
             self.assertTrue(recovered.complete, recovered.faults)
--- a/tests/recovery/test_stages.py
+++ b/tests/recovery/test_stages.py
@@ -30,71 +30,71 @@
 
 class RecoveryStageTransitions(unittest.TestCase):
     def test_complete_records_confirmed_by_all_others_are_complete_at_once(self) -> None:
-        r = recovery()
+        stages = recovery()
         for n in OTHERS:
-            self.assertIs(Stage.POLLING, r.stage)
-            self.assertFalse(r.on_answer(n, LAST, 7, 0.1))
-        self.assertEqual((Stage.COMPLETE, 0.0), (r.stage, r.retry_after()))
+            self.assertIs(Stage.POLLING, stages.stage)
+            self.assertFalse(stages.on_answer(n, LAST, 7, 0.1))
+        self.assertEqual((Stage.COMPLETE, 0.0), (stages.stage, stages.retry_after()))
 
     def test_complete_records_are_trusted_after_a_while_without_answers(self) -> None:
-        r = recovery()
-        self.assertEqual(POLLING_TIMEOUT, r.next_timer(0.0))
-        r.advance(POLLING_TIMEOUT)
-        self.assertIs(Stage.RESTRICTED, r.stage)
-        self.assertGreater(r.retry_after(), 0.0)
-        self.assertEqual(TRUST_AFTER, r.next_timer(POLLING_TIMEOUT))
-        r.advance(TRUST_AFTER)
-        self.assertEqual((Stage.COMPLETE, None), (r.stage, r.next_timer(TRUST_AFTER)))
+        stages = recovery()
+        self.assertEqual(POLLING_TIMEOUT, stages.next_timer(0.0))
+        stages.advance(POLLING_TIMEOUT)
+        self.assertIs(Stage.RESTRICTED, stages.stage)
+        self.assertGreater(stages.retry_after(), 0.0)
+        self.assertEqual(TRUST_AFTER, stages.next_timer(POLLING_TIMEOUT))
+        stages.advance(TRUST_AFTER)
+        self.assertEqual((Stage.COMPLETE, None), (stages.stage, stages.next_timer(TRUST_AFTER)))
 
     def test_lost_records_wait_for_answers_or_an_accepted_loss(self) -> None:
         for lost in ({"own_last": NO_SEQUENCE, "empty": True}, {"complete": False}):
             with self.subTest(lost=lost):
-                r = recovery(**lost)  # type: ignore[arg-type]
-                r.advance(1000.0)
-                self.assertEqual((Stage.RESTRICTED, True), (r.stage, r.records_lost))
-                self.assertEqual([1, 2, 3], r.awaited())
-                r.accept_loss(1001.0)
-                self.assertIs(Stage.COMPLETE, r.stage)
+                stages = recovery(**lost)  # type: ignore[arg-type]
+                stages.advance(1000.0)
+                self.assertEqual((Stage.RESTRICTED, True), (stages.stage, stages.records_lost))
+                self.assertEqual([1, 2, 3], stages.awaited())
+                stages.accept_loss(1001.0)
+                self.assertIs(Stage.COMPLETE, stages.stage)
                 self.assertIs(Stage.COMPLETE, self.after(recovery(**lost, loss_accepted=True), TRUST_AFTER))  # type: ignore
 
-    def after(self, r: RecoveryStages, now: float) -> Stage:
-        r.advance(now)
-        return r.stage
+    def after(self, stages: RecoveryStages, now: float) -> Stage:
+        stages.advance(now)
+        return stages.stage
 
     def test_later_records_of_others_are_waited_for(self) -> None:
-        r = recovery()
-        self.assertTrue(r.on_answer(1, (7, 41), 7, 0.1))
-        r.on_answer(2, LAST, 7, 0.1)
-        r.on_answer(3, LAST, 7, 0.1)
-        self.assertIs(Stage.POLLING, r.stage)
-        r.on_fetched(1, 0.2)
-        self.assertIs(Stage.COMPLETE, r.stage)
+        stages = recovery()
+        self.assertTrue(stages.on_answer(1, (7, 41), 7, 0.1))
+        stages.on_answer(2, LAST, 7, 0.1)
+        stages.on_answer(3, LAST, 7, 0.1)
+        self.assertIs(Stage.POLLING, stages.stage)
+        stages.on_fetched(1, 0.2)
+        self.assertIs(Stage.COMPLETE, stages.stage)
 
     def test_incomplete_records_are_fetched_from_the_start(self) -> None:
-        r = recovery(complete=False)
-        self.assertTrue(r.on_answer(1, (7, 3), 7, 0.0))
+        stages = recovery(complete=False)
+        self.assertTrue(stages.on_answer(1, (7, 3), 7, 0.0))
 
     def test_answers_needed_leave_no_acknowledged_record_out(self) -> None:
         for held_by, needed in ((1, 3), (2, 2), (3, 1)):
             self.assertEqual(needed, recovery(required=held_by).answers_needed)
 
     def test_without_replicas_an_empty_and_a_complete_folder_are_complete_at_once(self) -> None:
-        for r in (
+        for stages in (
             recovery(NO_SEQUENCE, empty=True, required=0),
             recovery(required=0),
             recovery(NO_SEQUENCE, empty=True, others=frozenset()),
         ):
-            self.assertIs(Stage.COMPLETE, r.stage)
+            self.assertIs(Stage.COMPLETE, stages.stage)
         self.assertIs(Stage.RESTRICTED, self.after(recovery(complete=False, required=0), 1000.0))
 
     @given(st.integers(0, 10**13), st.lists(st.integers(0, 10**13), max_size=3), st.floats(0, 1e13))
     def test_the_next_incarnation_is_later_than_any_known_one(
         self, own: int, known: list[int], wall: float
     ) -> None:
-        r = recovery((own, 1))
+        stages = recovery((own, 1))
         for n, incarnation in enumerate(known, 1):
-            r.on_answer(n, (0, 0), incarnation, 0.0)
-        self.assertGreater(r.next_incarnation(wall), max(own, *known, 0))
+            stages.on_answer(n, (0, 0), incarnation, 0.0)
+        self.assertGreater(stages.next_incarnation(wall), max(own, *known, 0))
 
 
 class RecoveryModelCheck(unittest.TestCase):
@@ -108,7 +108,7 @@
 
     MAX_ACKNOWLEDGED = 2
 
-    def check(self, inject_defect: Callable[[RecoveryStages], None] = lambda r: None) -> dict[str, Any]:
+    def check(self, inject_defect: Callable[[RecoveryStages], None] = lambda stages: None) -> dict[str, Any]:
         def recovered_at(
             own: int,
             complete: bool,
@@ -118,22 +118,22 @@
             now: float,
         ) -> RecoveryStages:
             found = OwnRecords((1, own) if own else NO_SEQUENCE, complete, empty, False)
-            r = RecoveryStages(0.0, found, frozenset({1, 2}), 1)
-            inject_defect(r)
+            stages = RecoveryStages(0.0, found, frozenset({1, 2}), 1)
+            inject_defect(stages)
             for n, last in answers:
-                r.on_answer(n, (1, last) if last else NO_SEQUENCE, 1, 0.0)
+                stages.on_answer(n, (1, last) if last else NO_SEQUENCE, 1, 0.0)
             for n in fetched:
-                r.on_fetched(n, 0.0)
-            r.advance(now)
-            return r
+                stages.on_fetched(n, 0.0)
+            stages.advance(now)
+            return stages
 
         def transitions(state: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
             acknowledged, own, replicated, up, answers, fetched, timed_out, lost = state
             found: list[tuple[str, tuple[Any, ...]]] = []
             complete, empty = True, own == 0
-            r = recovered_at(own, complete, empty, answers, fetched, 1000.0 if timed_out else 0.0)
+            stages = recovered_at(own, complete, empty, answers, fetched, 1000.0 if timed_out else 0.0)
             recovered = max([own, *(replicated[n - 1] for n in fetched)])
-            if up and r.stage is Stage.COMPLETE:
+            if up and stages.stage is Stage.COMPLETE:
                 if acknowledged < self.MAX_ACKNOWLEDGED and acknowledged <= recovered:
                     for n in (1, 2):  # the one that confirms the record first
                         replicas_after = tuple(
@@ -224,11 +224,11 @@
         def complete_has_all(d: dict[str, Any]) -> bool:
             if not d["up"]:
                 return True
-            r = recovered_at(
+            stages = recovered_at(
                 d["own"], True, d["own"] == 0, d["answers"], d["fetched"], 1000.0 if d["timed_out"] else 0.0
             )
             has = max([d["own"], *(last for n, last in d["answers"] if n in d["fetched"])])
-            return r.stage is not Stage.COMPLETE or has >= d["acknowledged"]
+            return stages.stage is not Stage.COMPLETE or has >= d["acknowledged"]
 
         result: dict[str, Any] = check_safety(
             Protocol(
@@ -249,15 +249,17 @@
         self.assertTrue(result["properties"]["complete has all records"]["holds"], result)
 
     def test_each_injected_defect_is_found(self) -> None:
-        def trusts_any_records(r: RecoveryStages) -> None:
-            r.trusts_own_records = True
+        def trusts_any_records(stages: RecoveryStages) -> None:
+            stages.trusts_own_records = True
 
-        def needs_one_answer(r: RecoveryStages) -> None:
-            r.required_replicas = 2
+        def needs_one_answer(stages: RecoveryStages) -> None:
+            stages.required_replicas = 2
 
-        def fetches_nothing(r: RecoveryStages) -> None:
-            original = r.on_answer
-            r.on_answer = lambda n, last, life, now: original(n, min(last, r.own_last), life, now)  # type: ignore
+        def fetches_nothing(stages: RecoveryStages) -> None:
+            original = stages.on_answer
+            stages.on_answer = lambda n, last, known, now: (  # type: ignore
+                original(n, min(last, stages.own_last), known, now)
+            )
 
         for defect in (trusts_any_records, needs_one_answer, fetches_nothing):
             with self.subTest(defect.__name__):
@@ -360,7 +362,7 @@
 
     @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 6)), max_size=60), st.randoms())
     def test_a_replica_has_the_records_that_the_sender_counts(
-        self, steps: list[tuple[int, int]], chance: Any
+        self, steps: list[tuple[int, int]], rng: Any
     ) -> None:
         """Records, lost connections and compaction in any order: a replica has what the sender counts."""
         table, sender, position, dropped = RecordTable(), ReplicationSender(1), 0, NO_SEQUENCE
@@ -370,9 +372,7 @@
         for step, extent in steps:
             if step == 0:
                 position += 1
-                fact = (
-                    ExtentReleased(1, extent) if chance.random() < 0.3 else ExtentPlaced(1, extent, position)
-                )
+                fact = ExtentReleased(1, extent) if rng.random() < 0.3 else ExtentPlaced(1, extent, position)
                 table.apply(Record((1, position), fact))
             elif step == 1:
                 if sender.replicas[1].confirmed is None:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,6 +1,6 @@
-"""Data written by the version before the readers' work is read as it was, with its contents compared.
+"""Data stored by an earlier version is read, and its contents are compared.
 
-The files under tests/fixtures/ were written by that version's own code. They are never written anew: a
+The files under tests/fixtures/ were written by the code of that version. They must not be regenerated: a
 version that can't read them can't take over a gateway's folder.
 """
 
@@ -26,35 +26,35 @@
 SNAPSHOT = FIXTURES / "accounts-snapshot" / "head-3-001764600000000.acc"
 
 
-def contents_of(path: Path) -> Any:
+def expected_contents(path: Path) -> Any:
     return json.loads(path.read_text())
 
 
-def plain(value: Any) -> Any:
-    """As the fixtures' JSON has it: bytes as their hexadecimal digits."""
+def to_fixture_json(value: Any) -> Any:
+    """Return a value in the form of the fixtures' JSON, with bytes as hexadecimal digits."""
     if isinstance(value, bytes):
         return {"bytes": value.hex()}
     if isinstance(value, list | tuple):
-        return [plain(one) for one in value]
+        return [to_fixture_json(item) for item in value]
     return value
 
 
 @pytest.mark.parametrize(("folder", "gateway"), [("gateway-log", 2), ("branch-log", 8), ("replica-log", 3)])
-def test_a_gateways_log_holds_what_was_written(folder: str, gateway: int) -> None:
-    expected = contents_of(FIXTURES / folder / "contents.json")
+def test_a_stored_log_has_the_records_that_were_written(folder: str, gateway: int) -> None:
+    expected = expected_contents(FIXTURES / folder / "contents.json")
     files = {path.name: path.read_bytes() for path in (FIXTURES / folder).glob("*.seg")}
-    found = recover(files, FLEET, gateway)
+    recovered = recover(files, FLEET, gateway)
     records = [
-        [list(record.number), plain(msgspec.to_builtins(record.fact, builtin_types=(bytes,)))]
-        for record in found.table.in_order()
+        [list(record.number), to_fixture_json(msgspec.to_builtins(record.fact, builtin_types=(bytes,)))]
+        for record in recovered.table.in_order()
     ]
     assert records == expected["records"]
-    assert list(found.table.last) == expected["last"]
-    assert found.complete == expected["complete"]
-    assert found.faults == []
+    assert list(recovered.table.last) == expected["last"]
+    assert recovered.complete == expected["complete"]
+    assert recovered.faults == []
 
 
-def test_a_gateway_starts_on_the_folder(tmp_path: Path) -> None:
+def test_a_log_store_opens_a_stored_folder(tmp_path: Path) -> None:
     for segment in (FIXTURES / "gateway-log").glob("*.seg"):
         (tmp_path / segment.name).write_bytes(segment.read_bytes())
 
@@ -69,18 +69,18 @@
     asyncio.run(start())
 
 
-def test_a_snapshot_of_accounts_holds_what_was_written() -> None:
+def test_a_stored_accounts_snapshot_has_the_contents_that_were_written() -> None:
     raw = SNAPSHOT.read_bytes()
     window = decode(raw, "fixture-site")
     message = snapshot_pb2.Snapshot.FromString(raw[FRAME.size :])
-    expected = contents_of(SNAPSHOT.parent / "contents.json")
+    expected = expected_contents(SNAPSHOT.parent / "contents.json")
     assert MessageToDict(message, preserving_proto_field_name=True) == expected
     assert sum(row.lives for row in window.rows.values()) == 59
     assert encode("fixture-site", window) == raw
 
 
 @pytest.mark.parametrize("name", ["site", "branch"])
-def test_a_site_file_says_what_it_said(name: str) -> None:
+def test_a_site_file_is_read_with_the_same_contents(name: str) -> None:
     site = read_site(FIXTURES / "site-file" / f"{name}.txtpb")
-    expected = contents_of(FIXTURES / "site-file" / f"{name}.json")
+    expected = expected_contents(FIXTURES / "site-file" / f"{name}.json")
     assert MessageToDict(site, preserving_proto_field_name=True) == expected
