--- a/gorsethread/lab/crowd/gateway.py
+++ b/gorsethread/lab/crowd/gateway.py
@@ -10,7 +10,7 @@
 from gorsethread.scheduling.model import (
     AttemptEnded,
     AttemptOutcome,
-    RequestTaken,
+    RequestReceived,
 )
 from gorsethread.scheduling.scheduler import Scheduler
 
@@ -82,8 +82,8 @@
             return
         store = self.world.day.stores[ask.volume]
         t = self.open[id] = Held(ask, self.world.now + DEADLINES[ask.profile])
-        self.scheduler.request_taken(
-            RequestTaken(
+        self.scheduler.request_received(
+            RequestReceived(
                 id,
                 ask.profile,
                 store.plan,
@@ -141,7 +141,7 @@
         if t.out is not None and t.out.number == number:
             self.ended(t.out, AttemptOutcome.CANCELLED)
 
-    def reject(self, transaction: int, return_after: float) -> None:
+    def reject(self, transaction: int, retry_after: float) -> None:
         self._answer(transaction, "pushed back")
 
     def fail(self, transaction: int) -> None:
--- a/tests/offline_writes/test_messages.py
+++ b/tests/offline_writes/test_messages.py
@@ -28,7 +28,7 @@
 @pytest.mark.parametrize(("message", "encoded"), ENCODED, ids=lambda value: type(value).__name__)
 def test_encoding_of_each_message_is_stable(message: msgspec.Struct, encoded: str) -> None:
     assert encode(message).hex() == encoded
-    assert MessageReader(messages.DECODER).take(bytes.fromhex(encoded)) == [message]
+    assert MessageReader(messages.DECODER).feed(bytes.fromhex(encoded)) == [message]
 
 
 def test_every_message_class_has_an_encoding_here() -> None:
