--- a/gorsethread/nvme_gateway/offline/write_admission.py
+++ b/gorsethread/nvme_gateway/offline/write_admission.py
@@ -284,7 +284,7 @@
     def _persist(self, request: ClientCommand, accepted_at: float, dependencies: Dependencies) -> None:
         number = self._persistence.next_number()
         record = self._record(request, number, accepted_at, dependencies)
-        self._queue.persisting(write_of(number, record, self._settings))
+        self._queue.add_persisting(write_of(number, record, self._settings))
         pending = PendingAdmission(record, request.client)
         self._pending[number] = pending
         pending.timer = self._transport.at(request.deadline, lambda: self._deadline_passed(number))
@@ -327,7 +327,7 @@
 
     def _withdraw(self, number: WriteNumber, pending: PendingAdmission) -> None:
         pending.is_withdrawn = True
-        self._queue.withdrawn(number)
+        self._queue.withdraw(number)
         self._history.count("not kept")
         self._persistence.withdraw(pending.record, lambda: self._fail(number))
 
@@ -335,7 +335,7 @@
         del self._pending[number]
         if pending.timer is not None:
             pending.timer.cancel()
-        self._queue.persisted(number)
+        self._queue.mark_persisted(number)
         queued = self._queue.get(number)
         assert queued is not None
         record = pending.record
