--- a/gorsethread/nvme_gateway/offline/branch_settings.py
+++ b/gorsethread/nvme_gateway/offline/branch_settings.py
@@ -92,7 +92,7 @@
         fleet=fleet_of(site),
         main_site=main_site,
         volumes={volume.number: _volume_settings(volume, main_site) for volume in site.volume},
-        request_classes=tuple(_request_class_settings(profile) for profile in site.profile),
+        request_classes=tuple(_request_class_settings(each) for each in site.profile),
         queue_limits=QueueLimits(branch.queue_bytes, branch.queue_writes, branch.queue_age),
         max_retry_after=site.rules.longest_return,
     )
@@ -109,11 +109,11 @@
     )
 
 
-def _request_class_settings(profile: pb.Profile) -> RequestClassSettings:
+def _request_class_settings(request_class: pb.Profile) -> RequestClassSettings:
     return RequestClassSettings(
-        priority_weight=profile.value,
-        may_be_queued=profile.held_when_cut_off,
-        stops_on_conflict=profile.when_changed == pb.PARK,
-        idempotent=profile.effect == pb.REDOABLE,
-        latency_objective=profile.promised,
+        priority_weight=request_class.value,
+        may_be_queued=request_class.held_when_cut_off,
+        stops_on_conflict=request_class.when_changed == pb.PARK,
+        idempotent=request_class.effect == pb.REDOABLE,
+        latency_objective=request_class.promised,
     )
