--- a/gorsethread/faults/mutants.py
+++ b/gorsethread/faults/mutants.py
@@ -26,16 +26,16 @@
     """Changes each link as it is made."""
     follower: Any = head.follower
     links = follower.links
-    honest = links.listed
+    honest = links.update
 
-    def listed(shelf: int, shard: int, address: tuple[str, int], state: str) -> None:
+    def update(shelf: int, shard: int, address: tuple[str, int], state: str) -> None:
         before = links.driver.links.get(shelf)
         honest(shelf, shard, address, state)
         after = links.driver.links.get(shelf)
         if after is not None and after is not before:
             change(after)
 
-    links.listed = listed
+    links.update = update
 
 
 def _override(link: BackendLink, name: str, method: Callable[..., Any]) -> None:
@@ -66,13 +66,13 @@
 
 @mutant("driver: one forward's end in fifty is not told")
 def _loses_ends(head: Head) -> None:
-    honest, now = head.driver.happened, sometimes(50)
+    honest, now = head.driver.queue_event, sometimes(50)
 
-    def happened(method: str, *facts: Any) -> None:
+    def queue_event(method: str, *facts: Any) -> None:
         if method != "attempt_ended" or not now():
             honest(method, *facts)
 
-    head.driver.happened = happened  # type: ignore[method-assign]
+    head.driver.queue_event = queue_event  # type: ignore[method-assign]
 
 
 @mutant("driver: a transaction given up stays open")
@@ -80,24 +80,24 @@
     honest = head.driver.fail
 
     def fail(request: int) -> None:
-        t = head.driver.open.get(request)
+        t = head.driver.open_requests.get(request)
         honest(request)
         if t is not None:
-            head.driver.open[request] = t
+            head.driver.open_requests[request] = t
 
     head.driver.fail = fail  # type: ignore[method-assign]
 
 
 @mutant("driver: what was honoured is not told as finished")
 def _never_finished(head: Head) -> None:
-    honest = head.driver.happened
+    honest = head.driver.queue_event
 
-    def happened(method: str, *facts: Any) -> None:
+    def queue_event(method: str, *facts: Any) -> None:
         if method == "attempt_ended":
             facts = (facts[0]._replace(request_finished=False),)
         honest(method, *facts)
 
-    head.driver.happened = happened  # type: ignore[method-assign]
+    head.driver.queue_event = queue_event  # type: ignore[method-assign]
 
 
 @mutant("driver: gives up by pushing back")
@@ -125,7 +125,7 @@
     honest, now = head.driver.reject, sometimes(5)
 
     def reject(request: int, return_after: float) -> None:
-        t = head.driver.open.get(request)
+        t = head.driver.open_requests.get(request)
         if t is not None and now():
             t.answered = True
             head.driver._close(t)
@@ -177,7 +177,7 @@
         honest = link._connect
 
         async def connect() -> None:
-            over = [f for f in link.waiting if f.over]
+            over = [f for f in link.waiting if f.ended]
             await honest()
             for f in over:
                 if link.association is not None:
--- a/gorsethread/faults/planted.py
+++ b/gorsethread/faults/planted.py
@@ -24,7 +24,7 @@
     honest = driver._ended
 
     def ended(attempt: Attempt, outcome: AttemptOutcome, result: AttemptResult) -> None:
-        request = driver.open.get(attempt.request)
+        request = driver.open_requests.get(attempt.request)
         if request is not None and request.id % 10 == 0:
             request.answered = True
         honest(attempt, outcome, result)
@@ -45,8 +45,8 @@
 
     def send_attempt(request: int, backend: int, wait: float) -> None:
         honest(request, backend, wait)
-        t = driver.open.get(request)
-        if t is not None and t.attempts and (f := t.out.get(t.attempts - 1)):
+        t = driver.open_requests.get(request)
+        if t is not None and t.attempts and (f := t.in_flight.get(t.attempts - 1)):
             act(t, f)
 
     driver.send_attempt = send_attempt  # type: ignore[method-assign]
--- a/gorsethread/faults/planting.py
+++ b/gorsethread/faults/planting.py
@@ -23,15 +23,15 @@
 
 def told_as(head: Any, wrong: dict[AttemptOutcome, AttemptOutcome]) -> None:
     """The decisions hear another ending than the one there was. head: of either front."""
-    honest = head.driver.happened
+    honest = head.driver.queue_event
 
-    def happened(method: str, *facts: Any) -> None:
+    def queue_event(method: str, *facts: Any) -> None:
         if method == "attempt_ended":
             end = facts[0]
             facts = (end._replace(outcome=wrong.get(end.outcome, end.outcome)),)
         honest(method, *facts)
 
-    head.driver.happened = happened
+    head.driver.queue_event = queue_event
 
 
 def sometimes(every: int) -> Callable[[], bool]:
--- a/gorsethread/faults/states.py
+++ b/gorsethread/faults/states.py
@@ -7,7 +7,7 @@
 
 States = dict[str, Callable[[Any], bool]]
 DECIDED: States = {
-    "nothing open": lambda h: not h.driver.open,
+    "nothing open": lambda h: not h.driver.open_requests,
     "forwards out": lambda h: any(s.in_flight for s in h.driver.scheduler.shards.backends.values()),
     "first writes out": lambda h: bool(h.driver.first_writes.pending),
     "volumes held": lambda h: any(v.queues for v in h.driver.scheduler.queueing.busy.values()),
--- a/gorsethread/faults/webmutants.py
+++ b/gorsethread/faults/webmutants.py
@@ -22,14 +22,14 @@
 def _on_links(head: Gateway, change: Callable[[backend_link.BackendLink], None]) -> None:
     """Changes each link as it is made."""
     links = head.discovery.updates.links
-    honest = links._make
+    honest = links._make_link
 
     def make(shelf: int, address: tuple[str, int]) -> Any:
         link = honest(shelf, address)
         change(link)
         return link
 
-    links._make = make
+    links._make_link = make
 
 
 def _on_clients(head: Gateway, change: Callable[[Any], None]) -> None:
@@ -116,7 +116,7 @@
         honest, again = link.end, set[int]()
 
         def end(f: Any, how: AttemptOutcome, *told: Any) -> None:
-            if how is AttemptOutcome.CONNECTION_LOST and f.request not in again and not f.over:
+            if how is AttemptOutcome.CONNECTION_LOST and f.request not in again and not f.ended:
                 again.add(f.request)
                 link.send(f)
             else:
@@ -218,10 +218,10 @@
 
     def reject(request: int, return_after: float) -> None:
         count[0] += 1
-        t = head.driver.open.get(request)
+        t = head.driver.open_requests.get(request)
         if t is not None and count[0] % 4 == 0:
             t.answered = True
-            head.driver.open.pop(request)
+            head.driver.open_requests.pop(request)
         else:
             honest(request, return_after)
 
--- a/gorsethread/faults/webworld.py
+++ b/gorsethread/faults/webworld.py
@@ -219,8 +219,8 @@
             )
         for connection in pool.busy.values():
             f = connection.attempt
-            t = driver.open.get(f.request) if f is not None else None
-            if f is not None and not f.over and (t is None or t.out.get(f.number) is not f):
+            t = driver.open_requests.get(f.request) if f is not None else None
+            if f is not None and not f.ended and (t is None or t.in_flight.get(f.number) is not f):
                 self._defect(f"forward without an owner: head {number}, shelf {connection.link.host}")
 
     def _check_accounts(self) -> None:
--- a/gorsethread/faults/world.py
+++ b/gorsethread/faults/world.py
@@ -588,20 +588,20 @@
     def _check_owners(self, number: int, head: Any) -> None:
         """No forward out without a transaction that owns it, and none awaited that no link holds."""
         driver = head.driver
-        for owner in driver.open.values():
-            for f in owner.out.values():
+        for owner in driver.open_requests.values():
+            for f in owner.in_flight.values():
                 held = driver.links.get(f.backend)
                 if f in driver.awaiting_placement:
                     continue  # waits for the disk, or for copies
-                if not f.over and (held is None or held.out.get(f.cid) is not f and f not in held.waiting):
+                if not f.ended and (held is None or held.out.get(f.cid) is not f and f not in held.waiting):
                     self._defect(
                         f"forward that no link holds: head {number}, shelf {f.backend}, transaction "
                         f"{owner.id}"
                     )
         for link in driver.links.values():
             for f in (*link.out.values(), *link.waiting):
-                t = driver.open.get(f.request)
-                if not f.over and f.number >= 0 and (t is None or t.out.get(f.number) is not f):
+                t = driver.open_requests.get(f.request)
+                if not f.ended and f.number >= 0 and (t is None or t.in_flight.get(f.number) is not f):
                     self._defect(
                         f"forward without an owner: head {number}, shelf {link.shelf}, transaction "
                         f"{f.request}"
@@ -611,7 +611,7 @@
         """taken is the sum of what was answered, who left, and what is open."""
         driver = self.heads[number].driver
         counts = driver.counts
-        waiting = sum(not t.answered for t in driver.open.values())
+        waiting = sum(not t.answered for t in driver.open_requests.values())
         answered = sum(counts[how] for how in COUNTED)
         if counts["requests"] != answered + waiting:
             self._defect(
@@ -650,7 +650,7 @@
             self._check_counts(number)
             driver, scheduler = head.driver, head.driver.scheduler
             left: dict[str, Sized] = {
-                "open transactions": driver.open,
+                "open transactions": driver.open_requests,
                 "transactions of the policy": scheduler.requests,
                 "busy volumes": scheduler.queueing.busy,
                 "lines of keys": scheduler.key_ordering.queues,
--- a/gorsethread/gateway/attempts.py
+++ b/gorsethread/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""One sending of a request to a backend, and what came back."""
+"""One attempt of a request at a backend, and its result."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -8,10 +8,11 @@
 
 
 class AttemptResult(NamedTuple):
-    """What a backend's answer brought.
+    """The contents of a backend's answer.
 
-    data is that of a read; units_elsewhere counts units that the volume was served through other gateways,
-    usage is the backend's own figure, service_seconds its own service time (0: it told none).
+    data is what a read returned. units_elsewhere is the number of units that other gateways served of the
+    volume, usage the backend's own figure of its load, service_seconds the backend's own service time (0 if
+    the answer has none).
     """
 
     data: bytes = b""
@@ -27,8 +28,8 @@
 class Attempt:
     """One sending of a request to a backend.
 
-    on_end is called once, by whoever ends it; over says that this has happened, so later answers are dropped.
-    cid is the command identifier on an NVMe queue, -1 before it has one.
+    Whoever ends the attempt sets ended and calls on_end, once; answers that arrive after that are dropped.
+    cid is the command identifier on an NVMe queue, -1 until the command is submitted.
     """
 
     request: int
@@ -38,5 +39,5 @@
     payload: Any
     on_end: "Callable[[Attempt, AttemptOutcome, AttemptResult], None]"
     cid: int = -1
-    over: bool = False
-    first_write: bool = False  # of an extent that nobody has placed yet
+    ended: bool = False
+    first_write: bool = False  # writes an extent that has no shard yet
--- a/gorsethread/gateway/backend_links.py
+++ b/gorsethread/gateway/backend_links.py
@@ -14,11 +14,11 @@
     """
 
     def __init__(self, make: Callable[[int, tuple[str, int]], Any]) -> None:
-        self._make = make
+        self._make_link = make
         self.driver: Driver
         self._leaving: set[int] = set()  # gone, with attempts in flight; emptied as these end, or it is back
 
-    def listed(self, backend: int, shard: int, address: tuple[str, int], state: str) -> None:
+    def update(self, backend: int, shard: int, address: tuple[str, int], state: str) -> None:
         """The list names the backend, in the state "ready", "draining" or "gone"."""
         if state == "gone":
             self._remove(backend)
@@ -30,16 +30,16 @@
             link.close()
             link = None
         if link is None:
-            links[backend] = self._make(backend, address)
+            links[backend] = self._make_link(backend, address)
         self._leaving.discard(backend)
         self.driver.shards[backend] = shard
 
-    def only(self, backends: set[int]) -> None:
+    def keep_only(self, backends: set[int]) -> None:
         """The list was complete: every other backend is gone."""
         for backend in [known for known in self.driver.links if known not in backends]:
             self._remove(backend)
 
-    def forget_idle(self) -> None:
+    def remove_idle(self) -> None:
         """Removes links that had attempts in flight when their backend left, once these have ended."""
         for backend in list(self._leaving):
             self._remove(backend)
--- a/gorsethread/gateway/driver.py
+++ b/gorsethread/gateway/driver.py
@@ -59,7 +59,7 @@
     ) -> None:
         self.transport = transport
         self.log = log
-        self.open: dict[int, OpenRequest] = {}
+        self.open_requests: dict[int, OpenRequest] = {}
         self.links: dict[int, Any] = {}
         self.shards: dict[int, int] = {}
         self.counts: Counter[str] = Counter()
@@ -88,7 +88,7 @@
 
     # ---- what happens
 
-    def happened(self, method: str, *arguments: Any) -> None:
+    def queue_event(self, method: str, *arguments: Any) -> None:
         """Queues one call of the scheduler; all of a turn of the loop are made together."""
         self._events.append((method, arguments))
         if not self._batch_is_due:
@@ -111,17 +111,17 @@
         is_retry: bool,
         arrived: float,
         extent: Extent | None = None,
-        awaited: bool = False,
+        data_followed: bool = False,
     ) -> OpenRequest:
         """Takes a request; its client hears of it by one call of Client.
 
-        awaited: its data came after its command, so it was taken later than it arrived.
+        data_followed: its data came after its command, so it was taken later than it arrived.
         """
         request = OpenRequest(self._next_id(), client, payload, extent, shard, deadline)
-        self.open[request.id] = request
+        self.open_requests[request.id] = request
         self._deadlines.add(deadline, request.id)
         self.counts["requests"] += 1
-        taken_at = self.transport.now() if awaited else arrived
+        taken_at = self.transport.now() if data_followed else arrived
         arrival = Arrival(volume, request_class, int(units), shard, key is not None, arrived, taken_at)
         self.accounting.taken(request.id, arrival)
         taken = RequestTaken(
@@ -136,12 +136,12 @@
             gateways,
             is_retry,
         )
-        self.happened("request_taken", taken)
+        self.queue_event("request_taken", taken)
         return request
 
     def _next_id(self) -> int:
         self._last_id = (self._last_id + 1) % REQUEST_NUMBERS
-        while self._last_id in self.open:
+        while self._last_id in self.open_requests:
             self._last_id = (self._last_id + 1) % REQUEST_NUMBERS
         return self._last_id
 
@@ -152,34 +152,34 @@
         request.answered = True
         self.accounting.answered(request.id, RequestOutcome.CLIENT_LEFT, self.transport.now())
         self.counts["client left"] += 1
-        for attempt in list(request.out.values()):
+        for attempt in list(request.in_flight.values()):
             if link := self.links.get(attempt.backend):
                 link.cancel(attempt)
-        self.happened("client_left", request.id)
+        self.queue_event("client_left", request.id)
         self._close(request)
 
     def shutting_down_by(self, when: float) -> None:
         """The program ends then: each open request is answered before, however long its client would wait."""
-        for request in self.open.values():
+        for request in self.open_requests.values():
             if request.deadline > when:
                 request.deadline = when
                 self._deadlines.add(when, request.id)
-        self.happened("shutting_down_by", when)
+        self.queue_event("shutting_down_by", when)
 
     def endpoints_listed(self, entries: Iterable[EndpointEntry], complete: bool, remembered: bool) -> None:
         """A list of backends, or its changes; remembered: from an earlier process, not from discovery."""
-        self.happened("endpoint_list_begins", complete, remembered)
+        self.queue_event("endpoint_list_begins", complete, remembered)
         for entry in entries:
-            self.happened("endpoint_listed", *entry)
-        self.happened("endpoint_list_ended")
+            self.queue_event("endpoint_listed", *entry)
+        self.queue_event("endpoint_list_ended")
 
     def endpoint_poll_failed(self, waited: float = 0.0) -> None:
         """A poll of the list failed after so many seconds."""
-        self.happened("endpoint_poll_failed", waited)
+        self.queue_event("endpoint_poll_failed", waited)
 
     def peer_message_received(self, origin: int, words: str) -> None:
         """A message of another gateway's scheduler came."""
-        self.happened("peer_message_received", origin, words)
+        self.queue_event("peer_message_received", origin, words)
 
     def _run_batch(self) -> None:
         self._batch_is_due = False
@@ -197,19 +197,19 @@
     # ---- deadlines
 
     def _deadline_of(self, request: int) -> float | None:
-        found = self.open.get(request)
+        found = self.open_requests.get(request)
         return found.deadline if found is not None else None
 
     def _expire(self, request: int) -> None:
-        self._time_is_up(self.open[request])
+        self._time_is_up(self.open_requests[request])
 
     def _time_is_up(self, request: OpenRequest) -> None:
-        for attempt in list(request.out.values()):
+        for attempt in list(request.in_flight.values()):
             self._time_out(attempt)
 
     def _time_out(self, attempt: Attempt) -> None:
-        if not attempt.over:
-            attempt.over = True
+        if not attempt.ended:
+            attempt.ended = True
             if link := self.links.get(attempt.backend):
                 link.cancel(attempt)
             self._ended(attempt, AttemptOutcome.TIMED_OUT, EMPTY_RESULT)
@@ -218,13 +218,13 @@
 
     def _ended(self, attempt: Attempt, outcome: AttemptOutcome, result: AttemptResult) -> None:
         """An attempt has ended, by its link's word or by the driver's own."""
-        request = self.open.get(attempt.request)
+        request = self.open_requests.get(attempt.request)
         if request is None:
             return
         now = self.transport.now()
         succeeded = outcome is AttemptOutcome.SUCCEEDED and not request.answered
         self.accounting.attempt_ended(attempt, outcome, result, succeeded, now)
-        request.out.pop(attempt.number, None)
+        request.in_flight.pop(attempt.number, None)
         self.counts[attempt_count(outcome)] += 1
         if attempt.first_write:
             self._first_write_ended(request, outcome)
@@ -243,7 +243,7 @@
             result.units_elsewhere,
             result.usage,
         )
-        self.happened("attempt_ended", end)
+        self.queue_event("attempt_ended", end)
         self._close(request)
 
     def _first_write_ended(self, request: OpenRequest, outcome: AttemptOutcome) -> None:
@@ -253,8 +253,8 @@
             self.placement_log.freed(request.extent)
 
     def _close(self, request: OpenRequest) -> None:
-        if request.answered and not request.out:
-            self.open.pop(request.id, None)
+        if request.answered and not request.in_flight:
+            self.open_requests.pop(request.id, None)
 
     # ---- the scheduler's actions (gorsethread/scheduling/actions.py)
 
@@ -266,12 +266,12 @@
         """Sends a request to a backend; wait 0 lasts until the deadline."""
         if self.recorder:
             self.recorder(("act", "send_attempt", request, backend, wait))
-        found = self.open.get(request)
+        found = self.open_requests.get(request)
         if found is None:
             return
         attempt = Attempt(found.id, found.attempts, backend, self._now, found.payload, self._ended)
         found.attempts += 1
-        found.out[attempt.number] = attempt
+        found.in_flight[attempt.number] = attempt
         link = self.links.get(backend)
         if link is None or not self._may_send(found, attempt):
             self._not_sent(attempt)
@@ -301,15 +301,15 @@
         return check is not PlacementCheck.ELSEWHERE
 
     def _not_sent(self, attempt: Attempt) -> None:
-        attempt.over = True
+        attempt.ended = True
         self._ended(attempt, AttemptOutcome.NOT_SENT, EMPTY_RESULT)
 
     def _placement_logged(self, attempt: Attempt, durable: bool) -> None:
         """It is durable where this first write's extent is placed, or can't be: then nothing is sent."""
         self.awaiting_placement.pop(attempt, None)
-        if attempt.over:
+        if attempt.ended:
             return
-        request = self.open.get(attempt.request)
+        request = self.open_requests.get(attempt.request)
         # While it waited its client may have left, or the backend begun to drain.
         awaited = durable and request is not None and not request.answered
         link = self.links.get(attempt.backend)
@@ -322,10 +322,10 @@
         """Stops waiting for one attempt."""
         if self.recorder:
             self.recorder(("act", "cancel_attempt", request, number))
-        found = self.open.get(request)
-        attempt = found.out.get(number) if found is not None else None
-        if attempt is not None and not attempt.over:
-            attempt.over = True
+        found = self.open_requests.get(request)
+        attempt = found.in_flight.get(number) if found is not None else None
+        if attempt is not None and not attempt.ended:
+            attempt.ended = True
             if link := self.links.get(attempt.backend):
                 link.cancel(attempt)
             self._ended(attempt, AttemptOutcome.CANCELLED, EMPTY_RESULT)
@@ -334,7 +334,7 @@
         """Ends a request whose client may try again, best after so many seconds (0: no advice)."""
         if self.recorder:
             self.recorder(("act", "reject", request, return_after))
-        found = self.open.get(request)
+        found = self.open_requests.get(request)
         if found is not None and not found.answered:
             found.answered = True
             self.accounting.answered(found.id, RequestOutcome.REJECTED, self.transport.now())
@@ -346,7 +346,7 @@
         """Ends a request with an error that promises nothing."""
         if self.recorder:
             self.recorder(("act", "fail", request))
-        found = self.open.get(request)
+        found = self.open_requests.get(request)
         if found is not None and not found.answered:
             found.answered = True
             self.accounting.answered(found.id, RequestOutcome.FAILED, self.transport.now())
@@ -358,7 +358,7 @@
         """Calls the scheduler's timer_fired(name) after so many seconds."""
         if self.recorder:
             self.recorder(("act", "set_timer", delay, name))
-        self.transport.at(self._now + delay, lambda: self.happened("timer_fired", name))
+        self.transport.at(self._now + delay, lambda: self.queue_event("timer_fired", name))
 
     def send_peer_message(self, gateway: int, words: str) -> None:
         """Sends a message to another gateway's scheduler, where the front has a way to it."""
--- a/gorsethread/gateway/open_requests.py
+++ b/gorsethread/gateway/open_requests.py
@@ -22,7 +22,7 @@
     shard: int
     deadline: float
     attempts: int = 0
-    out: dict[int, Attempt] = field(default_factory=dict)
+    in_flight: dict[int, Attempt] = field(default_factory=dict)
     answered: bool = False
 
 
--- a/gorsethread/gateway/peer_messages.py
+++ b/gorsethread/gateway/peer_messages.py
@@ -17,21 +17,21 @@
 )
 from gorsethread.transport.base import Transport
 
-SENT_MOST = 400  # messages a second; a scheduler that asks for more is not obeyed
-WORDS_MOST = 200  # characters of a message
+MAX_MESSAGES_PER_SECOND = 400  # messages a second; a scheduler that asks for more is not obeyed
+MAX_MESSAGE_CHARACTERS = 200  # characters of a message
 
 
 class SendAllowance:
     """A token bucket of messages: so many a second, as many at once."""
 
-    def __init__(self, most: int = SENT_MOST) -> None:
-        self._most = float(most)
-        self._tokens = float(most)
+    def __init__(self, rate: int = MAX_MESSAGES_PER_SECOND) -> None:
+        self._rate = float(rate)
+        self._tokens = float(rate)
         self._filled_at = -float("inf")
 
-    def takes(self, now: float) -> bool:
+    def try_consume(self, now: float) -> bool:
         """Whether one more message may go now; it is counted."""
-        self._tokens = min(self._most, self._tokens + (now - self._filled_at) * self._most)
+        self._tokens = min(self._rate, self._tokens + (now - self._filled_at) * self._rate)
         self._filled_at = now
         if self._tokens < 1.0:
             return False
@@ -76,7 +76,11 @@
     def send(self, gateway: int, words: str) -> None:
         """Sends a message to another gateway; dropped where it is unknown, too long or over the rate."""
         known = 0 <= gateway < len(self._addresses)
-        if not known or len(words) > WORDS_MOST or not self._allowance.takes(self._transport.now()):
+        if (
+            not known
+            or len(words) > MAX_MESSAGE_CHARACTERS
+            or not self._allowance.try_consume(self._transport.now())
+        ):
             self.counts["not carried"] += 1
             return
         self.counts["sent"] += 1
--- a/gorsethread/head/clients.py
+++ b/gorsethread/head/clients.py
@@ -181,7 +181,7 @@
             gateways=volume.heads,
             is_retry=command.repeat,
             arrived=io.arrived,
-            awaited=waiting.timer is not None,
+            data_followed=waiting.timer is not None,
         )
 
     def left(self, io: IoCommand) -> None:
--- a/gorsethread/head/links.py
+++ b/gorsethread/head/links.py
@@ -122,7 +122,7 @@
         waiting, self.waiting = self.waiting, []
         for f in waiting:
             # What was ended (its time came, the client left) while the link was set up is not sent at all.
-            if not f.over:
+            if not f.ended:
                 self._submit(f)
 
     def _submit(self, f: Attempt) -> None:
@@ -168,6 +168,6 @@
             self._end(f, AttemptOutcome.CONNECTION_LOST)
 
     def _end(self, f: Attempt, how: AttemptOutcome, told: AttemptResult = EMPTY_RESULT) -> None:
-        if not f.over:
-            f.over = True
+        if not f.ended:
+            f.ended = True
             f.on_end(f, how, told)
--- a/gorsethread/head/listing.py
+++ b/gorsethread/head/listing.py
@@ -180,9 +180,9 @@
 
     def _pass_on(self, entries: list[tuple[Listed, float]], whole: bool, remembered: bool) -> None:
         for s, _ in entries:
-            self.links.listed(s.number, s.shard, split_address(s.address), s.state)
+            self.links.update(s.number, s.shard, split_address(s.address), s.state)
         # Also links that had forwards out when their shelf left the list go, once these are in.
-        self.links.only(set(self.shelves))
+        self.links.keep_only(set(self.shelves))
         self._ready(entries)
         told = [EndpointEntry(s.number, s.zone, s.shard, self._usable(s), since) for s, since in entries]
         self.driver.endpoints_listed(told, whole, remembered)
--- a/gorsethread/head/peers.py
+++ b/gorsethread/head/peers.py
@@ -6,7 +6,7 @@
 from typing import Any
 from zlib import crc32
 
-from gorsethread.gateway.peer_messages import WORDS_MOST, SendAllowance
+from gorsethread.gateway.peer_messages import MAX_MESSAGE_CHARACTERS, SendAllowance
 from gorsethread.head.fleet import FleetSide
 from gorsethread.membership.backend_news import RESEND_INTERVAL, BackendNews, BackendNewsTable
 from gorsethread.membership.gossip_messages import (
@@ -121,7 +121,7 @@
             return
         for peer in self.core.draw_recipients(fresh, [w.member for w in self.side.view.alive]):
             for begin in range(0, len(news), PIECE):
-                if self.news.takes(self.transport.now()):
+                if self.news.try_consume(self.transport.now()):
                     self.side.send(
                         self.addresses[peer],
                         GossipMessage(
@@ -141,8 +141,8 @@
         if (
             self.side is not None
             and known
-            and len(words) <= WORDS_MOST
-            and self.told.takes(self.transport.now())
+            and len(words) <= MAX_MESSAGE_CHARACTERS
+            and self.told.try_consume(self.transport.now())
         ):
             self.side.send(
                 self.addresses[self.heads[place]],
--- a/gorsethread/head/program.py
+++ b/gorsethread/head/program.py
@@ -111,7 +111,7 @@
             def writes_at(place: Extent) -> bool:
                 return any(
                     t.extent == place and t.payload.command.opcode == Opcode.WRITE
-                    for t in self.driver.open.values()
+                    for t in self.driver.open_requests.values()
                 )
 
             holding = self.holding
@@ -158,8 +158,8 @@
         self.clients.draining = True
         self.server.closing = True
         self._listener.close()
-        self.log.info("gateway ends", open=len(self.driver.open))
-        while any(not t.answered for t in self.driver.open.values()):
+        self.log.info("gateway ends", open=len(self.driver.open_requests))
+        while any(not t.answered for t in self.driver.open_requests.values()):
             await self.transport.sleep(0.02)
         for connection in list(self.server.connections):
             if connection.stream.unsent:
--- a/gorsethread/http_gateway/backend_link.py
+++ b/gorsethread/http_gateway/backend_link.py
@@ -85,7 +85,7 @@
     def resume(self, attempt: Attempt) -> None:
         """Sends an attempt that waited for a connection, if it may still begin."""
         self.attempts_out -= 1
-        if attempt.over:
+        if attempt.ended:
             return
         if self.may_begin(attempt):
             self.send(attempt)
@@ -118,8 +118,8 @@
 
     def end(self, attempt: Attempt, outcome: AttemptOutcome, answered: AttemptResult = EMPTY_RESULT) -> None:
         """Ends the attempt with its outcome, unless it has ended already."""
-        if not attempt.over:
-            attempt.over = True
+        if not attempt.ended:
+            attempt.ended = True
             attempt.on_end(attempt, outcome, answered)
 
     def _submit(self, connection: BackendConnection, attempt: Attempt) -> None:
@@ -143,7 +143,7 @@
         self.attempts_out -= 1
         self.pool.opened += 1
         connection = BackendConnection(self, stream)
-        if attempt.over:
+        if attempt.ended:
             self._keep_idle(connection)
         elif self.may_begin(attempt):
             self._submit(connection, attempt)
--- a/gorsethread/http_gateway/connection_pool.py
+++ b/gorsethread/http_gateway/connection_pool.py
@@ -103,7 +103,7 @@
         """A connection has come free or ended: attempts that wait for one go on."""
         while self.waiting:
             link, attempt = self.waiting[0]
-            if not (attempt.over or link.idle_connections or self.make_room()):
+            if not (attempt.ended or link.idle_connections or self.make_room()):
                 return
             self.waiting.popleft()
             link.resume(attempt)
--- a/gorsethread/http_gateway/endpoint_updates.py
+++ b/gorsethread/http_gateway/endpoint_updates.py
@@ -50,14 +50,14 @@
             else:
                 self.known[number] = instance
             address = parse_address(instance.host_port, instance.instance_id)
-            self.links.listed(number, instance.cell, address, instance.lifecycle)
+            self.links.update(number, instance.cell, address, instance.lifecycle)
             unready[number] = instance.lifecycle != "ready"
             entries.append(self._entry(number, instance))
         if complete:
-            self.links.only(set(self.known))
+            self.links.keep_only(set(self.known))
             unready = {number: unready.get(number, True) for number in self.pool.links}
         else:
-            self.links.forget_idle()
+            self.links.remove_idle()
         self.pool.withdraw(unready)
         self.driver.endpoints_listed(entries, complete, remembered)
 
--- a/gorsethread/http_gateway/gateway.py
+++ b/gorsethread/http_gateway/gateway.py
@@ -219,7 +219,7 @@
         messages = dict(self.messages.counts) if self.messages is not None else {}
         self.log.info(
             event,
-            open=len(self.driver.open),
+            open=len(self.driver.open_requests),
             clients=len(self.clients.connections),
             backend_connections=self.pool.held,
             opened=self.pool.opened,
--- a/tests/http_gateway/test_backends.py
+++ b/tests/http_gateway/test_backends.py
@@ -111,7 +111,7 @@
                     data = await honest_read()
                     if host == "shelf0" and not struck:
                         struck.append(data)
-                        for t in list(head.driver.open.values()):
+                        for t in list(head.driver.open_requests.values()):
                             head.driver.client_left(t)
                     return data
 
@@ -146,7 +146,7 @@
             for n in range(340, 360):
                 await self.call(wish(str(n), "post", body=b"x"), 0.05)
             self.assertEqual(1, shelf.connections - before)
-            self.assertEqual({}, head.driver.open)
+            self.assertEqual({}, head.driver.open_requests)
 
         self.play(work)
 
--- a/tests/http_gateway/test_clients.py
+++ b/tests/http_gateway/test_clients.py
@@ -65,7 +65,7 @@
             caller.stream.close()
             await self.wait(0.05)
             self.assertEqual(
-                (1, {}, {}), (head.driver.counts["client left"], head.driver.open, head.clients.open)
+                (1, {}, {}), (head.driver.counts["client left"], head.driver.open_requests, head.clients.open)
             )
             self.assertEqual(1, self.shelves[0].ends)
             self.assertFalse(
--- a/tests/http_gateway/test_discovery.py
+++ b/tests/http_gateway/test_discovery.py
@@ -185,6 +185,6 @@
             self.assertEqual(504, last.status, "the head ends first: it is answered all the same")
             self.assertIn(b"connection: close", last.got.lower())
             self.assertTrue(idle.ended_at)
-            self.assertEqual({}, head.driver.open)
+            self.assertEqual({}, head.driver.open_requests)
 
         self.play(work)
--- a/tests/scheduling/test_same_decisions.py
+++ b/tests/scheduling/test_same_decisions.py
@@ -177,7 +177,7 @@
                 self.assertGreater(self.asked, 300)
 
     def ask_all(self, driver: Driver) -> None:
-        for id in driver.open:
+        for id in driver.open_requests:
             why_held(driver.scheduler, id)
             self.asked += 1
 
@@ -204,8 +204,8 @@
             draw = chance.random()
             if draw < 0.5:
                 self.take(driver, chance)
-            elif draw < 0.53 and driver.open:
-                driver.client_left(chance.choice(list(driver.open.values())))
+            elif draw < 0.53 and driver.open_requests:
+                driver.client_left(chance.choice(list(driver.open_requests.values())))
             elif draw < 0.54:
                 driver.endpoint_poll_failed()
             if step in (200, 400):
@@ -231,7 +231,7 @@
                         )
                         driver._ended(f, how, told_too)
         clock.move(clock.time + 3.0)
-        self.assertEqual({}, driver.open, "every transaction has ended")
+        self.assertEqual({}, driver.open_requests, "every transaction has ended")
         self.assertEqual({}, driver.first_writes.pending)
         if driver.accounting.accounts:
             self.assertEqual(0, driver.accounting.accounts.open)
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -157,7 +157,7 @@
         client.close()
         with self.assertRaises(StreamClosed):
             await sent
-        await self.until(lambda: not self.heads[0].driver.open, within=2.0)
+        await self.until(lambda: not self.heads[0].driver.open_requests, within=2.0)
         self.shelves[0].takes = None
         self.assertEqual("honoured", (await self.send(other, Opcode.READ, block=64))[0])
         self.assertEqual(1, len(self.arrivals(1)))
@@ -172,7 +172,7 @@
         client.abort(1)
         _, done, _ = await sent
         self.assertEqual(Status.ABORT_REQUESTED, done.status)
-        await self.until(lambda: not self.heads[0].driver.open)
+        await self.until(lambda: not self.heads[0].driver.open_requests)
 
     async def test_a_shelf_that_accepts_and_never_speaks(self) -> None:
         """No ICResp: the connection is not established in time, so the forward never ran."""
@@ -251,14 +251,14 @@
                 sent = self.send(client, Opcode.WRITE, hints=POST)
                 await self.until(lambda held=held: held)
                 driver = self.heads[0].driver
-                t = next(iter(driver.open.values()))
-                f = t.out[0]
+                t = next(iter(driver.open_requests.values()))
+                f = t.in_flight[0]
                 acts = [lambda f=f: self._answer(f), lambda t=t, d=driver: d._time_is_up(t)]
                 for act in acts if first == "answer" else reversed(acts):
                     act()
                 how, _, _ = await sent
                 self.assertEqual("honoured" if first == "answer" else "given up", how)
-                await self.until(lambda d=driver: not d.open)
+                await self.until(lambda d=driver: not d.open_requests)
 
     def _answer(self, f: Attempt) -> None:
         self.heads[0].driver.links[f.backend]._end(f, AttemptOutcome.SUCCEEDED, AttemptResult())
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -16,7 +16,7 @@
 from minicheck import Protocol, check_safety
 
 from gorsethread.faults.coldpart import Falls
-from gorsethread.gateway.peer_messages import SENT_MOST, PeerMessages
+from gorsethread.gateway.peer_messages import MAX_MESSAGES_PER_SECOND, PeerMessages
 from gorsethread.harness.processes import Processes
 from gorsethread.http_gateway.addresses import UnusableConfigurationError
 from gorsethread.http_gateway.configuration import Configuration, read_configuration
@@ -508,12 +508,13 @@
         self.assertEqual(
             {"heard": 1, "from no peer": 2, "another fleet": 1, "malformed": 1}, dict(made[1].counts)
         )
-        for _ in range(3 * SENT_MOST):
+        for _ in range(3 * MAX_MESSAGES_PER_SECOND):
             made[0].send(1, "ask")
         made[0].send(3, "ask")
         made[0].send(1, "a" * 300)
         self.assertEqual(
-            (SENT_MOST, 2 * SENT_MOST + 2), (made[0].counts["sent"] - 1, made[0].counts["not carried"])
+            (MAX_MESSAGES_PER_SECOND, 2 * MAX_MESSAGES_PER_SECOND + 2),
+            (made[0].counts["sent"] - 1, made[0].counts["not carried"]),
         )
 
     def test_the_benchs_link_carries_both_ways(self) -> None:
