--- a/gorsethread/faults/states.py
+++ b/gorsethread/faults/states.py
@@ -33,9 +33,9 @@
     "the list is not followed": lambda h: h.follower._stream is None,
 }
 WEB_STATES: States = DECIDED | {
-    "a connection comes up": lambda h: h.pool.held
+    "a connection comes up": lambda h: h.pool.open_connections
     > len(h.pool.busy) + sum(len(link.idle_connections) for link in h.driver.links.values()),
-    "none is kept": lambda h: not h.pool.trust.holds(h.transport.now()),
+    "none is kept": lambda h: not h.pool.reuse_trust.allows_reuse(h.transport.now()),
     "the list is not followed": lambda h: h.discovery._stream is None,
 }
 
--- a/gorsethread/faults/webmutants.py
+++ b/gorsethread/faults/webmutants.py
@@ -34,15 +34,15 @@
 
 def _on_clients(head: Gateway, change: Callable[[Any], None]) -> None:
     """Changes each client's connection as its first request comes."""
-    honest, changed = head.clients.requested, set[int]()
+    honest, changed = head.clients.handle_request, set[int]()
 
-    def requested(connection: Any, request: Any) -> None:
+    def handle_request(connection: Any, request: Any) -> None:
         if id(connection) not in changed:
             changed.add(id(connection))
             change(connection)
         honest(connection, request)
 
-    head.clients.requested = requested  # type: ignore[method-assign]
+    head.clients.handle_request = handle_request  # type: ignore[method-assign]
 
 
 # ---- towards shelves
@@ -71,7 +71,7 @@
             if connection is not None and connection.attempt is attempt:
                 connection.attempt = None
                 link.attempts_out -= 1
-                connection.codec.waiting = False
+                connection.codec.awaiting_response = False
                 link._keep_idle(connection)
             link.end(attempt, AttemptOutcome.CANCELLED)
 
@@ -86,7 +86,7 @@
         honest = link._answered
 
         def answered(connection: Any, answer: client_codec.Response) -> None:
-            if answer.closes_connection and not connection.over:
+            if answer.closes_connection and not connection.closed:
                 # What a codec without the check would do: the bytes behind stand for the next answer.
                 more = connection.codec._wire.trailing_data[0]
                 connection.codec = _Stale(bytes(more))
@@ -129,22 +129,22 @@
 
 @mutant("shelves: what waits for a connection is sent though the shelf drains")
 def _sends_to_drained(head: Gateway) -> None:
-    head.pool.withdraw = lambda unready: None  # type: ignore[method-assign]
-    head.pool.most = 3
+    head.pool.update_unready = lambda unready: None  # type: ignore[method-assign]
+    head.pool.max_connections = 3
 
 
 @mutant("shelves: connections are not counted as they end")
 def _never_counts_down(head: Gateway) -> None:
     def change(link: backend_link.BackendLink) -> None:
-        honest = link.lose
+        honest = link.close_connection
 
-        def lose(connection: Any) -> Any:
-            before = link.pool.held
+        def close_connection(connection: Any) -> Any:
+            before = link.pool.open_connections
             f = honest(connection)
-            link.pool.held = before
+            link.pool.open_connections = before
             return f
 
-        link.lose = lose  # type: ignore[method-assign]
+        link.close_connection = close_connection  # type: ignore[method-assign]
 
     _on_links(head, change)
 
@@ -154,7 +154,7 @@
     class Trusting(client_codec.ClientCodec):
         def feed(self, data: bytes) -> client_codec.Response | None:
             head_, split, body = data.partition(b"\r\n\r\n")
-            self.waiting = False
+            self.awaiting_response = False
             return client_codec.Response(200, [], body if split else head_, True)
 
     def change(link: backend_link.BackendLink) -> None:
@@ -204,7 +204,7 @@
 
             def answer(self, status: int, headers: Any, body: bytes) -> None:
                 honest(self, status, headers, body)
-                if status == 503 and not self.over:
+                if status == 503 and not self.ended:
                     self.stream.write(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
 
         connection.__class__ = Twice
@@ -280,7 +280,7 @@
         honest([e._replace(ready=True) for e in entries], complete, remembered)
 
     head.driver.endpoints_listed = listed  # type: ignore[method-assign]
-    head.pool.withdraw = lambda unready: None  # type: ignore[method-assign]
+    head.pool.update_unready = lambda unready: None  # type: ignore[method-assign]
 
 
 @mutant("discovery: starts are not heard")
@@ -387,10 +387,10 @@
 
 @mutant("clients: the room of connections that were refused or ended is not given back")
 def _room_kept(head: Gateway) -> None:
-    honest = head.clients.admits
+    honest = head.clients.admit_connection
 
-    def admits() -> bool:
-        head.clients.most -= 1
+    def admit_connection() -> bool:
+        head.clients.max_connections -= 1
         return honest()
 
-    head.clients.admits = admits  # type: ignore[method-assign]
+    head.clients.admit_connection = admit_connection  # type: ignore[method-assign]
--- a/gorsethread/faults/webworld.py
+++ b/gorsethread/faults/webworld.py
@@ -10,9 +10,9 @@
 from gorsethread.http_gateway.configuration import read_configuration
 from gorsethread.http_gateway.endpoint_list import backend_number
 from gorsethread.http_gateway.gateway import (
-    CLIENTS_PART,
+    CLIENTS_FRACTION,
     KILL_AFTER_SECONDS,
-    LONGEST_WAIT_COUNTED_SECONDS,
+    MAX_COUNTED_WAIT_SECONDS,
     Gateway,
 )
 from gorsethread.sitefile import site_pb2 as pb
@@ -144,8 +144,7 @@
             process.on_terminate(lambda: process.spawn(self._ending(act, head)))
             process.terminate()
             longest = (
-                min(max(p.cut_off for p in self.site.profile), LONGEST_WAIT_COUNTED_SECONDS)
-                + KILL_AFTER_SECONDS
+                min(max(p.cut_off for p in self.site.profile), MAX_COUNTED_WAIT_SECONDS) + KILL_AFTER_SECONDS
             )
             self.loop.call_later(longest, self._killed, act, process)
         elif act.kind == "rude":
@@ -212,10 +211,10 @@
         forward that no transaction owns."""
         pool, driver = head.pool, head.driver
         kept = sum(len(link.idle_connections) for link in driver.links.values())
-        if not 0 <= kept + len(pool.busy) <= pool.held <= pool.most:
+        if not 0 <= kept + len(pool.busy) <= pool.open_connections <= pool.max_connections:
             self._defect(
-                f"connections do not add up: head {number}: held {pool.held} of {pool.most}, kept "
-                f"{kept}, busy {len(pool.busy)}"
+                f"connections do not add up: head {number}: held {pool.open_connections} of "
+                f"{pool.max_connections}, kept {kept}, busy {len(pool.busy)}"
             )
         for connection in pool.busy.values():
             f = connection.attempt
@@ -226,7 +225,7 @@
     def _check_accounts(self) -> None:
         """None are kept on this front; beside, too many must not have found it full, unless it was: by
         connections that its clients held there as they see it."""
-        full = FULL_PART * CLIENTS_PART * LIMITS["sockets"]
+        full = FULL_PART * CLIENTS_FRACTION * LIMITS["sockets"]
         out = sum(r["e"] == "shut out" and r["held"] < full for r in self.records)
         sent = sum(r["e"] == "sent" for r in self.records)
         if out > max(SHUT_OUT_FREE, SHUT_OUT_PART * sent):
--- a/gorsethread/http1/client_codec.py
+++ b/gorsethread/http1/client_codec.py
@@ -46,7 +46,7 @@
     """Owns the state of one connection to a server, one request after another; dropped with the connection.
 
     Attributes:
-        waiting: Whether a response is outstanding.
+        awaiting_response: Whether a response is outstanding.
         ends_with_connection: Whether the response that is coming has no length.
     """
 
@@ -56,7 +56,7 @@
         self._body: list[bytes] = []
         self._size = 0
         self._interim_responses = 0
-        self.waiting = False
+        self.awaiting_response = False
         self.ends_with_connection = False
 
     def request(self, method: bytes, target: bytes, headers: Headers, body: bytes) -> bytes:
@@ -69,7 +69,7 @@
             wire.send(h11.Data(data=body)) if body else b"",
             wire.send(h11.EndOfMessage()),
         ]
-        self.waiting = True
+        self.awaiting_response = True
         return b"".join(part for part in parts if part)
 
     def feed(self, data: bytes) -> Response | None:
@@ -78,7 +78,7 @@
         Raises:
             InvalidResponseError: They are no response, or nothing was requested.
         """
-        if not self.waiting:
+        if not self.awaiting_response:
             raise InvalidResponseError("bytes that nobody asked for")
         try:
             self._wire.receive_data(data)
@@ -86,7 +86,7 @@
         except h11.RemoteProtocolError as error:
             raise InvalidResponseError(str(error)) from None
 
-    def ended(self) -> Response | None:
+    def connection_ended(self) -> Response | None:
         """The server has ended the connection in order; the response that is complete by that, else None.
 
         Raises:
@@ -149,7 +149,7 @@
         more, _ = wire.trailing_data
         closes = self.ends_with_connection or bool(more)
         closes = closes or wire.our_state is not h11.DONE or wire.their_state is not h11.DONE
-        self.waiting = False
+        self.awaiting_response = False
         self.ends_with_connection = False
         if not closes:
             wire.start_next_cycle()
--- a/gorsethread/http_gateway/backend_connection.py
+++ b/gorsethread/http_gateway/backend_connection.py
@@ -29,7 +29,7 @@
 
     position: int
 
-    def lose(self, connection: "BackendConnection") -> Attempt | None:
+    def close_connection(self, connection: "BackendConnection") -> Attempt | None:
         """Closes the connection and returns the attempt that was in flight on it."""
         ...
 
@@ -41,16 +41,16 @@
     connection. over: it is closed or not used any more. idle_since is in seconds of the transport's clock.
     """
 
-    __slots__ = ("attempt", "codec", "end_timer", "idle_since", "link", "over", "stream", "uses")
+    __slots__ = ("attempt", "codec", "end_timer", "idle_since", "link", "closed", "stream", "use_count")
 
     def __init__(self, link: ConnectionOwner, stream: Stream) -> None:
         self.link = link
         self.stream = stream
-        self.over = False
+        self.closed = False
         self.codec = ClientCodec()
         self.attempt: Attempt | None = None
         self.idle_since = 0.0
-        self.uses = 0
+        self.use_count = 0
         self.end_timer: Timer | None = None
 
     def write(self, host: bytes, outgoing: OutgoingRequest, now: float) -> None:
@@ -68,11 +68,11 @@
         try:
             data = await self.stream.read()
         except StreamEnded:
-            answer = None if self.over else self.codec.ended()
+            answer = None if self.closed else self.codec.connection_ended()
             if answer is None:
                 raise
             return answer
-        if self.over:
+        if self.closed:
             return None
         return self.codec.feed(data)
 
@@ -80,8 +80,8 @@
         """Closes the connection for good; whether it was still open."""
         if self.end_timer is not None:
             self.end_timer.cancel()
-        if self.over:
+        if self.closed:
             return False
-        self.over = True
+        self.closed = True
         self.stream.close()
         return True
--- a/gorsethread/http_gateway/backend_link.py
+++ b/gorsethread/http_gateway/backend_link.py
@@ -23,7 +23,7 @@
 REST_SECONDS = 0.005  # after an answer, within which the connection's end may still be on its way
 # Without a byte, after which an answer that has no length and whose connection stays open has no end.
 END_TIMEOUT_SECONDS = 0.25
-REASON_LENGTH_MOST = 40  # characters of a reason that is counted
+MAX_REASON_LENGTH = 40  # characters of a reason that is counted
 
 
 def parse_figure(value: bytes | None) -> float:
@@ -63,7 +63,7 @@
         """Nothing more is sent here; what is in flight goes on to its end."""
         self.closed = True
         while self.idle_connections:
-            self.lose(self.idle_connections[-1])
+            self.close_connection(self.idle_connections[-1])
 
     # ---- an attempt's life: sent, perhaps after a wait for a connection, and ended
 
@@ -73,7 +73,7 @@
         if connection is not None:
             self._submit(connection, attempt)
         elif self.pool.make_room():
-            self.pool.held += 1
+            self.pool.open_connections += 1
             self.attempts_out += 1
             self.transport.spawn(self._connect_and_send(attempt))
         elif self.unready:
@@ -112,7 +112,7 @@
         """Closes the attempt's connection, by which the backend learns that nobody waits any more."""
         connection = self.pool.busy.get(attempt.request)
         if connection is not None and connection.attempt is attempt:
-            connection.link.lose(connection)
+            connection.link.close_connection(connection)
         # Also where it only waited: the client ended it, not the backend.
         self.end(attempt, AttemptOutcome.CANCELLED)
 
@@ -125,7 +125,7 @@
     def _submit(self, connection: BackendConnection, attempt: Attempt) -> None:
         outgoing: OutgoingRequest = attempt.payload
         connection.attempt = attempt
-        connection.uses += 1
+        connection.use_count += 1
         self.attempts_out += 1
         self.pool.busy[attempt.request] = connection
         connection.write(self.host, outgoing, self.transport.now())
@@ -135,13 +135,13 @@
             stream = await self.transport.connect(*self.address, self.pool.connect_timeout)
         except Unreachable as error:
             self.attempts_out -= 1
-            self.pool.held -= 1
+            self.pool.open_connections -= 1
             self.pool.log.debug("backend not reached", backend=self.host.decode(), reason=str(error))
             self.end(attempt, AttemptOutcome.UNREACHABLE)
             self.pool.connection_freed()
             return
         self.attempts_out -= 1
-        self.pool.opened += 1
+        self.pool.opened_total += 1
         connection = BackendConnection(self, stream)
         if attempt.ended:
             self._keep_idle(connection)
@@ -159,7 +159,7 @@
         try:
             while True:
                 answer = await connection.read()
-                if connection.over:
+                if connection.closed:
                     return  # closed since the bytes came: its attempt has ended
                 if connection.codec.ends_with_connection:
                     self._await_end(connection)
@@ -173,11 +173,11 @@
 
     def _connection_ended(self, connection: BackendConnection) -> None:
         unsent = connection.stream.unsent
-        attempt = self.lose(connection)
+        attempt = self.close_connection(connection)
         if attempt is None:
             return
-        if connection.uses > 1:
-            self.pool.trust.seen(True, self.transport.now())
+        if connection.use_count > 1:
+            self.pool.reuse_trust.record_use(True, self.transport.now())
         self.end(attempt, AttemptOutcome.UNREACHABLE if unsent else AttemptOutcome.CONNECTION_LOST)
 
     def _await_end(self, connection: BackendConnection) -> None:
@@ -191,15 +191,15 @@
         connection.end_timer = self.transport.at(when, lambda: self._end_overdue(connection))
 
     def _end_overdue(self, connection: BackendConnection) -> None:
-        if not connection.over and connection.codec.ends_with_connection:
+        if not connection.closed and connection.codec.ends_with_connection:
             self._answer_invalid(connection, "an answer with neither a length nor an end")
             self.pool.connection_freed()
 
     def _answer_invalid(self, connection: BackendConnection, reason: str) -> None:
         """Closes the connection; the request on it may have run."""
-        attempt = self.lose(connection)
+        attempt = self.close_connection(connection)
         if attempt is not None:
-            self.pool.invalid_answers[reason[:REASON_LENGTH_MOST]] += 1
+            self.pool.invalid_answers[reason[:MAX_REASON_LENGTH]] += 1
             self.end(attempt, AttemptOutcome.ERROR)
 
     def _answered(self, connection: BackendConnection, answer: Response) -> None:
@@ -209,10 +209,10 @@
         self.attempts_out -= 1
         self.pool.busy.pop(attempt.request, None)
         now = self.transport.now()
-        if connection.uses > 1:
-            self.pool.trust.seen(False, now)
-        if answer.closes_connection or not self.pool.trust.holds(now):
-            self.lose(connection)
+        if connection.use_count > 1:
+            self.pool.reuse_trust.record_use(False, now)
+        if answer.closes_connection or not self.pool.reuse_trust.allows_reuse(now):
+            self.close_connection(connection)
         else:
             self._keep_idle(connection)
         self._end_answered(attempt, answer)
@@ -238,11 +238,11 @@
         now is used only where no other may be opened.
         """
         now = self.transport.now()
-        before = now - REST_SECONDS if self.pool.trust.holds(now) else -1.0
+        before = now - REST_SECONDS if self.pool.reuse_trust.allows_reuse(now) else -1.0
         for connection in reversed(list(self.idle_connections)):
             if not connection.stream.quiet():
-                self.lose(connection)
-            elif connection.idle_since <= before or self.pool.held >= self.pool.most:
+                self.close_connection(connection)
+            elif connection.idle_since <= before or self.pool.open_connections >= self.pool.max_connections:
                 self._forget_idle(connection)
                 return connection
         return None
@@ -252,13 +252,13 @@
         self.idle_connections.append(connection)
         self.pool.idle[connection] = None
         if self.closed:
-            self.lose(connection)
+            self.close_connection(connection)
 
     def _forget_idle(self, connection: BackendConnection) -> None:
         self.idle_connections.remove(connection)
         del self.pool.idle[connection]
 
-    def lose(self, connection: BackendConnection) -> Attempt | None:
+    def close_connection(self, connection: BackendConnection) -> Attempt | None:
         """Closes the connection and returns the attempt that was in flight on it."""
         attempt = connection.attempt
         connection.attempt = None
@@ -268,5 +268,5 @@
         elif connection in self.pool.idle:
             self._forget_idle(connection)
         if connection.close():
-            self.pool.held -= 1
+            self.pool.open_connections -= 1
         return attempt
--- a/gorsethread/http_gateway/client_connection.py
+++ b/gorsethread/http_gateway/client_connection.py
@@ -16,10 +16,10 @@
 PAUSE_SECONDS = 0.25  # until a client whose request was invalid has its next one read
 RECHECK_SECONDS = 0.02  # until a client that was too far ahead, or reads no answers, is looked at again
 # Bytes behind an open request, beyond which no more is read for now.
-AHEAD_MOST = READ_AHEAD_BYTES_MAX - READ_MOST
-UNSENT_MOST = 262_144  # bytes of answers that a client has not read, beyond which it gets no further one
-DROPPED_MOST = 262_144  # bytes that are read and dropped behind the end of this side
-REASON_LENGTH_MOST = 40  # characters of a reason that is counted
+MAX_AHEAD_BYTES = READ_AHEAD_BYTES_MAX - READ_MOST
+MAX_UNSENT_BYTES = 262_144  # bytes of answers that a client has not read, beyond which it gets no further one
+MAX_DROPPED_BYTES = 262_144  # bytes that are read and dropped behind the end of this side
+MAX_REASON_LENGTH = 40  # characters of a reason that is counted
 
 
 class ConnectionOwner(Protocol):
@@ -27,18 +27,18 @@
 
     transport: Transport
     ending: bool
-    open: "dict[bytes, ClientConnection]"
+    open_requests: "dict[bytes, ClientConnection]"
     invalid_requests: Counter[str]
 
-    def late(self) -> bool:
+    def is_past_end(self) -> bool:
         """Whether the program's own end has come."""
         ...
 
-    def requested(self, connection: "ClientConnection", request: Request) -> None:
+    def handle_request(self, connection: "ClientConnection", request: Request) -> None:
         """A complete request has come."""
         ...
 
-    def failed(self, connection: "ClientConnection", error: Exception) -> None:
+    def connection_failed(self, connection: "ClientConnection", error: Exception) -> None:
         """An unexpected error was met by the connection's bytes."""
         ...
 
@@ -54,15 +54,15 @@
     __slots__ = (
         "_dropped",
         "_recheck_due",
-        "arrived",
+        "received_at",
         "codec",
         "open_request",
-        "over",
+        "ended",
         "paused",
         "request_id",
         "served",
         "side",
-        "since",
+        "state_since",
         "stream",
     )
 
@@ -72,10 +72,10 @@
         self.codec = ServerCodec()
         self.open_request: OpenRequest | None = None
         self.request_id = b""
-        self.since: float = now
-        self.arrived: float = now
+        self.state_since: float = now
+        self.received_at: float = now
         self.served = False
-        self.over = False  # this side has ended: nothing more is answered or taken
+        self.ended = False  # this side has ended: nothing more is answered or taken
         self.paused = False  # what has come is read on only after a while
         self._dropped = 0
         self._recheck_due = False
@@ -102,13 +102,13 @@
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
         """Answers the open request; while the program ends, marks the connection's last answer."""
-        self.side.open.pop(self.request_id, None)
+        self.side.open_requests.pop(self.request_id, None)
         self.request_id = b""
-        if self.over:
+        if self.ended:
             return
         data, goes_on = self.codec.respond(status, headers, body, last=self._is_last())
         self.stream.write(data)
-        self.since = self.side.transport.now()
+        self.state_since = self.side.transport.now()
         self.served = True
         if not goes_on:
             self.end()
@@ -119,24 +119,24 @@
         """What has been read behind the request is owed an answer of its own, while there is time for it."""
         if not self.side.ending:
             return False
-        return self.side.late() or (not self.codec.bytes_ahead and self.stream.quiet())
+        return self.side.is_past_end() or (not self.codec.bytes_ahead and self.stream.quiet())
 
     def refuse(self, error: InvalidRequestError) -> None:
         """Answers what can't be read as a request, or not any more, and ends the connection."""
-        self.side.invalid_requests[str(error)[:REASON_LENGTH_MOST]] += 1
+        self.side.invalid_requests[str(error)[:MAX_REASON_LENGTH]] += 1
         self.stream.write(closing_response(error.status))
         self.end()
 
     def end(self) -> None:
         """Ends this side; the connection stays until its client ends it too, or until the sweep."""
-        if not self.over:
-            self.over = True
-            self.since = self.side.transport.now()
+        if not self.ended:
+            self.ended = True
+            self.state_since = self.side.transport.now()
             self.stream.end_sending()
 
     def abort(self) -> None:
         """Closes both ways at once."""
-        self.over = True
+        self.ended = True
         self.stream.close()
 
     # ---- its bytes
@@ -146,7 +146,7 @@
         try:
             while True:
                 data = await self.stream.read()
-                if self.over:
+                if self.ended:
                     self._drop(data)
                     continue
                 self._received(data)
@@ -157,9 +157,9 @@
 
     def _received(self, data: bytes) -> None:
         if not self.codec.bytes_ahead:  # else a request held since earlier would get a later deadline
-            self.arrived = self.side.transport.now()
+            self.received_at = self.side.transport.now()
         if not self.codec.partial and not self.codec.open and self.served:
-            self.since = self.arrived
+            self.state_since = self.received_at
         self.codec.feed(data)
 
     def proceed(self) -> None:
@@ -167,27 +167,27 @@
         if self._answers_unread():
             return
         try:
-            self._take_requests()
+            self._handle_requests()
         except InvalidRequestError as error:
             self.refuse(error)
         except Exception as error:
             # Also called by the loop, where an exception would end the program and all its requests.
-            self.side.failed(self, error)
+            self.side.connection_failed(self, error)
 
-    def _take_requests(self) -> None:
-        while not self.over and not self.paused:
+    def _handle_requests(self) -> None:
+        while not self.ended and not self.paused:
             request = self.codec.next_request()
             if request is None:
                 break
-            self.side.requested(self, request)
+            self.side.handle_request(self, request)
             if self._answers_unread():
                 return
-        if not self.over and self.codec.awaits_continue:
+        if not self.ended and self.codec.awaits_continue:
             self.stream.write(self.codec.continue_response())
 
     def _answers_unread(self) -> bool:
         """Whether the client reads no answers: they would add up in memory, so nothing more is taken."""
-        if self.over or self.stream.unsent <= UNSENT_MOST:
+        if self.ended or self.stream.unsent <= MAX_UNSENT_BYTES:
             return False
         if not self._recheck_due:
             self._recheck_due = True
@@ -202,7 +202,7 @@
     def _drop(self, data: bytes) -> None:
         """Bytes that crossed the end of this side: their client sends such a request elsewhere."""
         self._dropped += len(data)
-        if self._dropped > DROPPED_MOST:
+        if self._dropped > MAX_DROPPED_BYTES:
             self.abort()
 
     async def _catch_up(self) -> None:
@@ -211,7 +211,7 @@
         Raises StreamClosed where it has left meanwhile, which no read would show behind unread bytes.
         """
         transport = self.side.transport
-        while not self.over and self._is_ahead():
+        while not self.ended and self._is_ahead():
             await transport.sleep(PAUSE_SECONDS if self.paused else RECHECK_SECONDS)
             if self.stream.peer_ended():
                 raise StreamClosed("closed by peer")
@@ -219,5 +219,5 @@
             self.proceed()
 
     def _is_ahead(self) -> bool:
-        far_ahead = self.codec.open and self.codec.bytes_ahead > AHEAD_MOST
-        return self.paused or far_ahead or self.stream.unsent > UNSENT_MOST
+        far_ahead = self.codec.open and self.codec.bytes_ahead > MAX_AHEAD_BYTES
+        return self.paused or far_ahead or self.stream.unsent > MAX_UNSENT_BYTES
--- a/gorsethread/http_gateway/configuration.py
+++ b/gorsethread/http_gateway/configuration.py
@@ -22,7 +22,7 @@
 from gorsethread.scheduling.model import SchedulerSettings
 
 Unchecked = Any  # a field that is taken as it stands; a value of another kind matches no request
-SOCKETS_LEAST = 32
+MIN_SOCKETS = 32
 # No list at all, so none that is complete.
 NO_LIST = ListAnswer(generation=0, reset=False, instances=[])
 DECODING_ERROR = re.compile(r"(?P<reason>.*?)(?: - at `\$\.?(?P<place>.*)`)?", re.DOTALL)
@@ -36,7 +36,7 @@
     request_classes: dict[bytes, int]
     service_tiers: dict[bytes, int]
     zones: dict[str, int]
-    units_most: float
+    max_units: float
     shards: float
 
 
@@ -55,7 +55,7 @@
     discovery: Address
     seed: int
     sockets: int
-    known: ListAnswer
+    known_endpoints: ListAnswer
     scheduler_settings: SchedulerSettings
     request_names: RequestNames
     connect_timeout: float
@@ -174,7 +174,7 @@
 
 
 def _configuration(file: _File, settings: SchedulerSettings) -> Configuration:
-    if file.limits.sockets < SOCKETS_LEAST:
+    if file.limits.sockets < MIN_SOCKETS:
         raise UnusableConfigurationError(f"limits.sockets: {file.limits.sockets} are too few to serve with")
     peer_listen, peers = _peers(file, settings)
     given = file.settings
@@ -184,7 +184,7 @@
         discovery=parse_address(file.discovery, "discovery"),
         seed=_seed(file.seed),
         sockets=file.limits.sockets,
-        known=file.known,
+        known_endpoints=file.known,
         # Also where lists are pushed, it is to the machine's agent, which a gateway hears by its own watch.
         scheduler_settings=replace(settings, may_send_messages=bool(peers), polls_endpoints=True),
         request_names=RequestNames(
--- a/gorsethread/http_gateway/connection_pool.py
+++ b/gorsethread/http_gateway/connection_pool.py
@@ -10,7 +10,9 @@
 from gorsethread.http_gateway.connection_reuse import ReuseTrust
 from gorsethread.transport.base import Transport
 
-IDLE_PART = 0.8  # of the time after which a backend closes an idle connection: the gateway closes first
+IDLE_TIMEOUT_FRACTION = (
+    0.8  # of the time after which a backend closes an idle connection: the gateway closes first
+)
 REPORTED_REASONS = 8  # the commonest reasons in one report
 
 
@@ -34,14 +36,14 @@
 class ConnectionPool:
     """The connections of all backends.
 
-    Owns the idle connections (emptied by use, by sweep() and as connections end), the busy ones by request
-    (emptied as attempts end) and the waiting attempts (emptied as connections come free); `most` bounds the
-    first two, the requests in flight the third.
+    Owns three tables: the idle connections, emptied by use, by sweep() and as connections end; the busy ones
+    by request, emptied as attempts end; and the waiting attempts, emptied as connections come free.
+    max_connections bounds the first two, the number of requests in flight bounds the third.
 
     Args:
         transport: the clock and the connections.
         links: the driver's table of links, by backend.
-        most: how many connections may be open or being opened at once.
+        max_connections: how many connections may be open or being opened at once.
         connect_timeout: seconds.
         idle_timeout: seconds after which a backend closes an idle connection.
         log: for structured events.
@@ -51,20 +53,20 @@
         self,
         transport: Transport,
         links: dict[int, Any],
-        most: int,
+        max_connections: int,
         connect_timeout: float,
         idle_timeout: float,
         log: Any,
     ) -> None:
         self.transport = transport
         self.links = links
-        self.most = most
+        self.max_connections = max_connections
         self.log = log
         self.connect_timeout = connect_timeout
-        self.idle_timeout = idle_timeout * IDLE_PART
-        self.held = 0
-        self.opened = 0
-        self.trust = ReuseTrust()
+        self.idle_timeout = idle_timeout * IDLE_TIMEOUT_FRACTION
+        self.open_connections = 0
+        self.opened_total = 0
+        self.reuse_trust = ReuseTrust()
         self.invalid_answers: Counter[str] = Counter()
         self.idle: dict[BackendConnection, None] = {}  # longest idle first
         self.busy: dict[int, BackendConnection] = {}
@@ -84,11 +86,11 @@
 
     def make_room(self) -> bool:
         """Whether one more may be opened; closes the connection that is idle for longest where it must."""
-        if self.held >= self.most:
+        if self.open_connections >= self.max_connections:
             oldest = self._longest_idle()
             if oldest is None:
                 return False
-            oldest.link.lose(oldest)
+            oldest.link.close_connection(oldest)
         return True
 
     def _longest_idle(self) -> BackendConnection | None:
@@ -108,7 +110,7 @@
             self.waiting.popleft()
             link.resume(attempt)
 
-    def withdraw(self, unready: dict[int, bool]) -> None:
+    def update_unready(self, unready: dict[int, bool]) -> None:
         """Ends the waiting attempts at backends that drain or are gone.
 
         Their connection could come after the time within which sending has to stop.
@@ -137,4 +139,4 @@
         before = self.transport.now() - self.idle_timeout
         expired = list(takewhile(lambda connection: connection.idle_since <= before, self.idle))
         for connection in sorted(expired, key=lambda connection: connection.link.position):
-            connection.link.lose(connection)
+            connection.link.close_connection(connection)
--- a/gorsethread/http_gateway/connection_reuse.py
+++ b/gorsethread/http_gateway/connection_reuse.py
@@ -3,7 +3,7 @@
 HALF_LIFE_SECONDS = 5.0
 # More breaks than this number and this part of all uses, both faded, and no connection is reused.
 BREAKS_ALLOWED = 1.0
-BREAKS_ALLOWED_PART = 0.04
+BREAKS_ALLOWED_FRACTION = 0.04
 
 
 class ReuseTrust:
@@ -18,16 +18,16 @@
         self._breaks = 0.0
         self._faded_at = 0.0
 
-    def seen(self, broke: bool, now: float) -> None:
+    def record_use(self, broke: bool, now: float) -> None:
         """Counts an attempt that ended on a reused connection."""
         self._fade(now)
         self._uses += 1.0
         self._breaks += broke
 
-    def holds(self, now: float) -> bool:
+    def allows_reuse(self, now: float) -> bool:
         """Whether connections may be reused now."""
         self._fade(now)
-        return self._breaks <= BREAKS_ALLOWED + BREAKS_ALLOWED_PART * self._uses
+        return self._breaks <= BREAKS_ALLOWED + BREAKS_ALLOWED_FRACTION * self._uses
 
     def _fade(self, now: float) -> None:
         part = 0.5 ** ((now - self._faded_at) / HALF_LIFE_SECONDS)
--- a/gorsethread/http_gateway/discovery.py
+++ b/gorsethread/http_gateway/discovery.py
@@ -15,13 +15,13 @@
 SPACING_SECONDS = 0.1  # between calls that bring nothing new; a watch goes on for twice as long
 # Of the longest that a call may wait. Each wait is drawn: a change of the list answers the calls of all
 # gateways at once, which would stay in step from then on.
-SHORTEST_WAIT_PART = 0.5
+MIN_WAIT_FRACTION = 0.5
 # From a call's beginning, its connection's coming up included, to its answer. A crowded service answers a
 # second or two behind a call's wait; a silent one has to show early enough for the next call.
 CALL_TIMEOUT_SECONDS = 4.2
 NO_WAIT_SECONDS = 0.001  # that a call waits which is to be answered at once
-REASON_LENGTH_MOST = 200  # characters of a reason that is logged
-LOGGED_BACKENDS_MOST = 20
+MAX_REASON_LENGTH = 200  # characters of a reason that is logged
+MAX_LOGGED_BACKENDS = 20
 
 
 async def read_answer(stream: Stream, codec: ClientCodec) -> Response:
@@ -31,7 +31,7 @@
         try:
             answer = codec.feed(await stream.read())
         except StreamEnded:
-            answer = codec.ended()
+            answer = codec.connection_ended()
             if answer is None:
                 raise
     return answer
@@ -62,7 +62,7 @@
         self.version = 0
         self.stopped = False
         # Called once, at the first answer or failure. None: nobody waits for that, or no more.
-        self.first_call_over: Callable[[], None] | None = None
+        self.on_first_call_ended: Callable[[], None] | None = None
         self._stream: Stream | None = None
         self._watching = False
         self._call_began = 0.0
@@ -82,7 +82,7 @@
             self._watching = True
             self.transport.spawn(self._follow())
 
-    def moved(self, address: Address) -> None:
+    def move_to(self, address: Address) -> None:
         """Discovery is at another address now: the watch goes on there at once."""
         self.address = address
         # Refusals by the old service say nothing of the new one, and would lengthen the backoff if it fails.
@@ -99,8 +99,8 @@
         self._close_stream()
 
     def _end_first_call(self) -> None:
-        waiting = self.first_call_over
-        self.first_call_over = None
+        waiting = self.on_first_call_ended
+        self.on_first_call_ended = None
         if waiting is not None:
             waiting()
 
@@ -129,7 +129,7 @@
             return
         if not self._needs_complete:  # else the list is asked for once more, and complete
             self._end_first_call()
-        self.log.info("endpoint list watch failed", reason=reason[:REASON_LENGTH_MOST])
+        self.log.info("endpoint list watch failed", reason=reason[:MAX_REASON_LENGTH])
         self.updates.driver.endpoint_poll_failed(self.transport.now() - self._call_began)
 
     async def _watch(self) -> None:
@@ -144,7 +144,7 @@
             answer = await self._call(stream, codec, address)
             if address != self.address:
                 return  # the old service still answered as the watch was moved
-            if not self._take(answer) and self.transport.now() < self._call_began + SPACING_SECONDS:
+            if not self._apply_answer(answer) and self.transport.now() < self._call_began + SPACING_SECONDS:
                 # A service that answers at once with nothing new must not be asked without a pause.
                 await self.transport.sleep(SPACING_SECONDS)
             self._call_began = self.transport.now()
@@ -169,14 +169,14 @@
             timer.cancel()
 
     def _target(self) -> bytes:
-        wait = self.chance.uniform(SHORTEST_WAIT_PART, 1.0) * self.wait
-        if self.first_call_over is not None:
+        wait = self.chance.uniform(MIN_WAIT_FRACTION, 1.0) * self.wait
+        if self.on_first_call_ended is not None:
             wait = NO_WAIT_SECONDS  # asks for what is known already, not for what comes
         if self._needs_complete:
             return LIST_PATH
         return LIST_PATH + b"?since=%d&timeout_ms=%d" % (self.version, round(wait * 1000))
 
-    def _take(self, answer: Response) -> bool:
+    def _apply_answer(self, answer: Response) -> bool:
         """Believes an answer and applies it; whether it brought a new version.
 
         Raises DiscoveryError where it can't be believed.
@@ -195,7 +195,7 @@
                 "endpoint list",
                 generation=listed.generation,
                 complete=listed.reset,
-                backends={one.instance_id: one.lifecycle for one in listed.instances[:LOGGED_BACKENDS_MOST]},
+                backends={one.instance_id: one.lifecycle for one in listed.instances[:MAX_LOGGED_BACKENDS]},
             )
             self.updates.apply(listed.instances, listed.reset, False)
         self._end_first_call()
--- a/gorsethread/http_gateway/endpoint_updates.py
+++ b/gorsethread/http_gateway/endpoint_updates.py
@@ -58,7 +58,7 @@
             unready = {number: unready.get(number, True) for number in self.pool.links}
         else:
             self.links.remove_idle()
-        self.pool.withdraw(unready)
+        self.pool.update_unready(unready)
         self.driver.endpoints_listed(entries, complete, remembered)
 
     def _entry(self, number: int, instance: Instance) -> EndpointEntry:
--- a/gorsethread/http_gateway/gateway.py
+++ b/gorsethread/http_gateway/gateway.py
@@ -17,19 +17,19 @@
 from gorsethread.transport.base import Listener, Transport
 
 # Of the descriptors; the rest is for discovery and the program itself.
-CLIENTS_PART = 0.5
-BACKENDS_PART = 0.4
+CLIENTS_FRACTION = 0.5
+BACKENDS_FRACTION = 0.4
 SWEEP_INTERVAL_SECONDS = 0.25
 REPORT_INTERVAL_SECONDS = 10.0  # logs are counts, not a line for each bad client
 NEW_CONNECTIONS_SECONDS = 0.5  # after SIGTERM, in which new connections may come
 # After SIGTERM the platform kills a gateway no sooner than its clients' longest wait and this later.
 KILL_AFTER_SECONDS = 0.7
-LONGEST_WAIT_COUNTED_SECONDS = 3.0
+MAX_COUNTED_WAIT_SECONDS = 3.0
 SPARE_SECONDS = 0.35  # before that by which it has ended
 FIRST_LIST_SECONDS = 1.5  # that a process whose agent is sent the list waits for it before it serves
 LAST_ANSWERS_SECONDS = 0.4  # that what is open at the end may still take
 LAST_ANSWERS_POLL_SECONDS = 0.02
-WATCH_WAIT_MOST_SECONDS = 2.4  # that a call of discovery may wait for a change; its answer may come later
+MAX_WATCH_WAIT_SECONDS = 2.4  # that a call of discovery may wait for a change; its answer may come later
 
 
 class ListenError(GorsethreadError):
@@ -77,7 +77,7 @@
         links = BackendLinks(lambda backend, address: BackendLink(self.pool, backend, address))
         settings = configuration.scheduler_settings
         updates = EndpointUpdates(transport, configuration.request_names.zones, links)
-        wait = min(WATCH_WAIT_MOST_SECONDS, 0.5 * settings.poll_within or WATCH_WAIT_MOST_SECONDS)
+        wait = min(MAX_WATCH_WAIT_SECONDS, 0.5 * settings.poll_within or MAX_WATCH_WAIT_SECONDS)
         self.discovery = Discovery(transport, configuration.discovery, updates, wait, log)
         self.driver = Driver(
             transport, settings, configuration.seed, NoPlacement(), self.discovery.follow, log
@@ -87,21 +87,21 @@
         self.pool = self._connection_pool()
         updates.pool = self.pool
         self.pool.may_begin = self.driver.scheduler.may_begin_attempt
-        clients_most = int(configuration.sockets * CLIENTS_PART)
-        self.clients = ClientSide(transport, self.driver, configuration.request_names, clients_most, log)
-        self.messages = self._messages()
+        max_clients = int(configuration.sockets * CLIENTS_FRACTION)
+        self.clients = ClientSide(transport, self.driver, configuration.request_names, max_clients, log)
+        self.peer_messages = self._make_peer_messages()
 
     def _connection_pool(self) -> ConnectionPool:
         return ConnectionPool(
             self.transport,
             self.driver.links,
-            int(self.configuration.sockets * BACKENDS_PART),
+            int(self.configuration.sockets * BACKENDS_FRACTION),
             self.configuration.connect_timeout,
             self.configuration.idle_timeout,
             self.log,
         )
 
-    def _messages(self) -> PeerMessages | None:
+    def _make_peer_messages(self) -> PeerMessages | None:
         """The way to other gateways, where the configuration has one."""
         configuration = self.configuration
         if configuration.peer_listen is None:
@@ -123,29 +123,31 @@
 
         Raises ListenError where an address can't be had; it ends the program where that shows only later.
         """
-        if self.messages is not None:
+        if self.peer_messages is not None:
             try:
-                self.messages.start()
+                self.peer_messages.start()
             except OSError as error:
                 raise ListenError(str(error)) from error
         if self.configuration.pushed:
             # By an old list, requests could go to backends that the agent knows as draining or gone.
-            self.discovery.first_call_over = self._serve_late
-            self.transport.at(self.transport.now() + FIRST_LIST_SECONDS, self._serve_late)
-        self.discovery.start(self.configuration.known)
+            self.discovery.on_first_call_ended = self._serve_if_not_yet
+            self.transport.at(self.transport.now() + FIRST_LIST_SECONDS, self._serve_if_not_yet)
+        self.discovery.start(self.configuration.known_endpoints)
         if not self.configuration.pushed:
             self._serve()
         self._sweep()
         self._report()
 
-    def _serve_late(self) -> None:
+    def _serve_if_not_yet(self) -> None:
         if self._listener is None and not self._ending:
             self._serve()
 
     def _serve(self) -> None:
         host, port = self.configuration.listen
         try:
-            self._listener = self.transport.listen(host, port, self.clients.on_stream, self.clients.admits)
+            self._listener = self.transport.listen(
+                host, port, self.clients.on_stream, self.clients.admit_connection
+            )
         except OSError as error:
             raise ListenError(str(error)) from error
         self.log.info("gateway serves", address=f"{host}:{port}", backends=len(self.discovery.updates.known))
@@ -166,7 +168,7 @@
         self.configuration = replace(self.configuration, discovery=address)
         self.log.info("configuration read again", discovery=f"{address[0]}:{address[1]}")
         if address != self.discovery.address:
-            self.discovery.moved(address)
+            self.discovery.move_to(address)
 
     # ---- end
 
@@ -182,15 +184,15 @@
             await self._serve_until_end(self._listener)
         self.ended = True
         self.discovery.stop()
-        if self.messages is not None:
-            self.messages.stop()
+        if self.peer_messages is not None:
+            self.peer_messages.stop()
         for link in list(self.pool.links.values()):
             link.close()
         self._log_counts("gateway ended")
 
     async def _serve_until_end(self, listener: Listener) -> None:
         """Serves on for most of the time there is, then answers what is open."""
-        longest = min(self.configuration.longest_wait, LONGEST_WAIT_COUNTED_SECONDS)
+        longest = min(self.configuration.longest_wait, MAX_COUNTED_WAIT_SECONDS)
         remaining = longest + KILL_AFTER_SECONDS - SPARE_SECONDS
         self.clients.end_by = self.transport.now() + remaining
         self.driver.shutting_down_by(self.clients.end_by)
@@ -216,13 +218,13 @@
 
     def _log_counts(self, event: str) -> None:
         counts = {name.replace(" ", "_"): count for name, count in sorted(self.driver.counts.items())}
-        messages = dict(self.messages.counts) if self.messages is not None else {}
+        messages = dict(self.peer_messages.counts) if self.peer_messages is not None else {}
         self.log.info(
             event,
             open=len(self.driver.open_requests),
             clients=len(self.clients.connections),
-            backend_connections=self.pool.held,
-            opened=self.pool.opened,
+            backend_connections=self.pool.open_connections,
+            opened=self.pool.opened_total,
             waiting=len(self.pool.waiting),
             invalid_requests=self.clients.report(),
             invalid_answers=self.pool.report(),
--- a/gorsethread/http_gateway/request_parsing.py
+++ b/gorsethread/http_gateway/request_parsing.py
@@ -24,8 +24,8 @@
 TIMEOUT = re.compile(rb"[0-9]{1,7}")
 INFO = re.compile(rb"[0-9A-Za-z_]+=[^=,]*(?:,[0-9A-Za-z_]+=[^=,]*)*")
 INTEGER = re.compile(rb"-?[0-9]{1,9}")
-GATEWAYS_MOST = 100_000
-QUOTED_MOST = 20  # bytes of a wrong value that an error quotes
+MAX_GATEWAYS = 100_000
+MAX_QUOTED_BYTES = 20  # bytes of a wrong value that an error quotes
 
 
 class RequestFields(NamedTuple):
@@ -40,7 +40,7 @@
     units: float
     shard: int
     gateways: int
-    repeat: bool
+    is_retry: bool
 
 
 def parse_request(request: Request, names: RequestNames) -> RequestFields:
@@ -70,9 +70,9 @@
         key,
         int(timeout) * 0.001,
         volume.decode(),
-        float(_integer(info, INFO_UNITS, 1, names.units_most)),
+        float(_integer(info, INFO_UNITS, 1, names.max_units)),
         _integer(info, INFO_SHARD, -1, names.shards - 1),
-        _integer(info, INFO_GATEWAYS, 1, GATEWAYS_MOST),
+        _integer(info, INFO_GATEWAYS, 1, MAX_GATEWAYS),
         request.header(RETRY_HEADER) == b"1",
     )
 
@@ -109,8 +109,8 @@
     return info
 
 
-def _integer(info: dict[bytes, bytes], name: bytes, least: float, most: float) -> int:
+def _integer(info: dict[bytes, bytes], name: bytes, minimum: float, maximum: float) -> int:
     value = info.get(name, b"")
-    if not INTEGER.fullmatch(value) or not least <= int(value) <= most:
-        raise InvalidRequestError(400, f"{name.decode()} is {value[:QUOTED_MOST]!r}")
+    if not INTEGER.fullmatch(value) or not minimum <= int(value) <= maximum:
+        raise InvalidRequestError(400, f"{name.decode()} is {value[:MAX_QUOTED_BYTES]!r}")
     return int(value)
--- a/tests/crossing/test_backends.py
+++ b/tests/crossing/test_backends.py
@@ -108,7 +108,7 @@
         time.sleep(0.15)
         return honest(*arguments)
     return late
-discovery.Discovery._take = held_up(discovery.Discovery._take)
+discovery.Discovery._apply_answer = held_up(discovery.Discovery._apply_answer)
 backend_link.BackendLink._submit = held_up(backend_link.BackendLink._submit)
 """
 
--- a/tests/http_gateway/test_backends.py
+++ b/tests/http_gateway/test_backends.py
@@ -65,7 +65,7 @@
                 caller = await self.call(wish(str(n), "post", body=b"x"), 0.03)
                 self.assertEqual((200, b"got /post/7f3a9c21e0b4d655"), (caller.status, caller.body))
                 await self.wait(0.05)
-                self.assertEqual(0, head.pool.held)
+                self.assertEqual(0, head.pool.open_connections)
 
         self.play(work)
 
@@ -139,7 +139,7 @@
                 (await self.call(wish(str(n), "post", body=b"x"), 0.05)).status for n in range(300, 340)
             ]
             self.assertLess(statuses.count(504), 4)
-            self.assertEqual(0, head.pool.held, "none is kept, used or not")
+            self.assertEqual(0, head.pool.open_connections, "none is kept, used or not")
             shelf.says = lambda r: [whole(200, b"x")]
             await self.wait(30.0)
             before = shelf.connections
@@ -218,7 +218,9 @@
             for n in range(50, 53):
                 caller = await self.call(wish(str(n), "post", body=b"x"))
                 self.assertEqual(200, caller.status)
-            self.assertEqual((0, 0), (head.driver.counts["attempts connection lost"], head.pool.held))
+            self.assertEqual(
+                (0, 0), (head.driver.counts["attempts connection lost"], head.pool.open_connections)
+            )
 
         self.play(work)
 
@@ -226,7 +228,7 @@
         async def work() -> None:
             head = self.start()
             await self.call(wish("54"), 14.5)
-            self.assertEqual((1, 0), (self.shelves[0].ends, head.pool.held))
+            self.assertEqual((1, 0), (self.shelves[0].ends, head.pool.open_connections))
 
         self.play(work)
 
@@ -234,7 +236,7 @@
         async def work() -> None:
             head = self.start()
             await self.wait(0.2)
-            head.pool.most = 1
+            head.pool.max_connections = 1
             self.shelves[0].says = lambda r: None
             blocker = await self.call(wish("74", patience=5000))
             await self.call(wish("75", shard=1, patience=5000))
@@ -251,10 +253,10 @@
     def test_the_pool_is_bounded_and_those_who_wait_get_their_turn(self) -> None:
         async def work() -> None:
             head = self.start(limits={"cores": 1.0, "memory_mb": 64, "sockets": 32})
-            head.pool.most = 2
+            head.pool.max_connections = 2
             callers = [await self.call(wish(str(n), shard=n % 2), 0.0) for n in range(60, 70)]
             await self.wait(0.6)
-            self.assertLessEqual(head.pool.held, 2)
+            self.assertLessEqual(head.pool.open_connections, 2)
             self.assertEqual([200] * 10, [c.status for c in callers])
 
         self.play(work)
--- a/tests/http_gateway/test_clients.py
+++ b/tests/http_gateway/test_clients.py
@@ -65,7 +65,8 @@
             caller.stream.close()
             await self.wait(0.05)
             self.assertEqual(
-                (1, {}, {}), (head.driver.counts["client left"], head.driver.open_requests, head.clients.open)
+                (1, {}, {}),
+                (head.driver.counts["client left"], head.driver.open_requests, head.clients.open_requests),
             )
             self.assertEqual(1, self.shelves[0].ends)
             self.assertFalse(
@@ -146,7 +147,9 @@
     def test_room_is_never_made_by_a_connection_whose_request_is_on_its_way(self) -> None:
         async def work() -> None:
             head = self.start()
-            begun = [await self.call(wish(f"{n:x}")[:60], 0.0) for n in range(1, head.clients.most + 1)]
+            begun = [
+                await self.call(wish(f"{n:x}")[:60], 0.0) for n in range(1, head.clients.max_connections + 1)
+            ]
             await self.wait(0.01)  # the last one's first bytes are there
             newcomer = await self.call(wish("ff1"))
             self.assertEqual((b"", True), (newcomer.got, bool(newcomer.ended_at)), "there is no room")
@@ -248,20 +251,20 @@
             self.assertGreater(answered, 0)
             self.assertLess(answered, 250)
             self.assertEqual(200, (await self.call(wish("13"))).status)
-            self.assertEqual({}, head.clients.open)
+            self.assertEqual({}, head.clients.open_requests)
 
         self.play(work)
 
     def fails_at_bombs(self, head: Gateway) -> None:
         """Plants a defect that requests with a header of their own meet."""
-        honest = head.clients.requested
+        honest = head.clients.handle_request
 
-        def requested(connection: object, request: Request) -> None:
+        def handle_request(connection: object, request: Request) -> None:
             if request.header(b"x-bomb"):
                 raise ZeroDivisionError
             honest(connection, request)  # type: ignore[arg-type]
 
-        head.clients.requested = requested  # type: ignore[method-assign]
+        head.clients.handle_request = handle_request  # type: ignore[method-assign]
 
     def test_a_defect_met_by_a_held_request_costs_its_connection_alone(self) -> None:
         """What was sent ahead is gone on with from the loop, not from the connection's own task."""
--- a/tests/http_gateway/test_connection_pool.py
+++ b/tests/http_gateway/test_connection_pool.py
@@ -6,7 +6,7 @@
 
 from gorsethread.http_gateway.backend_connection import BackendConnection
 from gorsethread.http_gateway.backend_link import BackendLink
-from gorsethread.http_gateway.connection_pool import IDLE_PART, ConnectionPool
+from gorsethread.http_gateway.connection_pool import IDLE_TIMEOUT_FRACTION, ConnectionPool
 from gorsethread.logs import log_for
 
 IDLE_TIMEOUT = 10.0  # seconds
@@ -49,7 +49,7 @@
     def becomes_idle(self, backend: int, name: str, at: float) -> None:
         self.clock.time = at
         stream: Any = OpenStream(name, self.closed)
-        self.pool.held += 1
+        self.pool.open_connections += 1
         self.links[backend]._keep_idle(BackendConnection(self.links[backend], stream))
 
 
@@ -64,7 +64,7 @@
     assert rig.pool.make_room()
     assert rig.pool.make_room()
     assert rig.closed == ["first", "second"]
-    assert (rig.pool.held, dict(rig.pool.idle)) == (0, {})
+    assert (rig.pool.open_connections, dict(rig.pool.idle)) == (0, {})
 
 
 def test_among_equals_the_first_links_makes_room_also_where_that_link_was_replaced(rig: Pool) -> None:
@@ -88,14 +88,14 @@
 
 
 def test_a_full_pool_with_nothing_idle_has_no_room(rig: Pool) -> None:
-    rig.pool.held = 1
+    rig.pool.open_connections = 1
     assert not rig.pool.make_room()
 
 
 def test_a_sweep_closes_what_was_idle_for_its_time_link_by_link(rig: Pool) -> None:
     for name, backend, at in (("a", 2, 1.0), ("b", 3, 1.5), ("c", 2, 1.5), ("d", 1, 3.0)):
         rig.becomes_idle(backend, name, at)
-    rig.clock.time = 1.5 + IDLE_TIMEOUT * IDLE_PART
+    rig.clock.time = 1.5 + IDLE_TIMEOUT * IDLE_TIMEOUT_FRACTION
     rig.pool.sweep()
     assert rig.closed == ["b", "a", "c"]
     assert [len(link.idle_connections) for link in rig.links.values()] == [0, 1, 0]
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -188,7 +188,7 @@
         asking = self.asked()
         self.assertIsNone(asking.feed(b"HTTP/1.1 200 OK\r\n\r\nto the"))
         self.assertIsNone(asking.feed(b" end"))
-        answer = asking.ended()
+        answer = asking.connection_ended()
         assert answer is not None
         self.assertEqual((200, b"to the end", True), (answer.status, answer.body, answer.closes_connection))
 
@@ -203,7 +203,7 @@
                 asking = self.asked()
                 if data:
                     self.assertIsNone(asking.feed(data))
-                self.assertIsNone(asking.ended())
+                self.assertIsNone(asking.connection_ended())
 
     @given(st.binary(max_size=300))
     def test_any_bytes_give_an_answer_nothing_or_spoilt(self, data: bytes) -> None:
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -64,7 +64,7 @@
             await self.load(self.user.now() + at)
             self.list.silence(how == HALF, more=how == MUTE)
             if how == MUTE:
-                self.head.discovery.moved(self.head.discovery.address)  # calls, and hears not a byte
+                self.head.discovery.move_to(self.head.discovery.address)  # calls, and hears not a byte
             began = self.user.now()
             self.list.tell(instance(0, "draining"))
             await self.load(began + TOLD_AFTER + 4.0)
