--- a/tests/crossing/test_backends.py
+++ b/tests/crossing/test_backends.py
@@ -14,7 +14,7 @@
     connections_to,
     until,
 )
-from tests.live import SETTINGS, wish
+from tests.live import SETTINGS, request_bytes
 
 GRACE = 0.25  # seconds: shorter than the second after which a system asks again for a connection
 LATE = {"permissions": {"dialTimeout": 5.0}, "contract": {"stopSendingWithin": GRACE}}
@@ -28,7 +28,7 @@
         self.backend = LateServer(self)
         self.start(self.backend, **LATE)
         self.sent_at = time.monotonic()
-        self.asker = self.ask(wish("a1", kind, patience=patience))
+        self.asker = self.ask(request_bytes("a1", kind, timeout_ms=patience))
         self.backend.awaits_connection()
 
     def test_a_backend_told_to_drain_meanwhile_gets_nothing_past_the_grace(self) -> None:
@@ -59,18 +59,18 @@
         self.begin()
         self.asker.close()
         self.backend.let_in()
-        next_one = self.ask(wish("a2"))
+        next_one = self.ask(request_bytes("a2"))
         peer, request = self.backend.next_request()
         self.assertIn("a2", request.headers["req-id"])
         peer.send(answer(200))
         self.assertEqual(200, next_one.message().status)
 
     def test_what_its_time_is_up_for_meanwhile_is_answered_and_not_sent(self) -> None:
-        self.begin(patience=300)
+        self.begin(timeout_ms=300)
         self.assertIn(self.asker.message().status, (503, 504))
         self.assertLess(time.monotonic() - self.sent_at, 0.6)
         self.backend.let_in()
-        next_one = self.ask(wish("a2"))
+        next_one = self.ask(request_bytes("a2"))
         peer, request = self.backend.next_request()
         self.assertIn("a2", request.headers["req-id"])
         peer.send(answer(200))
@@ -115,14 +115,14 @@
     def test_nothing_new_is_written_to_a_draining_backend_past_the_grace(self) -> None:
         backend = Server(self)
         self.start(backend, plant=self.HELD_UP, contract={"stopSendingWithin": self.GRACE})
-        first = self.ask(wish("d1"))
+        first = self.ask(request_bytes("d1"))
         backend.next_request()[0].send(answer(200))
         self.assertEqual(200, first.message().status)
         told_at = time.monotonic()
         self.discovery.tell(self.instance(0, backend, "draining"))
         # Heard 0.15 s later; a request decided then and held up as long is written past the grace.
         self.gateway.logged('"endpoint list"', '"s-0": "draining"')
-        self.ask(wish("d2"))
+        self.ask(request_bytes("d2"))
         try:
             backend.next_request(within=0.5)
         except TimeoutError:
@@ -137,7 +137,7 @@
         keyed = {"name": "post", "aim": 0.4, "effect": "guarded", "window": 0.5, "worth": 3.0}
         backend = Server(self, backlog=0)
         self.start(backend, services=[SETTINGS["services"][0], keyed], **LATE)
-        asker = self.ask(wish("c1", "post", patience=2500, body=b"x"))
+        asker = self.ask(request_bytes("c1", "post", timeout_ms=2500, body=b"x"))
         first = backend.accept()
         first.message()
         filler = socket.create_connection((HOST, backend.port), 5)
@@ -159,7 +159,7 @@
         self.backend = Server(self)
         self.start(self.backend)
         body = b"x" if kind == "post" else b""
-        self.asker = self.ask(wish("b1", kind, patience=3000, body=body))
+        self.asker = self.ask(request_bytes("b1", kind, timeout_ms=3000, body=body))
         self.first = self.backend.accept()
         self.first.message()
 
@@ -219,7 +219,7 @@
         second.send(answer(200, b"second"))
         got = self.asker.message()
         self.assertEqual((200, b"second"), (got.status, got.body))
-        self.asker.send(wish("b2"))
+        self.asker.send(request_bytes("b2"))
         third, _ = self.backend.next_request()
         third.send(answer(200, b"third"))
         self.assertEqual(b"third", self.asker.message().body, "no second answer stood before it")
@@ -230,7 +230,7 @@
         self.asker.message()
         self.first.socket.shutdown(1)
         self.assertTrue(self.first.ends(), "the gateway ends its side as it sees the backend's end")
-        self.asker.send(wish("b2", "post", body=b"x"))
+        self.asker.send(request_bytes("b2", "post", body=b"x"))
         second = self.backend.accept()
         self.assertIn("b2", second.message().headers["req-id"])
         second.send(answer(200, b"two"))
--- a/tests/crossing/test_clients.py
+++ b/tests/crossing/test_clients.py
@@ -23,7 +23,7 @@
     has_read_all,
     until,
 )
-from tests.live import wish
+from tests.live import request_bytes
 
 LARGE = bytes(range(256)) * 7800  # 2 MB: two of these are more than the system's buffers take at once
 SHORT_LIVED = {
@@ -47,7 +47,9 @@
         ids = [f"{n:x}" for n in range(0xA1, 0xA7)]
         asker = self.ask(
             b"".join(
-                wish(id, "read" if id == "a1" else "post", body=b"" if id == "a1" else body, patience=9000)
+                request_bytes(
+                    id, "read" if id == "a1" else "post", body=b"" if id == "a1" else body, timeout_ms=9000
+                )
                 for id in ids
             )
         )
@@ -66,8 +68,8 @@
         backend = Server(self)
         self.start(backend)
         asker = self.ask(
-            wish("b1", patience=9000)
-            + b"".join(wish(f"{n:x}", "post", body=b"x" * 40_000) for n in range(0xC1, 0xC5))
+            request_bytes("b1", timeout_ms=9000)
+            + b"".join(request_bytes(f"{n:x}", "post", body=b"x" * 40_000) for n in range(0xC1, 0xC5))
         )
         peer = backend.accept()
         peer.message()
@@ -82,7 +84,7 @@
         self.start(backend)
         number, body = 200, b"y" * 200_000
         asker = self.client(receive_buffer=4096)
-        asker.send(b"".join(wish(f"{n + 1:x}", patience=9000) for n in range(number)))
+        asker.send(b"".join(request_bytes(f"{n + 1:x}", timeout_ms=9000) for n in range(number)))
         served = 0
         while served < number:
             try:
@@ -115,9 +117,9 @@
             with self.subTest(close_comes_first=close_comes_first):
                 backend = Server(self)
                 self.start(backend)
-                askers = [self.ask(wish(f"a{n}", patience=5000)) for n in range(self.SLOTS)]
+                askers = [self.ask(request_bytes(f"a{n}", timeout_ms=5000)) for n in range(self.SLOTS)]
                 peers = [backend.next_request()[0] for _ in askers]
-                leaver = self.ask(wish("b1", patience=5000))
+                leaver = self.ask(request_bytes("b1", timeout_ms=5000))
                 ports = leaver.ports
                 until(lambda ports=ports: has_read_all(*ports), "the request is read")
                 self.gateway.signal(signal.SIGSTOP)
@@ -148,7 +150,10 @@
         backend = Server(self)
         self.start(backend)
         asker = self.client(receive_buffer=4096)
-        asker.send(wish("d1", patience=5000) + wish("d2", patience=5000, more="Connection: close\r\n"))
+        asker.send(
+            request_bytes("d1", timeout_ms=5000)
+            + request_bytes("d2", timeout_ms=5000, headers="Connection: close\r\n")
+        )
         for _ in range(2):
             peer, _ = backend.next_request()
             peer.send(answer(200, LARGE))
@@ -161,7 +166,7 @@
         self.start(backend)
         asker = self.client()
         self.assertTrue(asker.ends(), "silent since it connected")
-        asker.send(wish("d2"))
+        asker.send(request_bytes("d2"))
         self.assertTrue(asker.ends())
         self.assertTrue(backend.accepts_nothing(0.3))
 
@@ -172,12 +177,17 @@
     def test_bad_clients_and_a_backend_that_talks_nonsense_cost_nobody_else_an_answer(self) -> None:
         good, bad = Server(self), Server(self)
         self.start(good, bad)
-        asker = self.ask(wish("aa1", "post", patience=5000, body=b"x"))
+        asker = self.ask(request_bytes("aa1", "post", timeout_ms=5000, body=b"x"))
         peer = good.accept()
         peer.message()
-        rude = [b"\x16\x03\x01", b"GET / HTTP/1.0\r\n\r\n", b"PUT /read/7f", 200 * wish("aa2", "nothing")]
+        rude = [
+            b"\x16\x03\x01",
+            b"GET / HTTP/1.0\r\n\r\n",
+            b"PUT /read/7f",
+            200 * request_bytes("aa2", "nothing"),
+        ]
         others = [self.ask(rude[n % len(rude)]) for n in range(80)]
-        spoilt = self.ask(wish("aa3", "post", shard=1, patience=5000, body=b"x"))
+        spoilt = self.ask(request_bytes("aa3", "post", shard=1, timeout_ms=5000, body=b"x"))
         nonsense, _ = bad.next_request()
         nonsense.send(b"\x00\xff what is this\r\n\r\n")
         self.assertEqual(504, spoilt.message().status, "it may have run")
@@ -185,7 +195,7 @@
             other.reset()
         peer.send(answer(200, b"mine"))
         self.assertEqual(b"mine", asker.message().body)
-        asker.send(wish("aa4"))
+        asker.send(request_bytes("aa4"))
         peer, _ = good.next_request()
         peer.send(answer(200, b"and the next"))
         self.assertEqual(b"and the next", asker.message().body)
@@ -197,7 +207,7 @@
     def test_what_is_open_at_sigterm_is_answered_and_told_that_the_connection_ends(self) -> None:
         backend = Server(self)
         self.start(backend, **SHORT_LIVED)
-        asker = self.ask(wish("e1", patience=600))
+        asker = self.ask(request_bytes("e1", timeout_ms=600))
         peer = backend.accept()
         peer.message()
         self.gateway.signal(signal.SIGTERM)
@@ -211,8 +221,8 @@
     ) -> None:
         backend = Server(self)
         self.start(backend, services=LONG_LIVED)
-        reader = self.ask(wish("a1", patience=9000))
-        writer = self.ask(wish("a2", "post", patience=9000, body=b"x"))
+        reader = self.ask(request_bytes("a1", timeout_ms=9000))
+        writer = self.ask(request_bytes("a2", "post", timeout_ms=9000, body=b"x"))
         for _ in range(2):
             backend.next_request()
         began = time.monotonic()
@@ -226,7 +236,7 @@
     def test_twice_and_together_with_a_reload_ends_once_and_in_order(self) -> None:
         backend = Server(self)
         self.start(backend, **SHORT_LIVED)
-        asker = self.ask(wish("e2", patience=600))
+        asker = self.ask(request_bytes("e2", timeout_ms=600))
         peer = backend.accept()
         peer.message()
         self.gateway.signal(signal.SIGSTOP)
@@ -245,7 +255,7 @@
         self.backends = [backend, Server(self)]
         self.configuration = self.config(silent, [], **SHORT_LIVED)
         self.gateway = GatewayProcess(self, self.configuration)
-        asker = self.ask(wish("e3", patience=600))
+        asker = self.ask(request_bytes("e3", timeout_ms=600))
         self.gateway.signal(signal.SIGTERM)
         self.assertIn(asker.message().status, (503, 504))
         self.assertEqual(0, self.gateway.process.wait(5))
@@ -256,7 +266,7 @@
         told = time.monotonic()
         self.gateway.signal(signal.SIGTERM)
         self.gateway.logged("gateway ends")
-        asker.send(wish("e4", "post", body=b"hello")[:-3])
+        asker.send(request_bytes("e4", "post", body=b"hello")[:-3])
         self.assertIn(asker.message().status, (408, 503))
         self.assertTrue(asker.ends())
         self.assertLess(time.monotonic() - told, ALL_ANSWERED_BY)
@@ -265,7 +275,7 @@
     def test_all_that_was_read_behind_the_request_in_work_is_answered_while_it_ends(self) -> None:
         backend = Server(self)
         self.start(backend)
-        asker = self.ask(wish("f1", patience=3000))
+        asker = self.ask(request_bytes("f1", timeout_ms=3000))
         peer = backend.accept()
         peer.message()
         self.gateway.signal(signal.SIGTERM)
@@ -295,7 +305,7 @@
         self.gateway.signal(signal.SIGTERM)
         answered = 0
         for n in range(100_000):
-            asker.send(wish(f"{0x1000 + n:x}", patience=300))
+            asker.send(request_bytes(f"{0x1000 + n:x}", timeout_ms=300))
             try:
                 peer, _ = backend.next_request(within=0.5)
             except TimeoutError:
--- a/tests/crossing/test_discovery.py
+++ b/tests/crossing/test_discovery.py
@@ -18,7 +18,7 @@
 from gorsethread.transport.real import RealTransport
 from tests.crossing.rig import HOST, PATIENCE, CrossingTest, Discovery, GatewayProcess, Peer, Server, answer
 from tests.harness import FACTS, PrintingHost
-from tests.live import SETTINGS, LiveRig, NewsList, wish
+from tests.live import SETTINGS, FakeDiscovery, GatewayTest, request_bytes
 
 READY_WITHIN = 3.0  # seconds from a process's first call, of the 10 that nine in ten restarts may take
 TOLD_AFTER = 6.0  # seconds after discovery can be reached, from which a change counts as told
@@ -43,7 +43,7 @@
 
     def is_served(self, number: int) -> None:
         """A request for the backend of that number reaches it and is answered."""
-        asker = self.ask(wish(f"a{number}", shard=number))
+        asker = self.ask(request_bytes(f"a{number}", shard=number))
         peer, _ = self.backends[number].next_request()
         peer.send(answer(200, b"served"))
         self.assertEqual(b"served", asker.message().body)
@@ -166,7 +166,7 @@
             socket.create_connection((HOST, self.gateway.port), 1.0)
         self.watch.send(self.said(2, False, self.instance(0, self.backends[0], "draining")))
         self.gateway.logged("gateway serves")
-        asker = self.ask(wish("a1", patience=600))
+        asker = self.ask(request_bytes("a1", timeout_ms=600))
         with self.assertRaises(TimeoutError, msg="sent to a backend whose drain counted as told"):
             self.backends[0].next_request(within=0.8)
         self.assertIn(asker.message().status, (503, 504))
@@ -187,7 +187,7 @@
             socket.create_connection((HOST, self.gateway.port), 1.0)
         again.send(self.said(0, True, self.known[1]))
         self.gateway.logged("gateway serves")
-        asker = self.ask(wish("a1", patience=600))
+        asker = self.ask(request_bytes("a1", timeout_ms=600))
         with self.assertRaises(TimeoutError, msg="sent to a backend that the agent does not know"):
             self.backends[0].next_request(within=0.8)
         self.assertIn(asker.message().status, (503, 504))
@@ -345,19 +345,19 @@
                 self.assertLessEqual(scheduler.polling.next_poll_at - host.now, 1.0)
 
 
-class RefusalsBeforeAMove(LiveRig):
+class RefusalsBeforeAMove(GatewayTest):
     def test_they_lengthen_no_pause_of_the_new_address(self) -> None:
         async def work() -> None:
-            head = self.start()
-            self.list.down = True
+            gateway = self.start()
+            self.discovery.unavailable = True
             await self.wait(30.0)
-            self.assertGreater(head.driver.scheduler.polling.failures, 3)
-            new = NewsList(self.process("list2"), ("list2", 1), generation=1)
-            new.down = True
+            self.assertGreater(gateway.driver.scheduler.polling.failures, 3)
+            new = FakeDiscovery(self.process("list2"), ("list2", 1), generation=1)
+            new.unavailable = True
             self.configure(discovery="list2:1")
             self.transport.reload()
             await self.wait(0.1)
-            self.assertEqual(1, len(new.asked))
-            self.assertEqual(1, head.driver.scheduler.polling.failures, "as after a first refusal")
+            self.assertEqual(1, len(new.targets))
+            self.assertEqual(1, gateway.driver.scheduler.polling.failures, "as after a first refusal")
 
-        self.play(work)
+        self.run_scenario(work)
--- a/tests/crossing/test_large_fleet.py
+++ b/tests/crossing/test_large_fleet.py
@@ -20,7 +20,7 @@
     Server,
     answer,
 )
-from tests.live import SETTINGS, wish
+from tests.live import SETTINGS, request_bytes
 
 USUAL, LARGE = 200, 3200
 REQUESTS, RATE = 600, 50.0  # how many, and how many a second
@@ -105,7 +105,7 @@
         changed, begun = 0, time.monotonic()
         for number in range(1, REQUESTS + 1):
             shard = -1 if chance.random() < NEW_PART else chance.randrange(backends)
-            data = wish(f"{number:x}", shard=shard, patience=2000, body=b"x" if shard < 0 else b"")
+            data = request_bytes(f"{number:x}", shard=shard, timeout_ms=2000, body=b"x" if shard < 0 else b"")
             volume = b"%016x" % chance.randrange(VOLUMES)
             asker.send(data.replace(b"00000003b4d60021", volume))
             served += asker.message().status == 200
--- a/tests/crossing/test_settings.py
+++ b/tests/crossing/test_settings.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from tests.crossing.rig import CrossingTest, Server, answer
-from tests.live import SETTINGS, wish
+from tests.live import SETTINGS, request_bytes
 
 CAPPED = {"name": "capped", "baseRate": 5.0, "proportion": 1.0, "neverOver": 1.0, "limitBurst": 8.0}
 PLAIN = SETTINGS["grades"][0]
@@ -17,7 +17,7 @@
 
     def served_within(self, id: str, tier: str, patience: int) -> bool:
         """Whether a request of 8 units is served before its client's time is up."""
-        request = wish(id, patience=patience, units=8)
+        request = request_bytes(id, timeout_ms=patience, units=8)
         asker = self.ask(request.replace(b"Tier: plain", f"Tier: {tier}".encode()))
         try:
             peer, seen = self.backends[0].next_request(within=patience / 1000)
@@ -50,7 +50,7 @@
         """The second class, which may run once only, becomes one that may be repeated, under another name."""
         backend = Server(self)
         self.start(backend)
-        asker = self.ask(wish("b1", "post", body=b"x", patience=3000))
+        asker = self.ask(request_bytes("b1", "post", body=b"x", timeout_ms=3000))
         peer = backend.accept()
         peer.message()
         replaced = [SETTINGS["services"][0], {**SETTINGS["services"][1], "name": "copy", "effect": "free"}]
@@ -58,8 +58,8 @@
         peer.reset()
         self.assertEqual(504, asker.message().status, "taken under the old settings: it may have run")
         self.assertTrue(backend.accepts_nothing(0.3), "sent again by the settings of the class in its place")
-        self.assertEqual(404, self.ask(wish("b2", "copy", body=b"x")).message().status)
-        later = self.ask(wish("b3", "post", body=b"x", patience=3000))
+        self.assertEqual(404, self.ask(request_bytes("b2", "copy", body=b"x")).message().status)
+        later = self.ask(request_bytes("b3", "post", body=b"x", timeout_ms=3000))
         peer, _ = backend.next_request()
         peer.reset()
         self.assertEqual(504, later.message().status, "and so does what comes later, up to a restart")
@@ -71,7 +71,7 @@
         self.reload(services=[{**s, "giveUp": 0.1} for s in SETTINGS["services"]])
         self.gateway.signal(signal.SIGTERM)
         self.gateway.logged("gateway ends")
-        asker = self.ask(wish("c1", patience=1800))
+        asker = self.ask(request_bytes("c1", timeout_ms=1800))
         peer, request = backend.next_request()
         self.assertGreater(int(request.headers["req-deadline-ms"]), 1200)
         peer.send(answer(200, b"in time"))
@@ -80,7 +80,7 @@
     def test_a_configuration_that_cant_be_used_is_kept_out_and_said(self) -> None:
         backend = Server(self)
         self.start(backend)
-        asker = self.ask(wish("d1", patience=3000))
+        asker = self.ask(request_bytes("d1", timeout_ms=3000))
         peer = backend.accept()
         peer.message()
         for broken in ("", "{", "[]", '{"settings": {}}'):
--- a/tests/http_gateway/test_program.py
+++ b/tests/http_gateway/test_program.py
@@ -14,7 +14,7 @@
 from gorsethread.http_gateway.addresses import UnusableConfigurationError
 from gorsethread.http_gateway.configuration import read_configuration
 from gorsethread.transport.real import free_ports
-from tests.live import SETTINGS, order
+from tests.live import SETTINGS, make_config
 
 
 class Configuration(unittest.TestCase):
@@ -40,10 +40,12 @@
             ({"settings": {**SETTINGS, "grades": [{"name": "plain", "neverOver": [9]}]}}, "limit"),
         ):
             with self.subTest(changed=changed), self.assertRaises(UnusableConfigurationError) as caught:
-                read_configuration(json.dumps(order(**changed)).encode(), "the/place")
+                read_configuration(json.dumps(make_config(**changed)).encode(), "the/place")
             self.assertIn("the/place", str(caught.exception))
             self.assertIn(said, str(caught.exception))
-        self.assertEqual(("head", 1), read_configuration(json.dumps(order(unknown=1)).encode(), "p").listen)
+        self.assertEqual(
+            ("head", 1), read_configuration(json.dumps(make_config(unknown=1)).encode(), "p").listen
+        )
 
     def test_the_program_says_so_in_one_line_and_ends_with_2(self) -> None:
         for env in ({}, {"GW_CONFIG": "/nowhere/config.json"}):
@@ -98,7 +100,9 @@
         settings = {**SETTINGS, "services": [{**s, "giveUp": 0.2} for s in SETTINGS["services"]]}
         nobody: dict[str, Any] = {"generation": 0, "reset": True, "instances": []}
         with open(f"{folder}/config.json", "w") as file:
-            json.dump(order(listen=listen, discovery="127.0.0.1:9", settings=settings, known=nobody), file)
+            json.dump(
+                make_config(listen=listen, discovery="127.0.0.1:9", settings=settings, known=nobody), file
+            )
         started = self.enterContext(
             subprocess.Popen(
                 [sys.executable, "-c", WATCHED.replace("PLANTED", planted)],
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -45,7 +45,7 @@
 from gorsethread.transport.virtual import Disk, Network, VirtualLoop, VirtualTransport, Weather
 from tests.harness import FACTS, PrintingHost
 from tests.harness import Scene as Bench
-from tests.live import SETTINGS, LiveRig, order
+from tests.live import SETTINGS, GatewayTest, make_config
 from tests.scheduling.test_same_decisions import setup_of
 
 COLD = SlowStartRule(9.0, 3.0, 13.0, 0.19)
@@ -533,7 +533,7 @@
         )
 
 
-class Heads(LiveRig):
+class Heads(GatewayTest):
     def test_a_head_in_service_hears_and_answers_on_its_peers_port(self) -> None:
         home = int.from_bytes(blake2b(b"1", digest_size=8).digest()) % 60
         peers = [f"head{n}:7946" for n in range(60)]
@@ -559,7 +559,7 @@
             other.send(home, "ask 1 7/1.5 2 0.5")
             await self.wait(0.5)
 
-        self.play(work)
+        self.run_scenario(work)
         self.assertEqual([(home, "lent 1 7/1.5 2 0.5")], told)
 
 
@@ -570,7 +570,7 @@
             "index": index,
             "permissions": {**SETTINGS["permissions"], "peerMessages": permitted},
         }
-        return read_configuration(json.dumps(order(settings=settings, **changed)).encode(), "the/place")
+        return read_configuration(json.dumps(make_config(settings=settings, **changed)).encode(), "the/place")
 
     def test_messages_need_the_settings_leave_and_addresses(self) -> None:
         addresses = {"peer_listen": "127.0.0.1:7946", "peers": ["127.0.0.1:7946"]}
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -9,7 +9,7 @@
 from gorsethread.scheduling.model import SchedulerSettings, SlowStartRule
 from gorsethread.scheduling.scheduler import Scheduler
 from tests.harness import FACTS, PrintingHost
-from tests.live import SETTINGS, Caller, LiveRig, instance, wish
+from tests.live import SETTINGS, FakeClient, GatewayTest, instance, request_bytes
 
 GRACE = SETTINGS["contract"]["stopSendingWithin"] + 0.05
 TOLD_AFTER = 6.0  # seconds from a watch's silence until what it misses counts as told
@@ -28,28 +28,28 @@
     return told
 
 
-class Rig(LiveRig):
+class Rig(GatewayTest):
     async def load(self, until: float) -> None:
         """A small transaction for shelf 0 every tenth of a second, each on a connection of its own."""
         number = 0x5000
-        while self.user.now() < until:
+        while self.client_process.now() < until:
             number += 1
-            caller = await Caller(self.user).dial()
-            caller.stream.write(wish(f"{number:x}", patience=300))
+            caller = await FakeClient(self.client_process).connect()
+            caller.stream.write(request_bytes(f"{number:x}", timeout_ms=300))
             await self.wait(0.1)
             self.callers.append(caller)
 
     def watch_shelf(self) -> None:
         """Notes when each request came to shelf 0."""
         self.came: list[float] = []
-        self.callers: list[Caller] = []
-        shelf, honest = self.shelves[0], self.shelves[0].says
+        self.callers: list[FakeClient] = []
+        shelf, honest = self.backends[0], self.backends[0].respond
 
         def says(request: Any) -> list[bytes] | None:
-            self.came.append(self.user.now() - shelf.delay)
+            self.came.append(self.client_process.now() - shelf.delay)
             return honest(request)
 
-        shelf.says = says
+        shelf.respond = says
 
 
 class Watches(Rig):
@@ -61,12 +61,12 @@
             self.watch_shelf()
             self.start(settings=settings(heads, pushed))
             await self.wait(READY_IN)
-            await self.load(self.user.now() + at)
-            self.list.silence(how == HALF, more=how == MUTE)
+            await self.load(self.client_process.now() + at)
+            self.discovery.fall_silent(how == HALF, further_connections=how == MUTE)
             if how == MUTE:
-                self.head.discovery.move_to(self.head.discovery.address)  # calls, and hears not a byte
-            began = self.user.now()
-            self.list.tell(instance(0, "draining"))
+                self.gateway.discovery.move_to(self.gateway.discovery.address)  # calls, and hears not a byte
+            began = self.client_process.now()
+            self.discovery.publish(instance(0, "draining"))
             await self.load(began + TOLD_AFTER + 4.0)
             return max(self.came) - began
 
@@ -76,7 +76,7 @@
             nonlocal last
             last = await work()
 
-        self.play(played)
+        self.run_scenario(played)
         return last
 
     def test_what_a_silent_watch_misses_is_known_by_the_time_it_counts_as_told(self) -> None:
@@ -93,29 +93,29 @@
             self.watch_shelf()
             head = self.start(settings=settings(200, False))
             await self.wait(2.5)
-            self.list.down = True
+            self.discovery.unavailable = True
             await self.wait(14.0)
             self.assertGreater(head.driver.scheduler.polling.failures, 2)
-            self.list.down = False
+            self.discovery.unavailable = False
             await self.wait(14.0)
             self.assertEqual(0, head.driver.scheduler.polling.failures)
-            self.list.silence()
-            began = self.user.now()
-            self.list.tell(instance(0, "draining"))
+            self.discovery.fall_silent()
+            began = self.client_process.now()
+            self.discovery.publish(instance(0, "draining"))
             await self.load(began + TOLD_AFTER + 4.0)
             self.assertTrue(0.0 < max(self.came) - began < TOLD_AFTER + GRACE)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_lists_may_come_indented(self) -> None:
         async def work() -> None:
-            self.list.indent = 4
+            self.discovery.indent = 4
             head = self.start()
-            self.list.tell(instance(0, "draining"))
+            self.discovery.publish(instance(0, "draining"))
             await self.wait(1.0)
             self.assertEqual(2, head.discovery.version)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_what_the_agent_holds_after_an_outage_is_used_at_once(self) -> None:
         """Pushed lists count as told at the return, so a head with no watch may not wait for long."""
@@ -124,54 +124,54 @@
             self.watch_shelf()
             self.start(settings=settings(200, True))
             await self.wait(READY_IN)
-            await self.load(self.user.now() + 1.0)
-            self.list.down = True
-            await self.load(self.user.now() + 8.0)
-            self.list.tell(instance(0, "draining"))
-            self.list.down = False
-            back = self.user.now()
+            await self.load(self.client_process.now() + 1.0)
+            self.discovery.unavailable = True
+            await self.load(self.client_process.now() + 8.0)
+            self.discovery.publish(instance(0, "draining"))
+            self.discovery.unavailable = False
+            back = self.client_process.now()
             await self.load(back + 4.0)
             self.assertTrue(0.0 < max(self.came) - back < GRACE, max(self.came) - back)
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_a_pushed_list_is_watched_from_the_first_moment(self) -> None:
         async def work() -> None:
-            self.list.tell(instance(0, "draining"))
+            self.discovery.publish(instance(0, "draining"))
             head = self.start(settings=settings(200, True))
             await self.wait(0.1)
             self.assertEqual(2, head.discovery.version)
 
-        self.play(work)
+        self.run_scenario(work)
 
 
 class Ending(Rig):
     def test_every_open_connection_is_served_up_to_the_kill(self) -> None:
         async def work() -> None:
             self.start()
-            self.shelves[0].delay = 0.05
-            callers = [await Caller(self.user).dial() for _ in range(8)]
-            owed: dict[Caller, list[float]] = {c: [] for c in callers}
+            self.backends[0].delay = 0.05
+            callers = [await FakeClient(self.client_process).connect() for _ in range(8)]
+            owed: dict[FakeClient, list[float]] = {c: [] for c in callers}
             for n, c in enumerate(callers):
-                c.stream.write(wish(f"{n + 1:x}", shard=n % 2))
-                owed[c].append(self.user.now())
+                c.stream.write(request_bytes(f"{n + 1:x}", shard=n % 2))
+                owed[c].append(self.client_process.now())
             await self.wait(0.3)
             self.transport.terminate()
-            told = self.user.now()
-            ending = self.loop.create_task(self.head.end())
+            told = self.client_process.now()
+            ending = self.loop.create_task(self.gateway.end())
             number = 0x100
-            while self.user.now() < told + LONGEST + 0.7:
+            while self.client_process.now() < told + LONGEST + 0.7:
                 for c in callers:
                     # One request at a time on each, as clients do, with each patience that they have.
-                    if not c.ended_at and c.got.count(b"HTTP/1.1 ") == len(owed[c]):
+                    if not c.ended_at and c.received.count(b"HTTP/1.1 ") == len(owed[c]):
                         number += 1
                         patience = (200, 700, 2000)[number % 3]
-                        c.stream.write(wish(f"{number:x}", shard=number % 2, patience=patience))
-                        owed[c].append(self.user.now())
+                        c.stream.write(request_bytes(f"{number:x}", shard=number % 2, timeout_ms=patience))
+                        owed[c].append(self.client_process.now())
                 await self.wait(0.02)
             self.assertTrue(ending.done(), "it ends before it is killed")
             for c in callers:
-                answers = c.got.count(b"HTTP/1.1 ")
+                answers = c.received.count(b"HTTP/1.1 ")
                 crossed = len(owed[c]) - answers
                 # A request that crossed the end of its connection was not read: it is sent anew elsewhere.
                 self.assertTrue(
@@ -181,7 +181,7 @@
                 self.assertGreater(answers, 10, "it served on")
                 self.assertGreater(max(owed[c]) - told, 1.5, "and not only at first")
 
-        self.play(work)
+        self.run_scenario(work)
 
 
 class CallsForLists(unittest.TestCase):
