--- a/gorsethread/faults/mutants.py
+++ b/gorsethread/faults/mutants.py
@@ -339,7 +339,7 @@
         if asked[0] == 1:
             honest()
 
-    head.driver._poll_list = follow
+    head.driver._poll_endpoint_list = follow
 
 
 @mutant("list: drains are not heard")
--- a/gorsethread/gateway/__init__.py
+++ b/gorsethread/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""What all gateways share: a request's life from admission to answer, links to backends as a protocol."""
+"""The part of a gateway that is the same for every wire protocol: requests, attempts, deadlines, links."""
--- a/gorsethread/gateway/attempts.py
+++ b/gorsethread/gateway/attempts.py
@@ -10,9 +10,8 @@
 class AttemptResult(NamedTuple):
     """The contents of a backend's answer.
 
-    data is what a read returned. units_elsewhere is the number of units that other gateways served of the
-    volume, usage the backend's own figure of its load, service_seconds the backend's own service time (0 if
-    the answer has none).
+    data is what a read returned. units_elsewhere counts the units that the volume was served through other
+    gateways, usage is the backend's own figure, service_seconds its own service time (0: not reported).
     """
 
     data: bytes = b""
--- a/gorsethread/gateway/backend_links.py
+++ b/gorsethread/gateway/backend_links.py
@@ -1,4 +1,4 @@
-"""A link for each backend of the list, in the driver's tables; the same for all fronts."""
+"""Keeps the driver's table of links in step with the endpoint list; the same for every wire protocol."""
 
 from collections.abc import Callable
 from typing import Any
@@ -7,26 +7,30 @@
 
 
 class BackendLinks:
-    """Makes links as backends join the list and lets go of them as they leave.
+    """Creates a link when a backend joins the endpoint list and removes it when the backend leaves.
 
-    make returns a link of the front's own kind for a backend at an address; driver is set before the first
-    list. A link whose backend has left stays while it has attempts in flight.
+    A link whose backend has left stays until its attempts in flight have ended. driver has to be set before
+    the first list.
+
+    Args:
+        make_link: returns a link, for the gateway's wire protocol, to a backend at an address.
     """
 
-    def __init__(self, make: Callable[[int, tuple[str, int]], Any]) -> None:
-        self._make_link = make
+    def __init__(self, make_link: Callable[[int, tuple[str, int]], Any]) -> None:
+        self._make_link = make_link
         self.driver: Driver
-        self._leaving: set[int] = set()  # gone, with attempts in flight; emptied as these end, or it is back
+        # Backends that left while they had attempts in flight; emptied as these end or the backend returns.
+        self._leaving: set[int] = set()
 
     def update(self, backend: int, shard: int, address: tuple[str, int], state: str) -> None:
-        """The list names the backend, in the state "ready", "draining" or "gone"."""
+        """Applies one entry of the endpoint list; state is "ready", "draining" or "gone"."""
         if state == "gone":
             self._remove(backend)
             return
         links = self.driver.links
         link = links.get(backend)
         if link is not None and link.address != address:
-            # Attempts in flight at the old address end there; nothing new goes to it.
+            # Attempts in flight end at the old address; nothing new is sent there.
             link.close()
             link = None
         if link is None:
@@ -35,19 +39,19 @@
         self.driver.shards[backend] = shard
 
     def keep_only(self, backends: set[int]) -> None:
-        """The list was complete: every other backend is gone."""
+        """Removes every other backend: the endpoint list was complete."""
         for backend in [known for known in self.driver.links if known not in backends]:
             self._remove(backend)
 
     def remove_idle(self) -> None:
-        """Removes links that had attempts in flight when their backend left, once these have ended."""
+        """Removes links whose backend left while they had attempts in flight, once these have ended."""
         for backend in list(self._leaving):
             self._remove(backend)
 
     def _remove(self, backend: int) -> None:
         link = self.driver.links.get(backend)
         if link is not None and not link.idle:
-            self._leaving.add(backend)  # the list may name the backend again by the time its attempts end
+            self._leaving.add(backend)  # by the time its attempts end the list may name the backend again
             return
         self._leaving.discard(backend)
         if link is not None:
--- a/gorsethread/gateway/deadlines.py
+++ b/gorsethread/gateway/deadlines.py
@@ -1,4 +1,4 @@
-"""One timer for the soonest deadline of all open requests, as one each would cost several times as much."""
+"""Request deadlines on a single timer, as a timer for each request would cost several times as much."""
 
 import heapq
 from collections.abc import Callable
@@ -6,15 +6,15 @@
 from gorsethread.transport.base import Timer, Transport
 
 NEVER = float("inf")
-SWEEP_AHEAD = 0.1  # seconds: entries of answered requests are dropped together, at most this late
+SWEEP_AHEAD = 0.1  # seconds that the entries of answered requests may wait, to be dropped together
 
 
 class Deadlines:
-    """Calls expire(request) at each request's deadline, once, if it still has that deadline then.
+    """Calls expire(request) once at each request's deadline, if the request still has that deadline then.
 
-    deadline_of tells a request's present deadline, None for one that is not open any more: numbers are given
-    again. An entry leaves as its time passes, so there are no more than were added within the longest
-    deadline.
+    deadline_of(request) returns the request's current deadline, or None if it is no longer open; it is asked
+    again because request ids are reused. Entries are dropped as their deadline passes, so there are at most
+    as many as were added within the longest deadline.
     """
 
     def __init__(
@@ -26,12 +26,12 @@
         self._transport = transport
         self._deadline_of = deadline_of
         self._expire = expire
-        self._entries: list[tuple[float, int]] = []  # a heap of deadlines and requests
+        self._entries: list[tuple[float, int]] = []  # a heap of (deadline, request)
         self._timer: Timer | None = None
         self._timer_at = NEVER
 
     def add(self, deadline: float, request: int) -> None:
-        """The request has this deadline from now on, in seconds on the transport's clock."""
+        """Sets a request's deadline, in seconds of the transport's clock."""
         heapq.heappush(self._entries, (deadline, request))
         if deadline < self._timer_at:
             self._set_timer(deadline)
--- a/gorsethread/gateway/driver.py
+++ b/gorsethread/gateway/driver.py
@@ -1,7 +1,8 @@
-"""Hands what happens to the scheduler, a batch a turn of the loop, and carries out its actions.
+"""Passes events to the scheduler, one batch per iteration of the event loop, and carries out its actions.
 
-One final answer a request is kept here mechanically: a request that was answered, or whose client left,
-takes no further action. A time-out at the deadline is the wire's; what follows from it is the scheduler's.
+The driver ensures that each request gets one final answer: it ignores actions on a request that was answered
+or whose client left. It also ends attempts at the request's deadline; what follows from that timeout is for
+the scheduler to decide.
 """
 
 from collections import Counter
@@ -32,20 +33,24 @@
 from gorsethread.scheduling.scheduler import Scheduler
 from gorsethread.transport.base import Transport
 
-REQUEST_NUMBERS = 2**32  # they are given again after so many
+REQUEST_IDS = 2**32  # ids are reused after this many requests
 
 
 def attempt_count(outcome: AttemptOutcome) -> str:
-    """The name under which the driver counts attempts that ended so."""
+    """Returns the name of the driver's counter of attempts with this outcome."""
     return f"attempts {outcome.name.lower().replace('_', ' ')}"
 
 
 class Driver:
-    """Drives one scheduler. All times are the transport's, in seconds.
-
-    open holds the requests that are not over; links a link of the front's own kind for each backend of the
-    list, and for one that has left it until its attempts have ended; shards the shard of each of these.
-    awaiting_placement holds first writes until it is durable where they go. counts only grow.
+    """Drives one scheduler. All times are in seconds of the transport's clock.
+
+    Attributes:
+        open_requests: The requests that are not answered yet or have attempts in flight, by id.
+        links: A link, for the gateway's wire protocol, to each backend of the endpoint list; a backend that
+            has left the list keeps its link until its attempts have ended.
+        shards: The shard of each backend in links.
+        awaiting_placement: The first writes that are not sent until the place of their extent is durable.
+        counts: Counters by name; they only grow.
     """
 
     def __init__(
@@ -54,7 +59,7 @@
         settings: SchedulerSettings,
         seed: int,
         placement: Placement,
-        poll_list: Callable[[], None],
+        poll_endpoint_list: Callable[[], None],
         log: Any,
     ) -> None:
         self.transport = transport
@@ -66,30 +71,30 @@
         self.first_writes = FirstWrites(placement)
         self.awaiting_placement: dict[Attempt, None] = {}
         self.accounting = AccountingFeed(lambda request: why_held(self.scheduler, request))
-        # Set by a front that has them: a way to other gateways, a durable log of placements, and whoever
-        # records events and actions for replays.
+        # Optional, set after construction: a sender of messages to other gateways, a durable log of
+        # placements, and a recorder of events and actions for replays.
         self.peer_sender: Callable[[int, str], None] | None = None
         self.placement_log: PlacementLog | None = None
         self.recorder: Callable[[tuple[Any, ...]], None] | None = None
-        self._poll_list = poll_list
+        self._poll_endpoint_list = poll_endpoint_list
         self._now = transport.now()
         self._events: list[tuple[str, tuple[Any, ...]]] = []
         self._last_id = 0
         self._deadlines = Deadlines(transport, self._deadline_of, self._expire)
         self.scheduler = Scheduler(self, settings, seed)
-        # The first batch is empty: the scheduler polls the list in it.
+        # The first batch has no events; in it the scheduler polls the endpoint list.
         self._batch_is_due = True
         transport.soon(self._run_batch)
 
     @property
     def placement(self) -> Placement:
-        """Where extents live."""
+        """Returns the table of where extents are placed."""
         return self.first_writes.placement
 
-    # ---- what happens
+    # ---- events
 
     def queue_event(self, method: str, *arguments: Any) -> None:
-        """Queues one call of the scheduler; all of a turn of the loop are made together."""
+        """Queues one call of a scheduler method; one iteration of the event loop makes all queued calls."""
         self._events.append((method, arguments))
         if not self._batch_is_due:
             self._batch_is_due = True
@@ -113,17 +118,18 @@
         extent: Extent | None = None,
         data_followed: bool = False,
     ) -> OpenRequest:
-        """Takes a request; its client hears of it by one call of Client.
+        """Admits a request; its client is answered by one call of a Client method.
 
-        data_followed: its data came after its command, so it was taken later than it arrived.
+        data_followed says that the request's data arrived after its command, so that it is admitted later
+        than it arrived.
         """
         request = OpenRequest(self._next_id(), client, payload, extent, shard, deadline)
         self.open_requests[request.id] = request
         self._deadlines.add(deadline, request.id)
         self.counts["requests"] += 1
-        taken_at = self.transport.now() if data_followed else arrived
-        arrival = Arrival(volume, request_class, int(units), shard, key is not None, arrived, taken_at)
-        self.accounting.taken(request.id, arrival)
+        admitted_at = self.transport.now() if data_followed else arrived
+        arrival = Arrival(volume, request_class, int(units), shard, key is not None, arrived, admitted_at)
+        self.accounting.request_admitted(request.id, arrival)
         taken = RequestTaken(
             request.id,
             request_class,
@@ -140,17 +146,17 @@
         return request
 
     def _next_id(self) -> int:
-        self._last_id = (self._last_id + 1) % REQUEST_NUMBERS
+        self._last_id = (self._last_id + 1) % REQUEST_IDS
         while self._last_id in self.open_requests:
-            self._last_id = (self._last_id + 1) % REQUEST_NUMBERS
+            self._last_id = (self._last_id + 1) % REQUEST_IDS
         return self._last_id
 
     def client_left(self, request: OpenRequest) -> None:
-        """Its client awaits no answer any more."""
+        """Drops a request whose client no longer waits for the answer, and cancels its attempts."""
         if request.answered:
             return
         request.answered = True
-        self.accounting.answered(request.id, RequestOutcome.CLIENT_LEFT, self.transport.now())
+        self.accounting.request_ended(request.id, RequestOutcome.CLIENT_LEFT, self.transport.now())
         self.counts["client left"] += 1
         for attempt in list(request.in_flight.values()):
             if link := self.links.get(attempt.backend):
@@ -159,7 +165,7 @@
         self._close(request)
 
     def shutting_down_by(self, when: float) -> None:
-        """The program ends then: each open request is answered before, however long its client would wait."""
+        """Brings every later deadline forward to the time at which the program ends."""
         for request in self.open_requests.values():
             if request.deadline > when:
                 request.deadline = when
@@ -167,19 +173,22 @@
         self.queue_event("shutting_down_by", when)
 
     def endpoints_listed(self, entries: Iterable[EndpointEntry], complete: bool, remembered: bool) -> None:
-        """A list of backends, or its changes; remembered: from an earlier process, not from discovery."""
+        """Passes an endpoint list, or changes of it, to the scheduler.
+
+        remembered says that the list is from an earlier process and not from discovery.
+        """
         self.queue_event("endpoint_list_begins", complete, remembered)
         for entry in entries:
             self.queue_event("endpoint_listed", *entry)
         self.queue_event("endpoint_list_ended")
 
     def endpoint_poll_failed(self, waited: float = 0.0) -> None:
-        """A poll of the list failed after so many seconds."""
+        """Notifies the scheduler that a poll of the endpoint list failed after it waited so many seconds."""
         self.queue_event("endpoint_poll_failed", waited)
 
-    def peer_message_received(self, origin: int, words: str) -> None:
-        """A message of another gateway's scheduler came."""
-        self.queue_event("peer_message_received", origin, words)
+    def peer_message_received(self, origin: int, message: str) -> None:
+        """Passes a message from another gateway's scheduler to this one's."""
+        self.queue_event("peer_message_received", origin, message)
 
     def _run_batch(self) -> None:
         self._batch_is_due = False
@@ -217,7 +226,7 @@
     # ---- attempts and answers
 
     def _ended(self, attempt: Attempt, outcome: AttemptOutcome, result: AttemptResult) -> None:
-        """An attempt has ended, by its link's word or by the driver's own."""
+        """Handles the end of an attempt, whether its link or the driver ended it."""
         request = self.open_requests.get(attempt.request)
         if request is None:
             return
@@ -229,7 +238,7 @@
         if attempt.first_write:
             self._first_write_ended(request, outcome)
         if succeeded:
-            # Not delayed until the batch: the answer goes to the client at once.
+            # Answers the client at once, not in the next batch.
             request.answered = True
             self.counts["succeeded"] += 1
             request.client.succeeded(self.shards.get(attempt.backend, UNPLACED), result.data)
@@ -259,11 +268,11 @@
     # ---- the scheduler's actions (gorsethread/scheduling/actions.py)
 
     def clock(self) -> float:
-        """The time at which the present batch began."""
+        """Returns the time at which the current batch began."""
         return self._now
 
     def send_attempt(self, request: int, backend: int, wait: float) -> None:
-        """Sends a request to a backend; wait 0 lasts until the deadline."""
+        """Sends a request to a backend; it times out after wait seconds, 0: at the request's deadline."""
         if self.recorder:
             self.recorder(("act", "send_attempt", request, backend, wait))
         found = self.open_requests.get(request)
@@ -279,7 +288,7 @@
         self.counts["attempts"] += 1
         if wait > 0 and self._now + wait < found.deadline:
             self.transport.at(self._now + wait, lambda: self._time_out(attempt))
-        self.accounting.sent(attempt, self.transport.now())
+        self.accounting.attempt_sent(attempt, self.transport.now())
         if attempt.first_write and self.placement_log is not None and found.extent is not None:
             self.awaiting_placement[attempt] = None
             self.placement_log.placed(
@@ -305,21 +314,21 @@
         self._ended(attempt, AttemptOutcome.NOT_SENT, EMPTY_RESULT)
 
     def _placement_logged(self, attempt: Attempt, durable: bool) -> None:
-        """It is durable where this first write's extent is placed, or can't be: then nothing is sent."""
+        """Sends a first write once the place of its extent is durable, or ends it if that failed."""
         self.awaiting_placement.pop(attempt, None)
         if attempt.ended:
             return
         request = self.open_requests.get(attempt.request)
-        # While it waited its client may have left, or the backend begun to drain.
-        awaited = durable and request is not None and not request.answered
+        # Meanwhile the client may have left, or the backend may have begun to drain.
+        still_wanted = durable and request is not None and not request.answered
         link = self.links.get(attempt.backend)
-        if awaited and link is not None and self.scheduler.is_ready(attempt.backend):
+        if still_wanted and link is not None and self.scheduler.is_ready(attempt.backend):
             link.send(attempt)
         else:
             self._not_sent(attempt)
 
     def cancel_attempt(self, request: int, number: int) -> None:
-        """Stops waiting for one attempt."""
+        """Cancels one attempt."""
         if self.recorder:
             self.recorder(("act", "cancel_attempt", request, number))
         found = self.open_requests.get(request)
@@ -331,45 +340,45 @@
             self._ended(attempt, AttemptOutcome.CANCELLED, EMPTY_RESULT)
 
     def reject(self, request: int, return_after: float) -> None:
-        """Ends a request whose client may try again, best after so many seconds (0: no advice)."""
+        """Rejects a request; its client may retry, best after so many seconds (0: no advice)."""
         if self.recorder:
             self.recorder(("act", "reject", request, return_after))
         found = self.open_requests.get(request)
         if found is not None and not found.answered:
             found.answered = True
-            self.accounting.answered(found.id, RequestOutcome.REJECTED, self.transport.now())
+            self.accounting.request_ended(found.id, RequestOutcome.REJECTED, self.transport.now())
             self.counts["rejected"] += 1
             found.client.rejected(return_after)
             self._close(found)
 
     def fail(self, request: int) -> None:
-        """Ends a request with an error that promises nothing."""
+        """Ends a request with an error that leaves open whether the request ran."""
         if self.recorder:
             self.recorder(("act", "fail", request))
         found = self.open_requests.get(request)
         if found is not None and not found.answered:
             found.answered = True
-            self.accounting.answered(found.id, RequestOutcome.FAILED, self.transport.now())
+            self.accounting.request_ended(found.id, RequestOutcome.FAILED, self.transport.now())
             self.counts["failed"] += 1
             found.client.failed()
             self._close(found)
 
     def set_timer(self, delay: float, name: str) -> None:
-        """Calls the scheduler's timer_fired(name) after so many seconds."""
+        """Queues the scheduler's timer_fired(name) after so many seconds."""
         if self.recorder:
             self.recorder(("act", "set_timer", delay, name))
         self.transport.at(self._now + delay, lambda: self.queue_event("timer_fired", name))
 
-    def send_peer_message(self, gateway: int, words: str) -> None:
-        """Sends a message to another gateway's scheduler, where the front has a way to it."""
+    def send_peer_message(self, gateway: int, message: str) -> None:
+        """Sends a message to another gateway's scheduler, or drops it where there is no peer_sender."""
         if self.recorder:
-            self.recorder(("act", "send_peer_message", gateway, words))
+            self.recorder(("act", "send_peer_message", gateway, message))
         self.counts["peer messages"] += 1
         if self.peer_sender is not None:
-            self.peer_sender(gateway, words)
+            self.peer_sender(gateway, message)
 
     def poll_endpoints(self) -> None:
-        """Asks discovery for the list of backends and its changes."""
+        """Asks discovery for the endpoint list and its changes."""
         if self.recorder:
             self.recorder(("act", "poll_endpoints"))
-        self._poll_list()
+        self._poll_endpoint_list()
--- a/gorsethread/gateway/first_writes.py
+++ b/gorsethread/gateway/first_writes.py
@@ -1,4 +1,4 @@
-"""First writes of extents: which shard an extent gets, and that two first writes do not part it."""
+"""Places an extent at a shard by its first write and keeps concurrent first writes on the same shard."""
 
 from enum import Enum
 
@@ -7,15 +7,15 @@
 
 
 class PlacementCheck(Enum):
-    """What placement says of an attempt of a write at a shard."""
+    """How an attempt of a write at a shard relates to where its extent is placed."""
 
-    BELONGS = "belongs"  # the extent is there already
-    FIRST_WRITE = "first write"  # the extent is there only if this write, or another one under way, runs
-    ELSEWHERE = "elsewhere"
+    BELONGS = "belongs"  # the extent is at this shard
+    FIRST_WRITE = "first write"  # it will be at this shard if this first write, or another in flight, runs
+    ELSEWHERE = "elsewhere"  # it is at another shard
 
 
-class _Pending:
-    """First writes of one extent that are under way, and whether one may have run."""
+class _PendingWrites:
+    """The first writes of one extent that are in flight, and whether any of them may have run."""
 
     __slots__ = ("in_flight", "may_have_run")
 
@@ -25,21 +25,24 @@
 
 
 class FirstWrites:
-    """Places extents as first writes go, and takes that back where none has run.
+    """Places an extent when its first write is sent, and releases it if no first write has run.
 
     pending holds an entry for each extent with a first write in flight, until the last of these has ended.
     """
 
     def __init__(self, placement: Placement) -> None:
         self.placement = placement
-        self.pending: dict[Extent, _Pending] = {}
+        self.pending: dict[Extent, _PendingWrites] = {}
 
     def begin(self, extent: Extent, shard: int) -> PlacementCheck:
-        """An attempt of a write is about to go to the shard; FIRST_WRITE has to be followed by ended()."""
+        """Checks a write that is about to be sent to the shard, and places its extent if it has no place.
+
+        A call that returns FIRST_WRITE has to be followed by one of ended().
+        """
         owner = self.placement.shard_of(*extent)
         if owner == UNPLACED:
             self.placement.placed(*extent, shard)
-            self.pending[extent] = _Pending()
+            self.pending[extent] = _PendingWrites()
         elif owner != shard:
             return PlacementCheck.ELSEWHERE
         pending = self.pending.get(extent)
@@ -49,7 +52,7 @@
         return PlacementCheck.FIRST_WRITE
 
     def ended(self, extent: Extent, outcome: AttemptOutcome) -> bool:
-        """A first write has ended. Returns whether the extent was released: none of its writes has run."""
+        """Records the end of a first write; returns whether the extent was released, as none has run."""
         pending = self.pending[extent]
         pending.in_flight -= 1
         pending.may_have_run = pending.may_have_run or not outcome.never_ran
--- a/gorsethread/gateway/held_reasons.py
+++ b/gorsethread/gateway/held_reasons.py
@@ -1,4 +1,4 @@
-"""Why a request was held back in the last search, for the latency accounts. Decides nothing."""
+"""Finds why the scheduler's last search did not send a request, for the latency accounts. Changes nothing."""
 
 from gorsethread.scheduling.model import Backend, HoldReason, Request
 from gorsethread.scheduling.scheduler import Scheduler
@@ -7,7 +7,7 @@
 
 
 def why_held(scheduler: Scheduler, request_id: int) -> tuple[HoldReason, int]:
-    """Returns what kept a request back, and the backend that it is meant for, or NO_BACKEND."""
+    """Returns why a request is held, and the backend it is meant for or NO_BACKEND."""
     request = scheduler.requests.get(request_id)
     if request is None or request.ended or request.in_flight:
         return HoldReason.NOT, NO_BACKEND
@@ -22,7 +22,7 @@
 
 
 def _reason_at(scheduler: Scheduler, request: Request, backend: Backend) -> HoldReason:
-    """Asks the mechanisms in the order in which they decide."""
+    """Checks the scheduler's mechanisms in the order in which they decide."""
     if scheduler.rate_limits.holds_back(request):
         return HoldReason.RATE_LIMIT
     if scheduler.outliers.is_cooling_down(backend):
--- a/gorsethread/gateway/interfaces.py
+++ b/gorsethread/gateway/interfaces.py
@@ -1,6 +1,6 @@
-"""What the driver asks of what is round it, whatever wire that speaks: clients, links, placement, accounting.
+"""The interfaces through which the driver uses clients, links, placement and accounting of any wire protocol.
 
-A request's payload belongs to them alone: the client side makes it, a link sends it, the driver passes it on.
+A request's payload is opaque to the driver: the client side creates it and a link sends it.
 """
 
 from collections.abc import Callable
@@ -9,20 +9,20 @@
 from gorsethread.gateway.attempts import Attempt
 from gorsethread.scheduling.model import AttemptOutcome, HoldReason, RequestOutcome
 
-UNPLACED = -1  # the shard of an extent that nobody has written yet
+UNPLACED = -1  # the shard of an extent that was never written
 
 
 class Extent(NamedTuple):
-    """What a first write gives a shard to: a stretch of a volume."""
+    """A section of a volume; its first write decides its shard."""
 
     volume: int
     number: int
 
 
 class Arrival(NamedTuple):
-    """What the accounting is told of a request that was taken. Times are seconds on the gateway's clock.
+    """A request's description for the latency accounts. Times are in seconds of the gateway's clock.
 
-    arrived is when its command came, taken when it was whole and given to the scheduler.
+    arrived is when its command arrived, taken when it was complete and admitted to the scheduler.
     """
 
     volume: Any
@@ -35,82 +35,82 @@
 
 
 class Client(Protocol):
-    """Whoever is owed the answer; each request sees exactly one of these calls, or none once it left."""
+    """Receives a request's answer, by exactly one call of these methods, or none once the client has left."""
 
     def succeeded(self, shard: int, data: bytes) -> None:
-        """The request ran, at a backend of that shard; data: what it read."""
+        """The request ran, at a backend of that shard; data is what it read."""
 
     def rejected(self, return_after: float) -> None:
-        """The request may safely come again, best after so many seconds (0: no advice)."""
+        """The request may safely be retried, best after so many seconds (0: no advice)."""
 
     def failed(self) -> None:
-        """Nothing is promised of the request."""
+        """The request ended with an error; it may have run."""
 
 
 class Link(Protocol):
-    """The way to one backend. Each attempt ends by one call of its ended(), unless it was over before."""
+    """Sends attempts to one backend; ends each with one call of its on_end, unless it has ended before."""
 
     def send(self, attempt: Attempt) -> None:
-        """Sends it as soon as a connection is there."""
+        """Sends the attempt as soon as a connection is established."""
 
     def cancel(self, attempt: Attempt) -> None:
-        """Nobody waits for it any more. It ends, at once or later, unless it is over already."""
+        """Ends the attempt, at once or later, unless it has ended; nobody waits for its answer any more."""
 
 
 class Placement(Protocol):
-    """Where an extent lives, as one gateway knows it."""
+    """The shards of extents, as one gateway knows them."""
 
     def shard_of(self, volume: int, extent: int) -> int:
-        """The shard that has it, or UNPLACED for an extent that nobody has written."""
+        """Returns the extent's shard, or UNPLACED if the extent was never written."""
         ...
 
     def placed(self, volume: int, extent: int, shard: int) -> None:
-        """A first write of it goes, or went, to this shard."""
+        """Records that a first write of the extent is, or was, sent to this shard."""
 
     def released(self, volume: int, extent: int) -> None:
-        """Its first write is known not to have run."""
+        """Removes the extent's place: its first write is known not to have run."""
 
 
 class PlacementLog(Protocol):
-    """Makes durable where extents are placed, before a first write is sent."""
+    """Makes the place of an extent durable before its first write is sent."""
 
     def placed(self, place: tuple[int, int], shard: int, done: Callable[[bool], None]) -> None:
-        """Done is called once, in a turn of its own: whether the placement is durable."""
+        """Stores a place, then calls done once, from the event loop, with whether the place is durable."""
 
     def freed(self, place: tuple[int, int]) -> None:
-        """No first write of the extent has run."""
+        """Removes the place of an extent of which no first write has run."""
 
     def retry_after(self) -> float:
-        """0 where an extent may be placed now; else after how many seconds to come again."""
+        """Returns 0 if an extent may be placed now, else the seconds after which to retry."""
         ...
 
 
 class RequestAccounting(Protocol):
-    """Is told how each request's time went by (gorsethread/accounts/lives.py)."""
+    """Receives the events of each request, to account for its latency (gorsethread/accounts/lives.py)."""
 
-    def begun(self, id: int, taken: Arrival) -> None:
-        """A request was taken and not sent in the same batch."""
+    def begun(self, id: int, arrival: Arrival) -> None:
+        """Records a request that was admitted and not sent in the same batch."""
 
     def unsent(self) -> list[int]:
-        """The requests whose reason to be held is to be looked up again."""
+        """Returns the requests for which the reason why they are held is due to be read again."""
         ...
 
-    def held(self, id: int, why: HoldReason, backend: int, now: float) -> None:
-        """Why a request is held, and the backend that it is meant for."""
+    def held(self, id: int, reason: HoldReason, backend: int, now: float) -> None:
+        """Records why a request is held, and the backend that it is meant for."""
 
-    def sent(self, id: int, forward: int, backend: int, when: float, taken: Arrival | None = None) -> None:
-        """An attempt was sent; taken: where begun() was not called for its request."""
+    def sent(self, id: int, attempt: int, backend: int, now: float, arrival: Arrival | None = None) -> None:
+        """Records that an attempt was sent; arrival is given if begun() was not called for its request."""
 
     def ended(
         self,
         id: int,
-        forward: int,
-        how: AttemptOutcome,
-        service: float,
-        when: float,
-        outcome: RequestOutcome | None = None,
+        attempt: int,
+        outcome: AttemptOutcome,
+        service_seconds: float,
+        now: float,
+        answer: RequestOutcome | None = None,
     ) -> None:
-        """An attempt ended; outcome: the answer that this gave its request."""
+        """Records that an attempt ended; answer is the request's answer, if the attempt gave it one."""
 
-    def answered(self, id: int, outcome: RequestOutcome, when: float) -> None:
-        """A request was answered, or its client left."""
+    def answered(self, id: int, outcome: RequestOutcome, now: float) -> None:
+        """Records that a request was answered, or that its client left."""
--- a/gorsethread/gateway/open_requests.py
+++ b/gorsethread/gateway/open_requests.py
@@ -1,4 +1,4 @@
-"""What the driver keeps of a request while it is open, and what a list says of a backend."""
+"""An open request as the driver keeps it, and an entry of the endpoint list."""
 
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
@@ -9,10 +9,11 @@
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """A request from its taking until it is answered and its attempts have ended.
+    """A request from its admission until it is answered and its attempts have ended.
 
-    extent is what a first write of it may part; None where the wire names the shard of everything
-    that has one.
+    extent is the extent that it accesses, whose shard its first write decides; None where the wire protocol
+    names the shard of everything that has one. attempts counts all attempts, in_flight holds those that have
+    not ended, by their number.
     """
 
     id: int
@@ -27,7 +28,10 @@
 
 
 class EndpointEntry(NamedTuple):
-    """One backend as a list names it; since: its start on this gateway's clock in seconds, 0: long ago."""
+    """One backend of an endpoint list.
+
+    since is the backend's start in seconds of this gateway's clock, 0 for a start long ago.
+    """
 
     backend: int
     zone: int
--- a/gorsethread/gateway/scheduler_settings.py
+++ b/gorsethread/gateway/scheduler_settings.py
@@ -1,7 +1,7 @@
-"""The operators' settings read as the scheduler's: one reading, for the simulator and in service.
+"""Converts the operators' settings to the scheduler's, in the same way for the simulator and in service.
 
-The operators' names of fields and of values end here. Their types below are what their page states; values
-are passed on as they came, unchecked.
+Only this module uses the operators' names of fields and values. The types below state what the operators'
+page says; values are passed on unchecked.
 """
 
 from typing import Any, NotRequired, TypedDict, TypeVar, cast
@@ -23,22 +23,22 @@
     "zone": IdempotencyScope.ZONE,
     "cell": IdempotencyScope.SHARD,
 }
-POLLED = "subscribe"  # the membership mode in which gateways ask for the endpoint list
+POLLED = "subscribe"  # the membership mode in which gateways poll the endpoint list
 
 Value = TypeVar("Value")
 
 
 class MalformedInputError(GorsethreadError):
-    """What was received does not follow its page."""
+    """The input does not follow the operators' page that describes it."""
 
     action = "Compare the settings with their page: the place named is missing or of another kind."
 
 
 class JsonObject(dict[str, Any]):
-    """A decoded object; asking for a field that is not there raises MalformedInputError."""
+    """A decoded JSON object; reading a field that is missing raises MalformedInputError."""
 
     def __missing__(self, name: str) -> Any:
-        """Raises MalformedInputError, which names the field."""
+        """Raises MalformedInputError with the field's name."""
         raise MalformedInputError(f"missing field {name}")
 
 
@@ -46,9 +46,9 @@
     """A request class."""
 
     aim: float  # latency objective, seconds
-    effect: str  # one of EFFECTS: whether it may run again
-    group: NotRequired[str]  # one of IDEMPOTENCY_SCOPES: which backends drop its repeats
-    window: NotRequired[float]  # seconds in which they do
+    effect: str  # one of EFFECTS: whether a request may run again
+    group: NotRequired[str]  # one of IDEMPOTENCY_SCOPES: which backends drop a repeated request
+    window: NotRequired[float]  # idempotency window: seconds in which backends drop it
     keepOrder: NotRequired[bool]  # whether requests of one key run one after the other
     worth: float  # priority weight
 
@@ -58,23 +58,23 @@
 
     floorRate: NotRequired[float]  # reservation
     proportion: NotRequired[float]  # weight
-    neverOver: NotRequired[float]  # rate limit, 0: none
-    limitBurst: NotRequired[float]  # units that its token bucket holds
-    baseRate: NotRequired[float]  # what a volume usually asks for
+    neverOver: NotRequired[float]  # rate limit; 0: none
+    limitBurst: NotRequired[float]  # burst: units that the limit's token bucket holds
+    baseRate: NotRequired[float]  # the usual demand of a volume
 
 
 class OperatorContract(TypedDict):
-    """Terms with the backends and discovery; times are in seconds."""
+    """What is agreed with the backends and discovery; times are in seconds."""
 
-    askWithin: NotRequired[float]  # how long an endpoint list may stand
+    askWithin: NotRequired[float]  # how long an endpoint list may be used without a new poll
     stopSendingWithin: float  # drain grace
     fall: float  # slow start: window
     cold: float  # slow start: from a backend's start until it is warm
     coldFrom: float  # slow start: initial part of a warm backend's units
     orderSettle: NotRequired[float | None]  # cool-down of a key
-    furtherRatio: NotRequired[float | None]  # retry budget: retries a request
-    freeResends: NotRequired[float | None]  # retry budget: retries that are always free
-    ratioSpan: float  # retry budget: window, read only where there is a budget
+    furtherRatio: NotRequired[float | None]  # retry budget: retries per request
+    freeResends: NotRequired[float | None]  # retry budget: retries that are always allowed
+    ratioSpan: float  # retry budget: window; read only if there is a budget
 
 
 class OperatorPermissions(TypedDict):
@@ -82,26 +82,26 @@
 
     maxAttempts: int  # of a request
     retryAfter: bool  # whether rejections may carry a Retry-After
-    maxRetryAfter: float  # seconds, read only where they may
+    maxRetryAfter: float  # seconds; read only if rejections may carry a Retry-After
     peerMessages: NotRequired[bool]  # whether gateways may send each other messages
 
 
 class OperatorSpecifics(TypedDict):
-    """Figures of the site."""
+    """Figures that are specific to the site."""
 
-    coldUnits: float  # slow start: units in a window at a backend's start
-    mostUnits: float  # of the largest request
-    shareWorth: NotRequired[float]  # what units beyond the reservation earn, 0 to 1
+    coldUnits: float  # slow start: units in a window right after a backend starts
+    mostUnits: float  # units of the largest request
+    shareWorth: NotRequired[float]  # relative value of units beyond the reservation, 0 to 1
 
 
 class OperatorClients(TypedDict):
-    """What clients do."""
+    """The clients' behavior."""
 
     marksRetry: NotRequired[bool]  # whether they mark their retries
 
 
 class OperatorSettings(TypedDict):
-    """All that the scheduler is set up with; fields that it does not use are left out."""
+    """All settings that the scheduler uses; other fields are left out."""
 
     services: list[OperatorService]
     grades: list[OperatorGrade]
@@ -110,19 +110,25 @@
     specifics: OperatorSpecifics
     clients: OperatorClients
     balancers: int  # gateways in the fleet
-    index: NotRequired[int]  # of this gateway
-    membershipMode: str  # POLLED, or lists are pushed
+    index: NotRequired[int]  # of this gateway in the fleet
+    membershipMode: str  # POLLED; any other mode: lists are pushed
 
 
 def named_value(table: dict[str, Value], name: Any) -> Value:
-    """The value that a name stands for. Raises MalformedInputError for a name that is not in the table."""
+    """Returns the value of a name.
+
+    Raises MalformedInputError for a name that is not in the table.
+    """
     if name not in table:
-        raise MalformedInputError(f"unknown word {name!r}")
+        raise MalformedInputError(f"unknown value {name!r}")
     return table[name]
 
 
 def read_scheduler_settings(given: JsonObject) -> SchedulerSettings:
-    """The scheduler's settings. Raises MalformedInputError for a missing field or an unknown name."""
+    """Returns the scheduler's settings.
+
+    Raises MalformedInputError for a missing field or an unknown name.
+    """
     settings = cast(OperatorSettings, given)
     contract = settings["contract"]
     permissions = settings["permissions"]
@@ -151,7 +157,7 @@
 
 
 def _retry_budget(contract: OperatorContract) -> RetryBudget | None:
-    """None where the contract bounds no retries."""
+    """Returns the retry budget, or None if the contract does not bound retries."""
     ratio = contract.get("furtherRatio")
     free = contract.get("freeResends")
     if ratio is None and free is None:
