--- a/gorsethread/http1/__init__.py
+++ b/gorsethread/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 of the operators' platform on h11: bytes to requests and responses and back. No I/O, no clock."""
+"""An HTTP/1.1 codec for the operators' platform, built on h11; does no I/O and reads no clock."""
--- a/gorsethread/http1/client_codec.py
+++ b/gorsethread/http1/client_codec.py
@@ -1,7 +1,8 @@
-"""The client's side of one connection: requests into bytes, the response to each out of bytes.
+"""The client's side of an HTTP/1.1 connection: encodes requests and decodes their responses.
 
-Stricter than h11 where the platform's pages ask: a body's length is given in one way, within the bound. A
-body without any length ends with the connection, and is complete only where that end came in order.
+Stricter than h11 where the platform's pages require it: a body's length has to be given in exactly one way
+and be within the bound. A body without a length ends with the connection, and is complete only if the server
+ended the connection in order.
 """
 
 from typing import NamedTuple
@@ -16,7 +17,7 @@
     content_length,
 )
 
-INTERIM_RESPONSES_MAX = 8  # 1xx in front of one response
+INTERIM_RESPONSES_MAX = 8  # 1xx responses before one final response
 SWITCHING_PROTOCOLS = 101
 STATUSES_WITHOUT_BODY = (204, 304)
 
@@ -26,10 +27,10 @@
 
     Attributes:
         status: The status code.
-        headers: Names in lower case.
-        body: Complete.
-        closes_connection: Whether the connection can't be used again, as the server closes it or sent more
-            than the response.
+        headers: The headers, with their names in lower case.
+        body: The complete body.
+        closes_connection: Whether the connection can't be used again, because the server closes it or sent
+            more than the response.
     """
 
     status: int
@@ -38,16 +39,17 @@
     closes_connection: bool
 
     def header(self, name: bytes) -> bytes | None:
-        """The first value of a header."""
+        """Returns the first value of a header, or None without one."""
         return next((value for known, value in self.headers if known == name), None)
 
 
 class ClientCodec:
-    """Owns the state of one connection to a server, one request after another; dropped with the connection.
+    """The state of one connection to a server, which carries one request at a time.
 
     Attributes:
         awaiting_response: Whether a response is outstanding.
-        ends_with_connection: Whether the response that is coming has no length.
+        ends_with_connection: Whether the response being received has no length, so that it ends with the
+            connection.
     """
 
     def __init__(self) -> None:
@@ -60,7 +62,7 @@
         self.ends_with_connection = False
 
     def request(self, method: bytes, target: bytes, headers: Headers, body: bytes) -> bytes:
-        """The bytes of a request. To be called only while no response is outstanding."""
+        """Returns the bytes of a request; may be called only while no response is outstanding."""
         if body:
             headers = [*headers, (b"content-length", b"%d" % len(body))]
         wire = self._wire
@@ -73,10 +75,10 @@
         return b"".join(part for part in parts if part)
 
     def feed(self, data: bytes) -> Response | None:
-        """Takes bytes of the server; the response, once complete.
+        """Decodes bytes from the server; returns the response once it is complete.
 
         Raises:
-            InvalidResponseError: They are no response, or nothing was requested.
+            InvalidResponseError: The bytes are not a valid response, or no response is outstanding.
         """
         if not self.awaiting_response:
             raise InvalidResponseError("bytes that nobody asked for")
@@ -87,10 +89,12 @@
             raise InvalidResponseError(str(error)) from None
 
     def connection_ended(self) -> Response | None:
-        """The server has ended the connection in order; the response that is complete by that, else None.
+        """Handles the end of the connection, made by the server in order.
+
+        Returns the response if that end completed it, else None.
 
         Raises:
-            InvalidResponseError: What came is no response.
+            InvalidResponseError: The bytes received are not a valid response.
         """
         if not self.ends_with_connection:
             return None
--- a/gorsethread/http1/framing.py
+++ b/gorsethread/http1/framing.py
@@ -1,26 +1,28 @@
-"""Limits of both sides of the codec, the length of a body, and the error of each side."""
+"""The limits and the body length that both sides of the codec share, and the error of each side."""
 
 from gorsethread.errors import GorsethreadError
 
 HEADER_SECTION_BYTES_MAX = 16_384
-REQUEST_BODY_BYTES_MAX = 65_536  # the platform's requests have none larger
-# The platform's page names one bound for both bodies, but good responses of 150 to 390 KB were seen on its
-# sockets; to be kept out are those that announce gigabytes, or have no end.
+REQUEST_BODY_BYTES_MAX = 65_536  # the platform's requests have no larger body
+# The platform's page gives one bound for the bodies of requests and responses, but valid responses of 150 to
+# 390 KB were seen on its sockets. This bound keeps out those that announce gigabytes or never end.
 RESPONSE_BODY_BYTES_MAX = 2 * 1024 * 1024
-READ_AHEAD_BYTES_MAX = HEADER_SECTION_BYTES_MAX + REQUEST_BODY_BYTES_MAX  # sent behind an open request
+READ_AHEAD_BYTES_MAX = HEADER_SECTION_BYTES_MAX + REQUEST_BODY_BYTES_MAX  # received while a request is open
 LENGTH_DIGITS_MAX = 12
 
-Headers = list[tuple[bytes, bytes]]  # names in lower case, in the order they came
+Headers = list[tuple[bytes, bytes]]  # names in lower case, in the order received
 
 
 class InvalidRequestError(GorsethreadError):
-    """What a client sent is no request of the platform.
+    """A client sent something that is not a valid request of the platform.
 
     Attributes:
-        status: The status to respond with; the connection ends with it.
+        status: The status to respond with; after an error of the codec the connection ends with it.
     """
 
-    action = "If it is one of your clients, mend its request as the reason says; the gateway needs nothing."
+    action = (
+        "If it is one of your clients, correct its request as the reason says; the gateway needs nothing."
+    )
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -28,17 +30,19 @@
 
 
 class InvalidResponseError(GorsethreadError):
-    """What came from a server is not the response to the request; the connection is of no more use."""
+    """A server sent something that is not a valid response; the connection can't be used any more."""
 
-    action = "Look at that backend's or discovery's own log: its answers are not HTTP as the platform has it."
+    action = (
+        "Check that backend's or discovery's own log: its answers are not HTTP as the platform defines it."
+    )
 
 
 def content_length(headers: Headers) -> int | None:
-    """The length of a body by its one Content-Length; None without one.
+    """Returns the length of a body by its Content-Length, or None without one.
 
     Raises:
-        ValueError: It may be read in two ways: several lengths, or one beside a Transfer-Encoding, behind
-            which another message can hide (RFC 9112, 6.3).
+        ValueError: The length is not a number of at most LENGTH_DIGITS_MAX digits, or it is ambiguous, which
+            can hide another message: several lengths, or one beside a Transfer-Encoding (RFC 9112, 6.3).
     """
     lengths = [value for name, value in headers if name == b"content-length"]
     encodings = [value for name, value in headers if name == b"transfer-encoding"]
--- a/gorsethread/http1/server_codec.py
+++ b/gorsethread/http1/server_codec.py
@@ -1,7 +1,8 @@
-"""The server's side of one connection: requests out of bytes, responses into bytes.
+"""The server's side of an HTTP/1.1 connection: decodes requests and encodes their responses.
 
-Stricter than h11 where the platform's pages ask: one way to give a body's length, bounds on header sections
-and bodies, on what is sent behind an open request, and no parsing past it.
+Stricter than h11 where the platform's pages require it: a body's length has to be given in exactly one way;
+header sections, bodies and the bytes received while a request is open are bounded; and nothing behind an open
+request is parsed before its response.
 """
 
 import re
@@ -23,7 +24,7 @@
 
 
 class Request(NamedTuple):
-    """A complete request; the names of its headers are in lower case."""
+    """A complete request; its header names are in lower case."""
 
     method: bytes
     target: bytes
@@ -31,10 +32,10 @@
     body: bytes
 
     def header(self, name: bytes) -> bytes | None:
-        """The value of a header that may stand once.
+        """Returns the value of a header that may occur once, or None without one.
 
         Raises:
-            InvalidRequestError: It stands more often.
+            InvalidRequestError: The header occurs more than once.
         """
         found = [value for known, value in self.headers if known == name]
         if len(found) > 1:
@@ -43,24 +44,24 @@
 
 
 def closing_response(status: int) -> bytes:
-    """A response without a body that ends its connection, also where no request could be read."""
+    """Returns a response without a body that closes the connection; needs no decoded request."""
     return (
         f"HTTP/1.1 {status} {HTTPStatus(status).phrase}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
     ).encode()
 
 
 class ServerCodec:
-    """Owns the state of one connection of a client; dropped with the connection.
+    """The state of one connection from a client.
 
     Attributes:
-        open: Whether a request was given out and has no response yet.
-        bytes_ahead: Bytes that came since the open request was complete.
+        open: Whether next_request() returned a request that has no response yet.
+        bytes_ahead: The number of bytes received behind the open request.
     """
 
     def __init__(self) -> None:
         self._wire = h11.Connection(h11.SERVER, max_incomplete_event_size=HEADER_SECTION_BYTES_MAX)
         self._request: h11.Request | None = None
-        # What has come of the header section: h11 makes one length of several that are the same.
+        # The header section as received, to detect a repeated length: h11 merges equal Content-Length lines.
         self._header_section = b""
         self._body: list[bytes] = []
         self._size = 0
@@ -70,14 +71,14 @@
 
     @property
     def partial(self) -> bool:
-        """Whether a part of a request has come."""
+        """Whether a part of the next request has been received."""
         return self._received and not self.open
 
     def feed(self, data: bytes) -> None:
-        """Takes bytes of the client.
+        """Decodes bytes from the client.
 
         Raises:
-            InvalidRequestError: More was sent behind an open request than is held.
+            InvalidRequestError: The client sent more behind an open request than the bound allows.
         """
         if self.open:
             self.bytes_ahead += len(data)
@@ -89,10 +90,10 @@
         self._wire.receive_data(data)
 
     def next_request(self) -> Request | None:
-        """The next complete request; None while an earlier one is open or more has to come.
+        """Returns the next complete request, or None while one is open or more bytes are needed.
 
         Raises:
-            InvalidRequestError: What came is no request.
+            InvalidRequestError: The bytes received are not a valid request.
         """
         if self.open:
             return None
@@ -150,24 +151,24 @@
 
     @property
     def awaits_continue(self) -> bool:
-        """Whether the client asked if it may send its body; continue_response() is to be written."""
+        """Whether the client waits for a 100 (Continue), to be written by continue_response()."""
         return self._request is not None and self._wire.they_are_waiting_for_100_continue
 
     def continue_response(self) -> bytes:
-        """The bytes of a 100 (Continue)."""
+        """Returns the bytes of a 100 (Continue) response."""
         return self._wire.send(h11.InformationalResponse(status_code=100, headers=[])) or b""
 
     def respond(self, status: int, headers: Headers, body: bytes, last: bool = False) -> tuple[bytes, bool]:
-        """Ends the open request.
+        """Encodes the response to the open request.
 
         Args:
             status: The status code.
-            headers: Without the body's length.
-            body: Complete.
-            last: Whether the connection ends with this response.
+            headers: The headers, without the body's length.
+            body: The complete body.
+            last: Whether to close the connection with this response.
 
         Returns:
-            The response's bytes, and whether the connection goes on after it.
+            The response's bytes, and whether the connection can carry another request after it.
         """
         framing: Headers = [(b"content-length", b"%d" % len(body))]
         if last:
@@ -182,9 +183,9 @@
             wire.send(h11.EndOfMessage()),
         ]
         self.open = False
-        goes_on = not last and wire.our_state is h11.DONE and wire.their_state is h11.DONE
-        if goes_on:
+        keeps_alive = not last and wire.our_state is h11.DONE and wire.their_state is h11.DONE
+        if keeps_alive:
             wire.start_next_cycle()
             self._header_section = wire.trailing_data[0]
             self._received = bool(self._header_section)
-        return b"".join(part for part in parts if part), goes_on
+        return b"".join(part for part in parts if part), keeps_alive
