--- a/gorsethread/http_gateway/__main__.py
+++ b/gorsethread/http_gateway/__main__.py
@@ -1,6 +1,7 @@
-"""python -m gorsethread.http_gateway: one gateway in service, as the platform starts it.
+"""Runs one HTTP gateway, as the platform starts it: python -m gorsethread.http_gateway.
 
-Exit status 0: ended in order, 2: the configuration or the address can't be used, 1: a defect.
+Exit status: 0 after an orderly shutdown, 1 after an unexpected error, 2 if the configuration or an address
+can't be used.
 """
 
 import os
@@ -12,20 +13,22 @@
 from gorsethread.logs import log_for, start_logs
 from gorsethread.transport.real import RealTransport, run
 
-PATH_VARIABLE = "GW_CONFIG"  # the operators' name: the environment variable with the configuration's path
-ENDED_IN_ORDER = 0
-DEFECT = 1
-UNUSABLE = 2
+PATH_VARIABLE = "GW_CONFIG"  # the operators' environment variable for the configuration file's path
+EXIT_OK = 0
+EXIT_ERROR = 1
+EXIT_UNUSABLE = 2
 
 
 def main() -> int:
     """Runs one gateway to its end and returns the exit status."""
     path = os.environ.get(PATH_VARIABLE)
     if not path:
-        print("gorsethread: GW_CONFIG is not set: it names the configuration's file", file=sys.stderr)
-        return UNUSABLE
+        print(
+            "gorsethread: GW_CONFIG is not set; set it to the path of the configuration file", file=sys.stderr
+        )
+        return EXIT_UNUSABLE
     start_logs(True)
-    status = ENDED_IN_ORDER
+    status = EXIT_OK
 
     async def serve(transport: RealTransport) -> None:
         nonlocal status
@@ -33,7 +36,7 @@
             configuration = read_configuration(transport.load(path), path)
         except UnusableConfigurationError as error:
             print(f"gorsethread: {'; '.join(error.lines)}", file=sys.stderr)
-            status = UNUSABLE
+            status = EXIT_UNUSABLE
             return
         status = await run_gateway(transport, configuration, path)
 
@@ -51,14 +54,14 @@
         gateway.start()
         await transport.until_finished()
         await gateway.end()
-        await transport.until_finished()  # raises what failed meanwhile
+        await transport.until_finished()  # raises if a task failed meanwhile
     except ListenError as error:
         print(f"gorsethread: {path}: listen: {error}", file=sys.stderr)
-        return UNUSABLE
+        return EXIT_UNUSABLE
     except Exception as error:
-        log.exception("the gateway must end: a defect", reason=repr(error))
-        return DEFECT
-    return ENDED_IN_ORDER
+        log.exception("unexpected error; the gateway stops", reason=repr(error))
+        return EXIT_ERROR
+    return EXIT_OK
 
 
 if __name__ == "__main__":
--- a/gorsethread/http_gateway/addresses.py
+++ b/gorsethread/http_gateway/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses as the operators write them: host:port."""
+"""Parses addresses in the operators' form, host:port."""
 
 from typing import Any
 
@@ -9,19 +9,20 @@
 
 
 class UnusableConfigurationError(GorsethreadError):
-    """The configuration can't be used; the text names the place and the reason."""
+    """The configuration can't be used; the text names the field and the reason."""
 
     action = (
-        "Correct that place of the file GW_CONFIG names and start anew, or SIGHUP a gateway that runs on."
+        "Correct that field in the file that GW_CONFIG names, then restart the gateway, "
+        "or send it SIGHUP if it still runs."
     )
 
 
-def parse_address(value: Any, place: str) -> Address:
-    """The host and port of a text.
+def parse_address(value: Any, field: str) -> Address:
+    """Returns the host and port of a text.
 
-    Raises UnusableConfigurationError, which names the place, for anything else.
+    Raises UnusableConfigurationError, which names the field, for anything else.
     """
     host, colon, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     if not host or not colon or not port.isdigit() or not 0 < int(port) < PORT_LIMIT:
-        raise UnusableConfigurationError(f"{place}: {value!r} is no host:port")
+        raise UnusableConfigurationError(f"{field}: {value!r} is not host:port")
     return host, int(port)
--- a/gorsethread/http_gateway/backend_connection.py
+++ b/gorsethread/http_gateway/backend_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a backend: a request written, the bytes that follow read as its answer."""
+"""One connection to a backend: writes a request and reads its answer."""
 
 from typing import NamedTuple, Protocol
 
@@ -7,12 +7,12 @@
 from gorsethread.http1.framing import Headers
 from gorsethread.transport.base import Stream, StreamEnded, Timer
 
-DEADLINE_HEADER = b"req-deadline-ms"  # the operators' name: milliseconds that the client still waits
+DEADLINE_HEADER = b"req-deadline-ms"  # the operators' header: milliseconds that the client still waits
 MILLISECOND = 0.001  # seconds
 
 
 class OutgoingRequest(NamedTuple):
-    """An attempt's payload: what the client sent, passed on unchanged.
+    """An attempt's payload: the client's request, passed on unchanged.
 
     deadline is in seconds of the transport's clock.
     """
@@ -25,7 +25,7 @@
 
 
 class ConnectionOwner(Protocol):
-    """What the pool needs of the link that a connection belongs to."""
+    """What the pool uses of the link that a connection belongs to."""
 
     position: int
 
@@ -37,8 +37,8 @@
 class BackendConnection:
     """One connection and the attempt in flight on it.
 
-    Owns its codec and the timer that waits for the end of an answer without a length; both go with the
-    connection. over: it is closed or not used any more. idle_since is in seconds of the transport's clock.
+    end_timer bounds the wait for the end of an answer without a length. closed says that the connection was
+    closed here. idle_since is in seconds of the transport's clock.
     """
 
     __slots__ = ("attempt", "codec", "end_timer", "idle_since", "link", "closed", "stream", "use_count")
@@ -54,16 +54,16 @@
         self.end_timer: Timer | None = None
 
     def write(self, host: bytes, outgoing: OutgoingRequest, now: float) -> None:
-        """Writes a request with the time that its client still waits, at least one millisecond."""
-        left = max(1, round((outgoing.deadline - now) / MILLISECOND))
-        headers = [(b"host", host), *outgoing.headers, (DEADLINE_HEADER, b"%d" % left)]
+        """Writes a request, with a header for the time that its client still waits: at least 1 ms."""
+        remaining_ms = max(1, round((outgoing.deadline - now) / MILLISECOND))
+        headers = [(b"host", host), *outgoing.headers, (DEADLINE_HEADER, b"%d" % remaining_ms)]
         self.stream.write(self.codec.request(outgoing.method, outgoing.target, headers, outgoing.body))
 
     async def read(self) -> Response | None:
-        """Reads once and returns the answer where that completed it.
+        """Reads once; returns the answer if that completed it, else None.
 
-        Raises StreamClosed where the connection ended without completing an answer, InvalidResponseError
-        where the bytes are no answer.
+        Raises StreamClosed if the connection ended without completing an answer, InvalidResponseError if the
+        bytes are not a valid answer.
         """
         try:
             data = await self.stream.read()
@@ -77,7 +77,7 @@
         return self.codec.feed(data)
 
     def close(self) -> bool:
-        """Closes the connection for good; whether it was still open."""
+        """Closes the connection; returns whether it was still open."""
         if self.end_timer is not None:
             self.end_timer.cancel()
         if self.closed:
--- a/gorsethread/http_gateway/backend_link.py
+++ b/gorsethread/http_gateway/backend_link.py
@@ -1,8 +1,8 @@
-"""The link to one backend: attempts sent over its connections, each ended once with its outcome.
+"""The link to one backend: sends attempts over its connections and ends each attempt once, with its outcome.
 
-Nothing is sent again here. An attempt for which no connection comes up, or whose connection ends before its
-last byte is written, ends as UNREACHABLE; after that as CONNECTION_LOST, or as ERROR where the answer is
-invalid.
+The link never retries. An attempt ends as UNREACHABLE if no connection is established or the connection ends
+before the attempt's last byte is written; as CONNECTION_LOST if the connection ends after that; as ERROR if
+the answer is invalid.
 """
 
 from collections import deque
@@ -15,31 +15,32 @@
 from gorsethread.scheduling.model import AttemptOutcome
 from gorsethread.transport.base import StreamClosed, Unreachable
 
-# Headers of a backend's answer, by the operators' names.
+# The operators' names of headers in a backend's answer.
 DECLINED_HEADER = b"srv-declined"
 SERVED_ELSEWHERE_HEADER = b"other-hosts"
 USAGE_HEADER = b"volume-load"
-LARGEST_FIGURE = 1e12
-REST_SECONDS = 0.005  # after an answer, within which the connection's end may still be on its way
-# Without a byte, after which an answer that has no length and whose connection stays open has no end.
+MAX_FIGURE = 1e12
+REUSE_DELAY_SECONDS = 0.005  # after an answer, the backend's close of the connection may still be in transit
+# An answer without a length is given up after this long without a byte while its connection stays open.
 END_TIMEOUT_SECONDS = 0.25
-MAX_REASON_LENGTH = 40  # characters of a reason that is counted
+MAX_REASON_LENGTH = 40  # characters of a counted reason
 
 
 def parse_figure(value: bytes | None) -> float:
-    """A header's number; 0 where it can't be read, as the answer stands without it."""
+    """Returns a header's number, or 0 if it can't be parsed: the answer is valid without it."""
     try:
         number = float(value) if value else 0.0
     except ValueError:
         return 0.0
-    return number if 0.0 <= number < LARGEST_FIGURE else 0.0
+    return number if 0.0 <= number < MAX_FIGURE else 0.0
 
 
 class BackendLink:
-    """All connections to one backend at one address; the most recently used one is used first.
+    """All connections to one backend at one address; the most recently used one is reused first.
 
-    Owns idle_connections (the pool's idle ones that are its own; emptied with them) and the count
-    attempts_out of attempts in flight, waiting for a connection to come up or for room for one.
+    idle_connections holds this link's part of the pool's idle connections and is emptied with it.
+    attempts_out counts the attempts that are in flight, wait for a connection to be established, or wait
+    until one may be opened.
     """
 
     def __init__(self, pool: ConnectionPool, backend: int, address: tuple[str, int]) -> None:
@@ -52,23 +53,23 @@
         self.idle_connections: deque[BackendConnection] = deque()
         self.attempts_out = 0
         self.closed = False
-        self.unready = False  # the backend drains or has left the list
+        self.unready = False  # the backend is draining or has left the endpoint list
 
     @property
     def idle(self) -> bool:
-        """Whether no attempt is out."""
+        """Returns whether no attempt is in flight or waiting."""
         return not self.attempts_out
 
     def close(self) -> None:
-        """Nothing more is sent here; what is in flight goes on to its end."""
+        """Closes the idle connections and sends nothing more; attempts in flight go on to their end."""
         self.closed = True
         while self.idle_connections:
             self.close_connection(self.idle_connections[-1])
 
-    # ---- an attempt's life: sent, perhaps after a wait for a connection, and ended
+    # ---- attempts: sent, perhaps after a wait for a connection, and ended
 
     def send(self, attempt: Attempt) -> None:
-        """Sends over an idle connection or a new one; waits where no more may be opened."""
+        """Sends an attempt over an idle connection or a new one, or queues it if no more may be opened."""
         connection = self._reusable_connection()
         if connection is not None:
             self._submit(connection, attempt)
@@ -83,7 +84,7 @@
             self.pool.waiting.append((self, attempt))
 
     def resume(self, attempt: Attempt) -> None:
-        """Sends an attempt that waited for a connection, if it may still begin."""
+        """Sends an attempt that waited for a connection, or ends it if it may no longer begin."""
         self.attempts_out -= 1
         if attempt.ended:
             return
@@ -98,10 +99,10 @@
         self.end(attempt, AttemptOutcome.NOT_SENT)
 
     def may_begin(self, attempt: Attempt) -> bool:
-        """Whether an attempt that waited for its connection may still begin.
+        """Returns whether an attempt that waited for a connection may still begin.
 
-        Meanwhile its deadline may have passed, the backend may have moved, begun to drain or forgotten the
-        request's key.
+        Meanwhile its deadline may have passed, or the backend may have moved to another address, begun to
+        drain, or forgotten the request's key.
         """
         now = self.transport.now()
         if self.closed or now >= attempt.payload.deadline:
@@ -109,18 +110,18 @@
         return self.pool.may_begin(attempt.request, self.backend, attempt.sent_at, now)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Closes the attempt's connection, by which the backend learns that nobody waits any more."""
+        """Cancels an attempt and closes its connection, by which the backend sees that nobody waits."""
         connection = self.pool.busy.get(attempt.request)
         if connection is not None and connection.attempt is attempt:
             connection.link.close_connection(connection)
-        # Also where it only waited: the client ended it, not the backend.
+        # CANCELLED also if the attempt only waited for a connection: the client ended it, not the backend.
         self.end(attempt, AttemptOutcome.CANCELLED)
 
-    def end(self, attempt: Attempt, outcome: AttemptOutcome, answered: AttemptResult = EMPTY_RESULT) -> None:
-        """Ends the attempt with its outcome, unless it has ended already."""
+    def end(self, attempt: Attempt, outcome: AttemptOutcome, result: AttemptResult = EMPTY_RESULT) -> None:
+        """Ends an attempt with its outcome, unless it has ended already."""
         if not attempt.ended:
             attempt.ended = True
-            attempt.on_end(attempt, outcome, answered)
+            attempt.on_end(attempt, outcome, result)
 
     def _submit(self, connection: BackendConnection, attempt: Attempt) -> None:
         outgoing: OutgoingRequest = attempt.payload
@@ -136,7 +137,7 @@
         except Unreachable as error:
             self.attempts_out -= 1
             self.pool.open_connections -= 1
-            self.pool.log.debug("backend not reached", backend=self.host.decode(), reason=str(error))
+            self.pool.log.debug("connection to backend failed", backend=self.host.decode(), reason=str(error))
             self.end(attempt, AttemptOutcome.UNREACHABLE)
             self.pool.connection_freed()
             return
@@ -152,15 +153,15 @@
             self.end(attempt, AttemptOutcome.NOT_SENT)
         await self._read_answers(connection)
 
-    # ---- what comes back
+    # ---- answers
 
     async def _read_answers(self, connection: BackendConnection) -> None:
-        """Reads until the connection ends."""
+        """Reads answers until the connection ends."""
         try:
             while True:
                 answer = await connection.read()
                 if connection.closed:
-                    return  # closed since the bytes came: its attempt has ended
+                    return  # closed after the bytes arrived: its attempt has ended
                 if connection.codec.ends_with_connection:
                     self._await_end(connection)
                 if answer is not None:
@@ -181,9 +182,10 @@
         self.end(attempt, AttemptOutcome.UNREACHABLE if unsent else AttemptOutcome.CONNECTION_LOST)
 
     def _await_end(self, connection: BackendConnection) -> None:
-        """Bounds the wait for the connection's end, which ends an answer without a length.
+        """Starts or restarts the timer that bounds the wait for the end of an answer without a length.
 
-        A backend that leaves the connection open would hold the request until its deadline.
+        Only the connection's end completes such an answer, so a backend that leaves the connection open would
+        hold the request until its deadline.
         """
         if connection.end_timer is not None:
             connection.end_timer.cancel()
@@ -196,7 +198,7 @@
             self.pool.connection_freed()
 
     def _answer_invalid(self, connection: BackendConnection, reason: str) -> None:
-        """Closes the connection; the request on it may have run."""
+        """Closes a connection after an invalid answer and ends its attempt, which may have run, as ERROR."""
         attempt = self.close_connection(connection)
         if attempt is not None:
             self.pool.invalid_answers[reason[:MAX_REASON_LENGTH]] += 1
@@ -219,7 +221,7 @@
         self.pool.connection_freed()
 
     def _end_answered(self, attempt: Attempt, answer: Response) -> None:
-        """Ends the attempt by what the backend answered."""
+        """Ends an attempt with the outcome that the backend's answer stands for."""
         if answer.status == 200:
             elsewhere = parse_figure(answer.header(SERVED_ELSEWHERE_HEADER))
             usage = parse_figure(answer.header(USAGE_HEADER))
@@ -229,20 +231,23 @@
         else:
             self.end(attempt, AttemptOutcome.ERROR)
 
-    # ---- connections kept, reused and closed
+    # ---- connections: kept idle, reused and closed
 
     def _reusable_connection(self) -> BackendConnection | None:
-        """The idle connection to use next.
+        """Removes and returns the idle connection to reuse, or returns None.
 
-        Backends may close a connection right behind an answer or send more on it: one that answered just
-        now is used only where no other may be opened.
+        A backend may close a connection right after an answer, or send more bytes on it. So a connection that
+        was used less than REUSE_DELAY_SECONDS ago is reused only if no other may be opened.
         """
         now = self.transport.now()
-        before = now - REST_SECONDS if self.pool.reuse_trust.allows_reuse(now) else -1.0
+        idle_before = now - REUSE_DELAY_SECONDS if self.pool.reuse_trust.allows_reuse(now) else -1.0
         for connection in reversed(list(self.idle_connections)):
             if not connection.stream.quiet():
                 self.close_connection(connection)
-            elif connection.idle_since <= before or self.pool.open_connections >= self.pool.max_connections:
+            elif (
+                connection.idle_since <= idle_before
+                or self.pool.open_connections >= self.pool.max_connections
+            ):
                 self._forget_idle(connection)
                 return connection
         return None
--- a/gorsethread/http_gateway/client_connection.py
+++ b/gorsethread/http_gateway/client_connection.py
@@ -1,8 +1,9 @@
-"""One client's connection: its bytes in order, one open request at a time, each answered once.
+"""One client's connection: reads its requests in order and answers each once, one open request at a time.
 
-A connection ends by a half-close: what was written goes out, then this side's end, and what the client still
-sends is read and dropped until it ends too. A plain close over unread bytes would be answered by the system
-with a reset, which takes from the client what it has not read yet, the last answer among it.
+The gateway ends a connection by a half-close: it sends what was written, then the end of its side, and reads
+and drops what the client still sends until the client ends its side too. If it closed the connection over
+unread bytes, the system would send a reset, and the client would lose what it has not read yet, including the
+last answer.
 """
 
 from collections import Counter
@@ -13,17 +14,19 @@
 from gorsethread.http1.server_codec import Request, ServerCodec, closing_response
 from gorsethread.transport.base import READ_MOST, Stream, StreamClosed, Transport
 
-PAUSE_SECONDS = 0.25  # until a client whose request was invalid has its next one read
-RECHECK_SECONDS = 0.02  # until a client that was too far ahead, or reads no answers, is looked at again
-# Bytes behind an open request, beyond which no more is read for now.
+PAUSE_SECONDS = 0.25  # after an invalid request, until the connection's next request is read
+RECHECK_SECONDS = 0.02  # between checks of a client that is too far ahead or does not read its answers
+# Bytes received behind an open request; above this, reading pauses.
 MAX_AHEAD_BYTES = READ_AHEAD_BYTES_MAX - READ_MOST
-MAX_UNSENT_BYTES = 262_144  # bytes of answers that a client has not read, beyond which it gets no further one
-MAX_DROPPED_BYTES = 262_144  # bytes that are read and dropped behind the end of this side
-MAX_REASON_LENGTH = 40  # characters of a reason that is counted
+MAX_UNSENT_BYTES = 262_144  # bytes of unread answers; above this, no further request is handled
+MAX_DROPPED_BYTES = (
+    262_144  # bytes read and dropped after this side has ended; above this, the connection is closed
+)
+MAX_REASON_LENGTH = 40  # characters of a counted reason
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the client side."""
+    """What a connection uses of the client side."""
 
     transport: Transport
     ending: bool
@@ -31,24 +34,24 @@
     invalid_requests: Counter[str]
 
     def is_past_end(self) -> bool:
-        """Whether the program's own end has come."""
+        """Returns whether the time by which the program ends has passed."""
         ...
 
     def handle_request(self, connection: "ClientConnection", request: Request) -> None:
-        """A complete request has come."""
+        """Handles a complete request."""
         ...
 
     def connection_failed(self, connection: "ClientConnection", error: Exception) -> None:
-        """An unexpected error was met by the connection's bytes."""
+        """Ends a connection whose bytes raised an unexpected error."""
         ...
 
 
 class ClientConnection:
-    """One client's connection; it is the driver's client for the request that is open on it.
+    """One client's connection, which acts as the driver's Client for the request open on it.
 
-    Owns the codec and the open request, which its answer or the client's leaving empties. since: when it
-    connected, last became idle, its present request began to come, or this side ended, in seconds of the
-    transport's clock; arrived: when bytes last came.
+    open_request is None again after the answer or once the client has left. state_since is when the
+    connection was opened, last became idle, began to receive the current request, or was ended by this side;
+    received_at is when bytes were last received. Both are in seconds of the transport's clock.
     """
 
     __slots__ = (
@@ -75,15 +78,15 @@
         self.state_since: float = now
         self.received_at: float = now
         self.served = False
-        self.ended = False  # this side has ended: nothing more is answered or taken
-        self.paused = False  # what has come is read on only after a while
+        self.ended = False  # this side has ended: nothing more is answered or handled
+        self.paused = False  # the bytes received are not parsed further for PAUSE_SECONDS
         self._dropped = 0
         self._recheck_due = False
 
-    # ---- the driver's answers
+    # ---- the driver's Client interface
 
     def succeeded(self, _shard: int, data: bytes) -> None:
-        """Answers with what the backend answered."""
+        """Answers with the body of the backend's answer."""
         self.open_request = None
         self.answer(200, [], data)
 
@@ -94,55 +97,58 @@
         self.answer(503, headers, b"")
 
     def failed(self) -> None:
-        """Answers that it is unknown whether the request ran."""
+        """Answers that the request failed and may have run."""
         self.open_request = None
         self.answer(504, [], b"")
 
     # ---- answers and ends
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Answers the open request; while the program ends, marks the connection's last answer."""
+        """Answers the open request; during shutdown, marks the last answer as closing the connection."""
         self.side.open_requests.pop(self.request_id, None)
         self.request_id = b""
         if self.ended:
             return
-        data, goes_on = self.codec.respond(status, headers, body, last=self._is_last())
+        data, keeps_alive = self.codec.respond(status, headers, body, last=self._is_last())
         self.stream.write(data)
         self.state_since = self.side.transport.now()
         self.served = True
-        if not goes_on:
+        if not keeps_alive:
             self.end()
         elif self.codec.partial:
             self.side.transport.soon(self.proceed)
 
     def _is_last(self) -> bool:
-        """What has been read behind the request is owed an answer of its own, while there is time for it."""
+        """Returns whether the answer being sent is the connection's last one.
+
+        Requests already received behind the open one get answers of their own while there is time.
+        """
         if not self.side.ending:
             return False
         return self.side.is_past_end() or (not self.codec.bytes_ahead and self.stream.quiet())
 
     def refuse(self, error: InvalidRequestError) -> None:
-        """Answers what can't be read as a request, or not any more, and ends the connection."""
+        """Answers an invalid request, or one that is too late, with an error and ends the connection."""
         self.side.invalid_requests[str(error)[:MAX_REASON_LENGTH]] += 1
         self.stream.write(closing_response(error.status))
         self.end()
 
     def end(self) -> None:
-        """Ends this side; the connection stays until its client ends it too, or until the sweep."""
+        """Ends this side; the connection is closed when the client ends it too, or by the sweep."""
         if not self.ended:
             self.ended = True
             self.state_since = self.side.transport.now()
             self.stream.end_sending()
 
     def abort(self) -> None:
-        """Closes both ways at once."""
+        """Closes both directions at once."""
         self.ended = True
         self.stream.close()
 
-    # ---- its bytes
+    # ---- received bytes
 
     async def serve(self) -> None:
-        """Reads until the connection is closed by either side."""
+        """Reads until either side closes the connection."""
         try:
             while True:
                 data = await self.stream.read()
@@ -156,14 +162,14 @@
             pass
 
     def _received(self, data: bytes) -> None:
-        if not self.codec.bytes_ahead:  # else a request held since earlier would get a later deadline
+        if not self.codec.bytes_ahead:  # otherwise a request received earlier would get a later deadline
             self.received_at = self.side.transport.now()
         if not self.codec.partial and not self.codec.open and self.served:
             self.state_since = self.received_at
         self.codec.feed(data)
 
     def proceed(self) -> None:
-        """Takes the requests that have come."""
+        """Handles the requests received so far."""
         if self._answers_unread():
             return
         try:
@@ -171,7 +177,8 @@
         except InvalidRequestError as error:
             self.refuse(error)
         except Exception as error:
-            # Also called by the loop, where an exception would end the program and all its requests.
+            # The event loop also calls this method; an exception there would end the program and all
+            # of its requests.
             self.side.connection_failed(self, error)
 
     def _handle_requests(self) -> None:
@@ -186,7 +193,10 @@
             self.stream.write(self.codec.continue_response())
 
     def _answers_unread(self) -> bool:
-        """Whether the client reads no answers: they would add up in memory, so nothing more is taken."""
+        """Returns whether too much of the answers is unread; then schedules a check to proceed later.
+
+        Further answers would accumulate in memory.
+        """
         if self.ended or self.stream.unsent <= MAX_UNSENT_BYTES:
             return False
         if not self._recheck_due:
@@ -200,7 +210,7 @@
         self.proceed()
 
     def _drop(self, data: bytes) -> None:
-        """Bytes that crossed the end of this side: their client sends such a request elsewhere."""
+        """Drops bytes received after this side has ended; the client sends such a request elsewhere."""
         self._dropped += len(data)
         if self._dropped > MAX_DROPPED_BYTES:
             self.abort()
@@ -208,7 +218,7 @@
     async def _catch_up(self) -> None:
         """Waits while the client is too far ahead of its answers.
 
-        Raises StreamClosed where it has left meanwhile, which no read would show behind unread bytes.
+        Raises StreamClosed if the client leaves meanwhile, which a read would not show behind unread bytes.
         """
         transport = self.side.transport
         while not self.ended and self._is_ahead():
--- a/gorsethread/http_gateway/client_side.py
+++ b/gorsethread/http_gateway/client_side.py
@@ -1,7 +1,7 @@
-"""The client side: connections admitted and swept, each request parsed and handed to the driver.
+"""The client side: admits and sweeps connections, parses requests and passes them to the driver.
 
-What is no valid request is answered with an error and goes no further. Bounds protect the other clients
-from those that send nothing, half a request, or invalid requests without end.
+An invalid request is answered with an error and goes no further. Bounds protect the other clients from those
+that send nothing, part of a request, or invalid requests without end.
 """
 
 from collections import Counter
@@ -17,31 +17,31 @@
 from gorsethread.transport.base import Stream, Transport
 
 HEALTH_PATH = b"/healthz"
-COMPLETE_WITHIN_SECONDS = 2.0  # from connecting, or from its first byte, until a request must be here
-MAY_CLOSE_SECONDS = 2.0  # without an open request, after which the platform lets a gateway close a connection
-MAX_IDLE_SECONDS = 6.0  # until it is closed anyway
-CROWDED_FRACTION = (
-    0.25  # of the connections a gateway may hold: from here on idle ones end as early as they may
+REQUEST_TIMEOUT_SECONDS = 2.0  # from connecting, or a request's first byte, until the request is complete
+MIN_IDLE_SECONDS = 2.0  # without an open request, after which the platform lets a gateway close a connection
+MAX_IDLE_SECONDS = 6.0  # without an open request, until the gateway closes a connection
+CROWDED_FRACTION = 0.25  # of max_connections; from here on, idle ones are closed after MIN_IDLE_SECONDS
+LINGER_SECONDS = (
+    0.25  # after this side has ended a connection, until it is closed if the client does not end it
 )
-LINGER_SECONDS = 0.25  # that a connection whose sending has ended here is read on for its client's end
-UNREAD_LINGER_SECONDS = 2.0  # of it while the client has not read all of its answer
-LAST_LINGER_SECONDS = 0.05  # of it after the time by which the program has ended
-NEW_WITHIN_SECONDS = 0.15  # in which the first request of a new connection may be on its way
-REPORTED_REASONS = 8  # the commonest reasons in one report
+UNREAD_LINGER_SECONDS = 2.0  # the same while the client has not read all of its answer
+SHUTDOWN_LINGER_SECONDS = 0.05  # the same after the time by which the program has to end
+FIRST_REQUEST_SECONDS = 0.15  # after connecting, the first request may still be in transit
+MAX_REPORTED_REASONS = 8  # the most frequent reasons in one report
 
 
 class ClientSide:
-    """All connections of clients.
+    """All client connections.
 
-    Owns the connections, in order of accepting (emptied as they end), and those with an open request by its
-    id (emptied by answers and as clients leave). ending: the program ends; end_by: when it does, in seconds
-    of the transport's clock.
+    connections holds them in the order of accepting, until they end. open_requests holds those with an open
+    request by the request's id, until it is answered or the client leaves. ending says that the program is
+    shutting down, end_by is the time by which it ends, in seconds of the transport's clock.
 
     Args:
         transport: the clock.
-        driver: takes the requests.
-        names: what requests call their class, tier and zone.
-        max_connections: connections at once.
+        driver: admits the requests.
+        names: the names that requests use for their class, tier and zone.
+        max_connections: bound on the connections open at once.
         log: for structured events.
     """
 
@@ -58,12 +58,12 @@
         self.invalid_requests: Counter[str] = Counter()
         self.ending = False
         self.end_by = float("inf")
-        self._accepted_count = 0  # and not yet among the connections
+        self._accepted_count = 0  # accepted connections that on_stream() does not serve yet
 
-    # ---- a connection admitted and served
+    # ---- connections admitted and served
 
     def admit_connection(self) -> bool:
-        """Whether one more connection can be held; makes room for it by the one that is of least use."""
+        """Returns whether one more connection may be accepted; at the bound, closes the least used for it."""
         if len(self.connections) + self._accepted_count >= self.max_connections:
             spare = self._least_used()
             if spare is None:
@@ -75,26 +75,26 @@
         return True
 
     def _least_used(self) -> ClientConnection | None:
-        """The connection to close for a new one; never one with bytes that nobody has answered.
+        """Returns the connection to close for a new one, or None; never one with unanswered bytes.
 
-        One that has ended on this side and whose client read its last answer; else the oldest that has sent
-        nothing; else the longest idle that may be closed.
+        Prefers one that has ended on this side and whose client has read its last answer; then the oldest
+        that has sent nothing; then the longest idle one that may be closed.
         """
-        ended = next((one for one in self.connections if one.ended and not one.stream.unsent), None)
+        ended = next((c for c in self.connections if c.ended and not c.stream.unsent), None)
         if ended is not None:
             return ended
-        free = [one for one in self.connections if not one.codec.open and not one.codec.partial]
-        silent = next((one for one in free if not one.served and one.stream.quiet()), None)
+        free = [c for c in self.connections if not c.codec.open and not c.codec.partial]
+        silent = next((c for c in free if not c.served and c.stream.quiet()), None)
         if silent is not None:
             return silent
-        before = self.transport.now() - MAY_CLOSE_SECONDS
+        idle_before = self.transport.now() - MIN_IDLE_SECONDS
         idle = sorted(
-            (one for one in free if one.served and one.state_since <= before), key=lambda one: one.state_since
+            (c for c in free if c.served and c.state_since <= idle_before), key=lambda c: c.state_since
         )
-        return next((one for one in idle if one.stream.quiet()), None)
+        return next((c for c in idle if c.stream.quiet()), None)
 
     async def on_stream(self, stream: Stream) -> None:
-        """Serves an admitted connection to its end."""
+        """Serves an admitted connection until it ends."""
         self._accepted_count -= 1
         connection = ClientConnection(self, stream, self.transport.now())
         self.connections[connection] = None
@@ -108,7 +108,7 @@
             self._client_left(connection)
 
     def _client_left(self, connection: ClientConnection) -> None:
-        """Nobody awaits the answer to the connection's open request any more."""
+        """Drops the connection's open request, whose answer nobody waits for any more."""
         self.open_requests.pop(connection.request_id, None)
         open_request = connection.open_request
         if open_request is not None:
@@ -116,17 +116,17 @@
             self.driver.client_left(open_request)
 
     def connection_failed(self, connection: ClientConnection, error: Exception) -> None:
-        """An unexpected error met by one connection's bytes ends that connection alone."""
-        self.log.exception("a connection failed", reason=repr(error))
+        """Ends a connection whose bytes raised an unexpected error, and no other connection."""
+        self.log.exception("unexpected error; closing the client connection", reason=repr(error))
         if not connection.ended:
             connection.stream.write(closing_response(500))
         connection.end()
         self._client_left(connection)
 
-    # ---- a request parsed and handed on
+    # ---- requests parsed and passed on
 
     def handle_request(self, connection: ClientConnection, request: Request) -> None:
-        """Hands a valid request to the driver and answers any other."""
+        """Passes a valid request to the driver and answers any other, and health checks, itself."""
         if request.target == HEALTH_PATH and request.method in (b"GET", b"HEAD"):
             connection.answer(200, [], b"")
             return
@@ -135,7 +135,7 @@
             if fields.id in self.open_requests:
                 raise InvalidRequestError(409, "the id of an open request")
         except InvalidRequestError as error:
-            # The framing is intact, so the connection goes on, but its next request is read late.
+            # The framing is intact, so the connection stays open, but its next request is read after a pause.
             self.invalid_requests[str(error)[:MAX_REASON_LENGTH]] += 1
             connection.paused = True
             connection.answer(error.status, [], b"")
@@ -165,58 +165,59 @@
     # ---- connections ended
 
     def sweep(self) -> None:
-        """Ends connections whose request does not become complete, and those idle for long."""
+        """Ends connections whose request was not completed in time, and those that were idle for too long."""
         now = self.transport.now()
-        # Clients that keep a connection after a single request could leave none for others.
+        # Clients that keep a connection after a single request could leave no connections for others.
         crowded = len(self.connections) >= CROWDED_FRACTION * self.max_connections
-        max_idle = MAY_CLOSE_SECONDS if crowded else MAX_IDLE_SECONDS
-        for one in list(self.connections):
-            if one.ended:
-                self._close_ended(one, now)
-            elif one.codec.open:
+        max_idle = MIN_IDLE_SECONDS if crowded else MAX_IDLE_SECONDS
+        for connection in list(self.connections):
+            if connection.ended:
+                self._close_ended(connection, now)
+            elif connection.codec.open:
                 continue
-            elif one.codec.partial:
-                if one.state_since <= now - COMPLETE_WITHIN_SECONDS:
-                    one.refuse(InvalidRequestError(408, "a request that does not become complete"))
+            elif connection.codec.partial:
+                if connection.state_since <= now - REQUEST_TIMEOUT_SECONDS:
+                    connection.refuse(InvalidRequestError(408, "a request that does not become complete"))
             elif (
-                one.state_since <= now - (max_idle if one.served else COMPLETE_WITHIN_SECONDS)
-                and one.stream.quiet()
+                connection.state_since <= now - (max_idle if connection.served else REQUEST_TIMEOUT_SECONDS)
+                and connection.stream.quiet()
             ):
-                one.end()
+                connection.end()
 
     def _close_ended(self, connection: ClientConnection, now: float) -> None:
-        """Closes a connection whose client has had its time to end it after this side did."""
+        """Closes a connection that this side has ended, once its client had time to end it too."""
         linger = UNREAD_LINGER_SECONDS if connection.stream.unsent else LINGER_SECONDS
-        if connection.state_since <= now - linger or now >= self.end_by + LAST_LINGER_SECONDS:
+        if connection.state_since <= now - linger or now >= self.end_by + SHUTDOWN_LINGER_SECONDS:
             connection.abort()
 
     def is_past_end(self) -> bool:
-        """Whether the program's own end has come, which waits for nothing more."""
+        """Returns whether the time by which the program ends has passed."""
         return self.transport.now() >= self.end_by
 
     def close_idle(self) -> None:
-        """While the program ends: ends idle connections, and answers what can't be served in time."""
+        """During shutdown, ends idle connections and refuses partial requests that are too late."""
         now = self.transport.now()
         past_end = self.is_past_end()
-        for one in list(self.connections):
-            if one.ended:
-                self._close_ended(one, now)
-            elif one.codec.open:
+        for connection in list(self.connections):
+            if connection.ended:
+                self._close_ended(connection, now)
+            elif connection.codec.open:
                 continue
-            elif one.codec.partial:
+            elif connection.codec.partial:
                 if past_end:
-                    one.refuse(InvalidRequestError(503, "a request not complete before the end"))
+                    connection.refuse(InvalidRequestError(503, "a request not complete before the end"))
             elif past_end or (
-                one.stream.quiet() and (one.served or one.state_since <= now - NEW_WITHIN_SECONDS)
+                connection.stream.quiet()
+                and (connection.served or connection.state_since <= now - FIRST_REQUEST_SECONDS)
             ):
-                one.end()
+                connection.end()
 
-    def holds_any(self) -> bool:
-        """Whether any connection is left, also one that was accepted but is not served yet."""
+    def has_connections(self) -> bool:
+        """Returns whether any connection is left, including accepted ones that are not served yet."""
         return bool(self.connections or self._accepted_count)
 
     def report(self) -> dict[str, int]:
-        """The commonest reasons why requests were invalid since the last report."""
+        """Returns, and resets, the most frequent reasons why requests were invalid since the last report."""
         reasons = self.invalid_requests
         self.invalid_requests = Counter()
-        return dict(reasons.most_common(REPORTED_REASONS))
+        return dict(reasons.most_common(MAX_REPORTED_REASONS))
--- a/gorsethread/http_gateway/configuration.py
+++ b/gorsethread/http_gateway/configuration.py
@@ -1,7 +1,7 @@
-"""What a gateway is given at its start and again at SIGHUP: the file that GW_CONFIG names.
+"""Reads the configuration file that GW_CONFIG names, at the start and again at SIGHUP.
 
-The operators' names of fields end here, as aliases of the types below; those of the scheduler's settings end
-in `gorsethread.gateway.scheduler_settings`. Unknown fields are ignored.
+Only this module uses the operators' field names, as aliases of the types below; those of the scheduler's
+settings are used only in `gorsethread.gateway.scheduler_settings`. Unknown fields are ignored.
 """
 
 import json
@@ -21,17 +21,20 @@
 from gorsethread.http_gateway.endpoint_list import ListAnswer
 from gorsethread.scheduling.model import SchedulerSettings
 
-Unchecked = Any  # a field that is taken as it stands; a value of another kind matches no request
+Unchecked = Any  # the type of a field that is not checked; a value of a wrong type matches no request
 MIN_SOCKETS = 32
-# No list at all, so none that is complete.
+# Stands for a missing list, which does not count as a complete one.
 NO_LIST = ListAnswer(generation=0, reset=False, instances=[])
-DECODING_ERROR = re.compile(r"(?P<reason>.*?)(?: - at `\$\.?(?P<place>.*)`)?", re.DOTALL)
+DECODING_ERROR = re.compile(r"(?P<reason>.*?)(?: - at `\$\.?(?P<field>.*)`)?", re.DOTALL)
 MISSING_FIELD = re.compile(r"Object missing required field `(.*)`")
 
 
 @dataclass(frozen=True)
 class RequestNames:
-    """What requests call their class, tier and zone, by places in the settings; bounds of their figures."""
+    """The numbers of request classes, tiers and zones by name, and the bounds of a request's figures.
+
+    A number is the position in the settings.
+    """
 
     request_classes: dict[bytes, int]
     service_tiers: dict[bytes, int]
@@ -44,10 +47,11 @@
 class Configuration:
     """One gateway's configuration.
 
-    connect_timeout, idle_timeout: seconds, of connections to backends. longest_wait: seconds that a client
-    waits at most. pushed: whether discovery's agent on this machine is sent the list, so that a new process
-    counts as notified of it from its first moment. peers: every gateway's address by its number, this
-    one's included, where gateways may send each other messages; else none.
+    connect_timeout and idle_timeout are for connections to backends, in seconds. longest_wait is the longest
+    time that a client waits, in seconds. known_endpoints is the endpoint list to start with. pushed says that
+    the list is pushed to discovery's agent on this machine, so that a new process counts as notified of it
+    from its start. peers holds every gateway's address by its number, this one's included, if gateways may
+    send each other messages; else it is empty.
     """
 
     name: str
@@ -89,7 +93,7 @@
 
 
 class _Settings(msgspec.Struct):
-    """The settings that the gateway itself uses; the scheduler's are read beside them."""
+    """The settings that the gateway itself uses; the scheduler's are read separately."""
 
     permissions: _Permissions
     request_classes: list[_RequestClass] = msgspec.field(name="services")
@@ -99,7 +103,7 @@
 
 
 class _File(msgspec.Struct):
-    """The file as it stands; addresses are parsed where they are used, for errors that quote them."""
+    """The decoded file; addresses are parsed later, so that errors can quote them."""
 
     name: str
     listen: Any
@@ -113,38 +117,38 @@
 
 
 def read_configuration(raw: bytes | None, path: str) -> Configuration:
-    """The configuration in the bytes of a file; None for a file that can't be read.
+    """Returns the configuration in the bytes of a file; raw is None for a file that can't be read.
 
-    Raises UnusableConfigurationError, with the file's path in front, for what is missing or wrong.
+    Raises UnusableConfigurationError, with the file's path in front, for anything missing or invalid.
     """
     if raw is None:
         raise UnusableConfigurationError(f"{path}: can't be read")
     try:
-        # The standard library's decoder: msgspec's refuses NaN without naming its place.
+        # Uses the standard library's decoder, as msgspec's rejects NaN without naming the field.
         given = json.loads(raw, object_hook=JsonObject)
     except ValueError as error:
-        raise UnusableConfigurationError(f"{path}: is not JSON: {error}") from None
+        raise UnusableConfigurationError(f"{path}: not valid JSON: {error}") from None
     try:
         file = msgspec.convert(given, _File)
         return _configuration(file, _scheduler_settings(given["settings"]))
     except msgspec.ValidationError as error:
-        raise UnusableConfigurationError(f"{path}: {_place_and_reason(str(error))}") from None
+        raise UnusableConfigurationError(f"{path}: {_field_and_reason(str(error))}") from None
     except UnusableConfigurationError as error:
         raise UnusableConfigurationError(f"{path}: {error}") from None
-    except (TypeError, ValueError) as error:  # names that are no Unicode text, zones that are no list
-        raise UnusableConfigurationError(f"{path}: something is of the wrong kind: {error}") from None
+    except (TypeError, ValueError) as error:  # names that are not Unicode text, zones that are not a list
+        raise UnusableConfigurationError(f"{path}: a value has the wrong type: {error}") from None
 
 
-def _place_and_reason(text: str) -> str:
-    """A decoding error with its place in front."""
+def _field_and_reason(text: str) -> str:
+    """Returns a decoding error's text with the field in front."""
     parts = DECODING_ERROR.fullmatch(text)
-    place = parts["place"] or "" if parts else ""
+    field = parts["field"] or "" if parts else ""
     reason = parts["reason"] if parts else text
     missing = MISSING_FIELD.fullmatch(reason)
     if missing:
-        place = f"{place}.{missing[1]}" if place else missing[1]
+        field = f"{field}.{missing[1]}" if field else missing[1]
         reason = "is missing"
-    return f"{place}: {reason}" if place else reason
+    return f"{field}: {reason}" if field else reason
 
 
 def _scheduler_settings(given: JsonObject) -> SchedulerSettings:
@@ -153,9 +157,11 @@
     except MalformedInputError as error:
         raise UnusableConfigurationError(f"settings: {error}") from None
     except (TypeError, AttributeError, KeyError, ValueError) as error:
-        raise UnusableConfigurationError(f"settings: something is of the wrong kind: {error}") from None
+        raise UnusableConfigurationError(f"settings: a value has the wrong type: {error}") from None
     if not settings.request_classes or not settings.service_tiers:
-        raise UnusableConfigurationError("settings: no request class or no service tier")
+        raise UnusableConfigurationError(
+            "settings: at least one request class and one service tier are needed"
+        )
     for part in (settings, settings.slow_start, *settings.request_classes, *settings.service_tiers):
         _check_numbers(part)
     if settings.retry_budget:
@@ -164,18 +170,18 @@
 
 
 def _check_numbers(part: Any) -> None:
-    """Refuses settings with a text in place of a number, which would end a gateway that serves."""
+    """Rejects settings with a non-number in place of a number, which would end a gateway that serves."""
     for field in fields(part):
         value = getattr(part, field.name)
         if field.type in (int, float) and (type(value) not in (int, float) or not math.isfinite(value)):
             raise UnusableConfigurationError(
-                f"settings: {type(part).__name__} {field.name}: {value!r} is no number"
+                f"settings: {type(part).__name__} {field.name}: {value!r} is not a finite number"
             )
 
 
 def _configuration(file: _File, settings: SchedulerSettings) -> Configuration:
     if file.limits.sockets < MIN_SOCKETS:
-        raise UnusableConfigurationError(f"limits.sockets: {file.limits.sockets} are too few to serve with")
+        raise UnusableConfigurationError(f"limits.sockets: {file.limits.sockets} is less than {MIN_SOCKETS}")
     peer_listen, peers = _peers(file, settings)
     given = file.settings
     return Configuration(
@@ -185,18 +191,18 @@
         seed=_seed(file.seed),
         sockets=file.limits.sockets,
         known_endpoints=file.known,
-        # Also where lists are pushed, it is to the machine's agent, which a gateway hears by its own watch.
+        # Polls in either mode: pushed lists go to the agent on this machine, which the gateway watches.
         scheduler_settings=replace(settings, may_send_messages=bool(peers), polls_endpoints=True),
         request_names=RequestNames(
-            {one.name.encode(): number for number, one in enumerate(given.request_classes)},
-            {one.name.encode(): number for number, one in enumerate(given.service_tiers)},
+            {named.name.encode(): number for number, named in enumerate(given.request_classes)},
+            {named.name.encode(): number for number, named in enumerate(given.service_tiers)},
             {name: number for number, name in enumerate(given.zones)},
             settings.largest_request_units,
             given.bounds.shards,
         ),
         connect_timeout=given.permissions.connect_timeout,
         idle_timeout=given.permissions.idle_timeout,
-        longest_wait=float(max(one.longest_wait for one in given.request_classes)),
+        longest_wait=float(max(item.longest_wait for item in given.request_classes)),
         pushed=not settings.polls_endpoints,
         peer_listen=peer_listen,
         peers=peers,
@@ -204,25 +210,25 @@
 
 
 def _seed(given: str | int) -> int:
-    """A number, or one in hexadecimal digits."""
+    """Returns the seed, which is a number or a text of hexadecimal digits."""
     if isinstance(given, int):
         return given
     try:
         return int(given, 16)
     except ValueError:
-        raise UnusableConfigurationError(f"seed: {given!r} is no number in hexadecimal digits") from None
+        raise UnusableConfigurationError(f"seed: {given!r} is not a hexadecimal number") from None
 
 
 def _peers(file: _File, settings: SchedulerSettings) -> tuple[Address | None, tuple[Address, ...]]:
-    """This gateway's address for messages and every gateway's; none where messages are not permitted.
+    """Returns the address to receive messages at and every gateway's address; none if messages are off.
 
-    A number that means different gateways at two of them would do harm, so a list that does not fit the
-    settings is refused.
+    A list that does not fit the settings is rejected: harm would result if two gateways meant different
+    gateways by the same number.
     """
     if not settings.may_send_messages or file.peers is msgspec.UNSET or file.peer_listen is msgspec.UNSET:
         return None, ()
     if not isinstance(file.peers, list):
-        raise UnusableConfigurationError(f"peers: {file.peers!r} is of the wrong kind")
+        raise UnusableConfigurationError(f"peers: {file.peers!r} is not a list")
     peers = tuple(parse_address(peer, f"peers.{number}") for number, peer in enumerate(file.peers))
     if len(peers) != settings.gateways or len(set(peers)) != len(peers):
         raise UnusableConfigurationError(
@@ -230,6 +236,6 @@
         )
     if type(settings.gateway_index) is not int or not 0 <= settings.gateway_index < settings.gateways:
         raise UnusableConfigurationError(
-            f"settings.index: {settings.gateway_index!r} is no number of one of {settings.gateways} gateways"
+            f"settings.index: {settings.gateway_index!r} is not an index into {settings.gateways} gateways"
         )
     return parse_address(file.peer_listen, "peer_listen"), peers
--- a/gorsethread/http_gateway/connection_pool.py
+++ b/gorsethread/http_gateway/connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections to all backends together: their bound, and the attempts that wait for one."""
+"""Bounds the connections to all backends together and queues the attempts that wait for one."""
 
 from collections import Counter, deque
 from collections.abc import Callable
@@ -11,13 +11,13 @@
 from gorsethread.transport.base import Transport
 
 IDLE_TIMEOUT_FRACTION = (
-    0.8  # of the time after which a backend closes an idle connection: the gateway closes first
+    0.8  # of the backends' idle timeout, so that the gateway closes an idle connection first
 )
-REPORTED_REASONS = 8  # the commonest reasons in one report
+MAX_REPORTED_REASONS = 8  # the most frequent reasons in one report
 
 
 class PooledLink(Protocol):
-    """What the pool needs of the link to one backend."""
+    """What the pool uses of the link to one backend."""
 
     idle_connections: deque[BackendConnection]
     position: int
@@ -25,7 +25,7 @@
     closed: bool
 
     def resume(self, attempt: Attempt) -> None:
-        """Sends an attempt that waited for a connection, if it may still begin."""
+        """Sends an attempt that waited for a connection, or ends it if it may no longer begin."""
         ...
 
     def drop_waiting(self, attempt: Attempt) -> None:
@@ -43,7 +43,7 @@
     Args:
         transport: the clock and the connections.
         links: the driver's table of links, by backend.
-        max_connections: how many connections may be open or being opened at once.
+        max_connections: bound on the connections that are open or being opened.
         connect_timeout: seconds.
         idle_timeout: seconds after which a backend closes an idle connection.
         log: for structured events.
@@ -71,12 +71,13 @@
         self.idle: dict[BackendConnection, None] = {}  # longest idle first
         self.busy: dict[int, BackendConnection] = {}
         self.waiting: deque[tuple[PooledLink, Attempt]] = deque()
-        # The scheduler's: whether a request's attempt at a backend, decided at a time, may still begin now.
+        # The scheduler's may_begin_attempt(request, backend, decided_at, now), set after construction: says
+        # whether an attempt that was decided earlier may still begin.
         self.may_begin: Callable[[int, int, float, float], bool]
         self._last_position = 0
 
     def position_of(self, backend: int) -> int:
-        """The place of a new link in the order of links: that of the link it replaces, else the last."""
+        """Returns a new link's place in the order of links: that of the link it replaces, else the last."""
         replaced = self.links.get(backend)
         if replaced is not None:
             position: int = replaced.position
@@ -85,7 +86,7 @@
         return self._last_position
 
     def make_room(self) -> bool:
-        """Whether one more may be opened; closes the connection that is idle for longest where it must."""
+        """Returns whether a connection may be opened; at the bound, closes the longest idle one for it."""
         if self.open_connections >= self.max_connections:
             oldest = self._longest_idle()
             if oldest is None:
@@ -94,7 +95,7 @@
         return True
 
     def _longest_idle(self) -> BackendConnection | None:
-        """Of connections that became idle in one moment, the first link's."""
+        """Returns the longest idle connection; if several became idle at the same time, the first link's."""
         first = next(iter(self.idle), None)
         if first is None:
             return None
@@ -102,7 +103,7 @@
         return min(equals, key=lambda connection: connection.link.position)
 
     def connection_freed(self) -> None:
-        """A connection has come free or ended: attempts that wait for one go on."""
+        """Resumes waiting attempts after a connection became idle or ended."""
         while self.waiting:
             link, attempt = self.waiting[0]
             if not (attempt.ended or link.idle_connections or self.make_room()):
@@ -111,15 +112,15 @@
             link.resume(attempt)
 
     def update_unready(self, unready: dict[int, bool]) -> None:
-        """Ends the waiting attempts at backends that drain or are gone.
+        """Marks links as unready and ends the attempts that wait for a connection to an unready backend.
 
-        Their connection could come after the time within which sending has to stop.
+        Such a connection could be established only after the time by which sending to the backend must stop.
 
         Args:
-            unready: by backend of the endpoint list, whether it drains or is gone.
+            unready: by backend of the endpoint list, whether it is draining or gone.
         """
-        for number in unready.keys() & self.links.keys():
-            self.links[number].unready = unready[number]
+        for backend in unready.keys() & self.links.keys():
+            self.links[backend].unready = unready[backend]
         waiting = self.waiting
         self.waiting = deque()
         for link, attempt in waiting:
@@ -129,14 +130,14 @@
                 self.waiting.append((link, attempt))
 
     def report(self) -> dict[str, int]:
-        """The commonest reasons why answers were invalid since the last report."""
+        """Returns, and resets, the most frequent reasons why answers were invalid since the last report."""
         reasons = self.invalid_answers
         self.invalid_answers = Counter()
-        return dict(reasons.most_common(REPORTED_REASONS))
+        return dict(reasons.most_common(MAX_REPORTED_REASONS))
 
     def sweep(self) -> None:
-        """Closes what was idle for so long that its backend may be about to close it."""
-        before = self.transport.now() - self.idle_timeout
-        expired = list(takewhile(lambda connection: connection.idle_since <= before, self.idle))
+        """Closes connections that were idle for so long that the backend may be about to close them."""
+        idle_before = self.transport.now() - self.idle_timeout
+        expired = list(takewhile(lambda connection: connection.idle_since <= idle_before, self.idle))
         for connection in sorted(expired, key=lambda connection: connection.link.position):
             connection.link.close_connection(connection)
--- a/gorsethread/http_gateway/discovery.py
+++ b/gorsethread/http_gateway/discovery.py
@@ -1,4 +1,4 @@
-"""Follows discovery's endpoint list by a watch; the scheduler says when to try again after a failure."""
+"""Watches discovery's endpoint list; after a failure, the scheduler decides when to poll again."""
 
 from collections.abc import Callable
 from typing import Any
@@ -10,22 +10,24 @@
 from gorsethread.http_gateway.endpoint_updates import EndpointUpdates
 from gorsethread.transport.base import Stream, StreamClosed, StreamEnded, Transport, Unreachable
 
-LIST_PATH = b"/v1/servers"  # the operators' name
-CONNECT_TIMEOUT_SECONDS = 2.0  # a system that got no answer asks for a connection again after one
-SPACING_SECONDS = 0.1  # between calls that bring nothing new; a watch goes on for twice as long
-# Of the longest that a call may wait. Each wait is drawn: a change of the list answers the calls of all
-# gateways at once, which would stay in step from then on.
+LIST_PATH = b"/v1/servers"  # the operators' path
+CONNECT_TIMEOUT_SECONDS = 2.0  # the system retries an unanswered connect after one second
+# Pause after a call that returned nothing new within this time. A watch counts as unbroken for twice as
+# long.
+CALL_SPACING_SECONDS = 0.1
+# Of the longest wait of a call. Each wait is drawn at random: a change of the list answers the calls of all
+# gateways at the same time, and with equal waits they would stay synchronized from then on.
 MIN_WAIT_FRACTION = 0.5
-# From a call's beginning, its connection's coming up included, to its answer. A crowded service answers a
-# second or two behind a call's wait; a silent one has to show early enough for the next call.
+# From the start of a call, including its connect, to its answer. An overloaded service answers a second or
+# two after the call's wait is over; a silent one has to be noticed early enough for the next call.
 CALL_TIMEOUT_SECONDS = 4.2
-NO_WAIT_SECONDS = 0.001  # that a call waits which is to be answered at once
-MAX_REASON_LENGTH = 200  # characters of a reason that is logged
+NO_WAIT_SECONDS = 0.001  # the wait of a call that is to be answered at once
+MAX_REASON_LENGTH = 200  # characters of a logged reason
 MAX_LOGGED_BACKENDS = 20
 
 
 async def read_answer(stream: Stream, codec: ClientCodec) -> Response:
-    """The answer to the request written on that stream, also one that ends with its connection."""
+    """Reads the answer to the request written to the stream, also one that ends with the connection."""
     answer: Response | None = None
     while answer is None:
         try:
@@ -38,15 +40,16 @@
 
 
 class Discovery:
-    """Keeps one watch open and applies its answers.
+    """Keeps one watch on the endpoint list open and applies its answers.
 
-    Owns the watch's connection, closed as the watch fails, moves or stops.
+    The watch is a sequence of calls on one connection, each of which waits for a change. The connection is
+    closed when the watch fails, moves or stops.
 
     Args:
-        transport: the clock, the connections and the draws.
-        address: where discovery is.
-        updates: what applies the lists; set up before start().
-        wait: seconds that a call may wait for a change at most.
+        transport: the clock, the connections and the random draws.
+        address: discovery's address.
+        updates: applies the lists; its driver and pool have to be set before start().
+        wait: the longest time that a call may wait for a change, in seconds.
         log: for structured events.
     """
 
@@ -61,31 +64,32 @@
         self.chance = transport.chance("discovery")
         self.version = 0
         self.stopped = False
-        # Called once, at the first answer or failure. None: nobody waits for that, or no more.
+        # Called once, after the first answer or failure; None if not set, or after that call.
         self.on_first_call_ended: Callable[[], None] | None = None
         self._stream: Stream | None = None
         self._watching = False
         self._call_began = 0.0
-        self._needs_complete = False  # the next call asks for the complete list
+        self._needs_complete = False  # the next call has to ask for the complete list
         self._moved = False
-        self._answered = False  # an answer came on the watch that is open
+        self._answered = False  # the open watch has received an answer
 
     def start(self, known: ListAnswer) -> None:
-        """Begins with the list as this process last had it; changes build on it only if it was complete."""
+        """Applies the list from the configuration; changes can be applied to it only if it is complete."""
         self.version = known.generation
         self._needs_complete = not known.reset
         self.updates.apply(known.instances, True, True)
 
     def follow(self) -> None:
-        """The scheduler asks for the list and its changes; a failure is returned to it as a refusal."""
+        """Starts the watch unless it is open; a failure is reported to the scheduler as a failed poll."""
         if not self._watching and not self.stopped:
             self._watching = True
             self.transport.spawn(self._follow())
 
     def move_to(self, address: Address) -> None:
-        """Discovery is at another address now: the watch goes on there at once."""
+        """Moves the watch to another address at once."""
         self.address = address
-        # Refusals by the old service say nothing of the new one, and would lengthen the backoff if it fails.
+        # An empty list of changes ends the scheduler's backoff. Failures of the old service say nothing about
+        # the new one, and would lengthen the backoff if that fails too.
         self.updates.driver.endpoints_listed([], False, False)
         if self._watching:
             self._moved = True
@@ -99,17 +103,17 @@
         self._close_stream()
 
     def _end_first_call(self) -> None:
-        waiting = self.on_first_call_ended
+        callback = self.on_first_call_ended
         self.on_first_call_ended = None
-        if waiting is not None:
-            waiting()
+        if callback is not None:
+            callback()
 
     def _close_stream(self) -> None:
         if self._stream is not None:
             self._stream.close()
 
     async def _follow(self) -> None:
-        """Watches until a failure, which the scheduler hears of; goes on at once where discovery moved."""
+        """Watches until a failure, which is reported to the scheduler; after a move, watches on at once."""
         while not self.stopped:
             self._moved = False
             try:
@@ -127,13 +131,13 @@
         self._watching = False
         if self.stopped:
             return
-        if not self._needs_complete:  # else the list is asked for once more, and complete
+        if not self._needs_complete:  # otherwise a call for the complete list follows
             self._end_first_call()
         self.log.info("endpoint list watch failed", reason=reason[:MAX_REASON_LENGTH])
         self.updates.driver.endpoint_poll_failed(self.transport.now() - self._call_began)
 
     async def _watch(self) -> None:
-        """One call after the other on one connection, until one fails."""
+        """Makes one call after the other on one connection, until one fails or the watch moves."""
         address = self.address
         self._call_began = self.transport.now()
         stream = await self._connect(address)
@@ -143,10 +147,13 @@
         while not self.stopped and address == self.address:
             answer = await self._call(stream, codec, address)
             if address != self.address:
-                return  # the old service still answered as the watch was moved
-            if not self._apply_answer(answer) and self.transport.now() < self._call_began + SPACING_SECONDS:
-                # A service that answers at once with nothing new must not be asked without a pause.
-                await self.transport.sleep(SPACING_SECONDS)
+                return  # the old service answered as the watch was moved
+            if (
+                not self._apply_answer(answer)
+                and self.transport.now() < self._call_began + CALL_SPACING_SECONDS
+            ):
+                # A service that answers at once with nothing new must not be called without a pause.
+                await self.transport.sleep(CALL_SPACING_SECONDS)
             self._call_began = self.transport.now()
             if answer.closes_connection:
                 stream.close()
@@ -161,7 +168,8 @@
     async def _call(self, stream: Stream, codec: ClientCodec, address: Address) -> Response:
         host = f"{address[0]}:{address[1]}".encode()
         stream.write(codec.request(b"GET", self._target(), [(b"host", host)], b""))
-        # A machine that vanished sends no end: the gateway would hear of no drain.
+        # A machine that vanished does not end the connection: without a timeout the gateway would learn of no
+        # drain.
         timer = self.transport.at(self._call_began + CALL_TIMEOUT_SECONDS, stream.close)
         try:
             return await read_answer(stream, codec)
@@ -171,15 +179,15 @@
     def _target(self) -> bytes:
         wait = self.chance.uniform(MIN_WAIT_FRACTION, 1.0) * self.wait
         if self.on_first_call_ended is not None:
-            wait = NO_WAIT_SECONDS  # asks for what is known already, not for what comes
+            wait = NO_WAIT_SECONDS  # asks for the changes so far, and waits for none
         if self._needs_complete:
             return LIST_PATH
         return LIST_PATH + b"?since=%d&timeout_ms=%d" % (self.version, round(wait * 1000))
 
     def _apply_answer(self, answer: Response) -> bool:
-        """Believes an answer and applies it; whether it brought a new version.
+        """Applies an answer; returns whether it has a new version.
 
-        Raises DiscoveryError where it can't be believed.
+        Raises DiscoveryError if the answer can't be used.
         """
         if answer.status != 200:
             raise DiscoveryError(f"status {answer.status}")
@@ -188,14 +196,14 @@
         changed = listed.generation != self.version
         self._needs_complete = False
         self.version = listed.generation
-        # The scheduler is notified also of the first answer without changes, which ends its backoff.
+        # The watch's first answer is passed on even if it has no changes, as it ends the scheduler's backoff.
         if listed.instances or listed.reset or not self._answered:
             self._answered = True
             self.log.info(
                 "endpoint list",
                 generation=listed.generation,
                 complete=listed.reset,
-                backends={one.instance_id: one.lifecycle for one in listed.instances[:MAX_LOGGED_BACKENDS]},
+                backends={i.instance_id: i.lifecycle for i in listed.instances[:MAX_LOGGED_BACKENDS]},
             )
             self.updates.apply(listed.instances, listed.reset, False)
         self._end_first_call()
@@ -203,9 +211,9 @@
 
     def _check_version(self, listed: ListAnswer) -> None:
         if listed.generation < self.version and not self._needs_complete:
-            # Older than what is known. If the service counts anew since it came back, the complete list that
-            # is asked for next shows it.
+            # The generation is older than the current one. If the service restarted its count, the complete
+            # list that is requested next shows it.
             self._needs_complete = True
-            raise DiscoveryError(f"generation {listed.generation} after {self.version}")
+            raise DiscoveryError(f"generation {listed.generation} is older than {self.version}")
         if not listed.reset and self._needs_complete:
-            raise DiscoveryError("changes in place of the complete list")
+            raise DiscoveryError("changes instead of the complete list")
--- a/gorsethread/http_gateway/endpoint_list.py
+++ b/gorsethread/http_gateway/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery answers it, checked as a whole before any of it is believed."""
+"""Decodes discovery's endpoint lists; a list with any invalid part is rejected as a whole."""
 
 from hashlib import blake2b
 from typing import Literal
@@ -13,13 +13,13 @@
 
 
 class DiscoveryError(GorsethreadError):
-    """A call brought nothing that can be believed."""
+    """Discovery's answer can't be used."""
 
-    action = "See what discovery answers at its address; the gateway keeps the list it has and asks again."
+    action = "Check what discovery answers at its address; the gateway keeps its current list and asks again."
 
 
 class Instance(msgspec.Struct, frozen=True, rename="camel"):
-    """One backend; started_at_ms is Unix time in milliseconds, 0 for long ago."""
+    """One backend of an endpoint list; started_at_ms is Unix time in milliseconds, 0 for long ago."""
 
     instance_id: str
     host_port: str
@@ -30,20 +30,23 @@
 
 
 class ListAnswer(msgspec.Struct, frozen=True):
-    """reset: the complete list, else what changed."""
+    """Discovery's answer; reset says whether instances is the complete list, else it holds the changes."""
 
     generation: int
     reset: bool
     instances: list[Instance]
 
 
-def backend_number(instance: str) -> int:
-    """The same at every gateway and after every restart, as the scheduler ranks backends by it."""
-    return int.from_bytes(blake2b(instance.encode(), digest_size=BACKEND_NUMBER_BYTES).digest())
+def backend_number(instance_id: str) -> int:
+    """Returns a hash of a name as the backend's number.
+
+    It is the same at every gateway and after every restart, because the scheduler ranks backends by it.
+    """
+    return int.from_bytes(blake2b(instance_id.encode(), digest_size=BACKEND_NUMBER_BYTES).digest())
 
 
 def decode_list(body: bytes) -> ListAnswer:
-    """An answer's list. Raises DiscoveryError where any part of it is invalid."""
+    """Decodes the body of an answer; raises DiscoveryError if any part of it is invalid."""
     try:
         answer: ListAnswer = msgspec.json.decode(body, type=ListAnswer)
         for instance in answer.instances:
--- a/gorsethread/http_gateway/endpoint_updates.py
+++ b/gorsethread/http_gateway/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""What an endpoint list changes: the links, the pool's waiting attempts and what the scheduler knows."""
+"""Applies endpoint lists to the links, the pool's waiting attempts and the scheduler."""
 
 from gorsethread.gateway.backend_links import BackendLinks
 from gorsethread.gateway.driver import Driver
@@ -12,12 +12,12 @@
 class EndpointUpdates:
     """Applies endpoint lists and their changes.
 
-    Owns `known`, the backends of the list by number, emptied as they leave it. driver and pool are set
-    before the first list.
+    known holds the backends of the current list by number. driver and pool have to be set before the first
+    list.
 
     Args:
         transport: the clocks.
-        zones: the operators' names of zones, by which a zone is numbered.
+        zones: the numbers of zones by their names in the configuration.
         links: the table of links.
     """
 
@@ -27,17 +27,17 @@
         self.driver: Driver
         self.pool: ConnectionPool
         self.known: dict[int, Instance] = {}
-        # From the gateway's clock to the Unix clock, by which discovery dates starts. Fixed, so that one
-        # start that is listed twice stays one start.
+        # Unix time minus the gateway's clock, to convert the start times that discovery sends. It is fixed,
+        # so that a start that is listed twice converts to the same time.
         self._unix_offset = transport.wall() - transport.now()
 
     def apply(self, instances: list[Instance], complete: bool, remembered: bool) -> None:
-        """Applies a complete list, or changes of the one that is known.
+        """Applies a complete list, or changes of the current one.
 
         Args:
-            instances: backends; one that is gone leaves the list.
-            complete: backends that are not among the instances are gone.
-            remembered: the list is what this process last had, not discovery's answer.
+            instances: the backends; one with the lifecycle "gone" leaves the list.
+            complete: whether the list is complete, so that backends not among the instances are gone.
+            remembered: whether the list is from the configuration or an earlier process, not from discovery.
         """
         if complete:
             self.known = {}
--- a/gorsethread/http_gateway/gateway.py
+++ b/gorsethread/http_gateway/gateway.py
@@ -1,4 +1,4 @@
-"""Assembles the gateway in service and runs it to its end."""
+"""Assembles the parts of the HTTP gateway, starts them and shuts them down."""
 
 from dataclasses import replace
 from typing import Any
@@ -16,30 +16,33 @@
 from gorsethread.http_gateway.endpoint_updates import EndpointUpdates
 from gorsethread.transport.base import Listener, Transport
 
-# Of the descriptors; the rest is for discovery and the program itself.
+# Fractions of the permitted sockets; the rest is for discovery and the program itself.
 CLIENTS_FRACTION = 0.5
 BACKENDS_FRACTION = 0.4
 SWEEP_INTERVAL_SECONDS = 0.25
-REPORT_INTERVAL_SECONDS = 10.0  # logs are counts, not a line for each bad client
-NEW_CONNECTIONS_SECONDS = 0.5  # after SIGTERM, in which new connections may come
-# After SIGTERM the platform kills a gateway no sooner than its clients' longest wait and this later.
+REPORT_INTERVAL_SECONDS = 10.0  # bad clients are logged as counts, not one line each
+NEW_CONNECTIONS_SECONDS = 0.5  # after SIGTERM, for which new connections are accepted at least
+# The platform kills a gateway no sooner than its clients' longest wait plus this time after SIGTERM.
 KILL_AFTER_SECONDS = 0.7
 MAX_COUNTED_WAIT_SECONDS = 3.0
-SPARE_SECONDS = 0.35  # before that by which it has ended
-FIRST_LIST_SECONDS = 1.5  # that a process whose agent is sent the list waits for it before it serves
-LAST_ANSWERS_SECONDS = 0.4  # that what is open at the end may still take
+KILL_MARGIN_SECONDS = 0.35  # before the kill, by which the gateway has ended
+FIRST_LIST_SECONDS = 1.5  # longest wait for the agent's list before serving, where lists are pushed
+LAST_ANSWERS_SECONDS = 0.4  # for open requests, after new ones are no longer accepted
 LAST_ANSWERS_POLL_SECONDS = 0.02
-MAX_WATCH_WAIT_SECONDS = 2.4  # that a call of discovery may wait for a change; its answer may come later
+MAX_WATCH_WAIT_SECONDS = 2.4  # of a call for changes; its answer may arrive later
 
 
 class ListenError(GorsethreadError):
-    """An address that the configuration names can't be listened on."""
+    """The gateway can't listen on an address of the configuration."""
 
-    action = "See what else uses that address, or name another in the file GW_CONFIG names, and start anew."
+    action = "Find what else uses that address, or change it in the file that GW_CONFIG names; then restart."
 
 
 class NoPlacement:
-    """The platform's requests name their shard; a new object's later ones do. Nothing is placed here."""
+    """Places nothing: the platform's requests name their shard, except those for a new object.
+
+    Later requests for that object name its shard.
+    """
 
     def shard_of(self, volume: int, extent: int) -> int:
         """Never called."""
@@ -55,14 +58,12 @@
 
 
 class Gateway:
-    """One gateway's parts, from its start to its end.
-
-    Owns the listener, which the end closes, and the parts, which empty their own tables.
+    """One gateway, from its start to its shutdown, which closes the listener.
 
     Args:
         transport: the clock, the connections and the files.
         configuration: as read at the start.
-        path: of the configuration, which is read again at SIGHUP.
+        path: the path of the configuration file, which is read again at SIGHUP.
         log: for structured events.
     """
 
@@ -102,7 +103,7 @@
         )
 
     def _make_peer_messages(self) -> PeerMessages | None:
-        """The way to other gateways, where the configuration has one."""
+        """Returns the exchange of messages with other gateways, or None if it is not configured."""
         configuration = self.configuration
         if configuration.peer_listen is None:
             return None
@@ -121,7 +122,8 @@
     def start(self) -> None:
         """Starts all parts.
 
-        Raises ListenError where an address can't be had; it ends the program where that shows only later.
+        Raises ListenError if an address can't be bound. If the gateway starts to listen only later, the error
+        is raised in the event loop and ends the program.
         """
         if self.peer_messages is not None:
             try:
@@ -129,16 +131,16 @@
             except OSError as error:
                 raise ListenError(str(error)) from error
         if self.configuration.pushed:
-            # By an old list, requests could go to backends that the agent knows as draining or gone.
-            self.discovery.on_first_call_ended = self._serve_if_not_yet
-            self.transport.at(self.transport.now() + FIRST_LIST_SECONDS, self._serve_if_not_yet)
+            # Waits for the agent's list: by an older one, requests could go to draining or gone backends.
+            self.discovery.on_first_call_ended = self._serve_unless_started
+            self.transport.at(self.transport.now() + FIRST_LIST_SECONDS, self._serve_unless_started)
         self.discovery.start(self.configuration.known_endpoints)
         if not self.configuration.pushed:
             self._serve()
         self._sweep()
         self._report()
 
-    def _serve_if_not_yet(self) -> None:
+    def _serve_unless_started(self) -> None:
         if self._listener is None and not self._ending:
             self._serve()
 
@@ -153,15 +155,15 @@
         self.log.info("gateway serves", address=f"{host}:{port}", backends=len(self.discovery.updates.known))
 
     def reload(self) -> None:
-        """Reads the configuration again; a running gateway takes over where discovery is.
+        """Reads the configuration again and applies only a changed address of discovery.
 
-        All else stays as this process was started with: requests in flight were taken under it.
+        Everything else stays as at the start, because requests in flight were admitted under it.
         """
         try:
             configuration = read_configuration(self.transport.load(self.path), self.path)
         except UnusableConfigurationError as error:
             self.log.error(
-                "the new configuration can't be used; the old one stands", reason=str(error), do=error.action
+                "new configuration is unusable; keeping the old one", reason=str(error), do=error.action
             )
             return
         address = configuration.discovery
@@ -173,10 +175,10 @@
     # ---- end
 
     async def end(self) -> None:
-        """Ends in order, before the platform kills the process.
+        """Shuts down in an orderly way, before the platform kills the process.
 
-        It serves on while it may, as clients go on using the connections they have and find no other
-        gateway; then only what is open is answered.
+        The gateway continues to serve for as long as it can, because clients keep using their connections and
+        find no other gateway; after that it only answers open requests.
         """
         self._log_counts("gateway ends")
         self._ending = True
@@ -191,19 +193,19 @@
         self._log_counts("gateway ended")
 
     async def _serve_until_end(self, listener: Listener) -> None:
-        """Serves on for most of the time there is, then answers what is open."""
-        longest = min(self.configuration.longest_wait, MAX_COUNTED_WAIT_SECONDS)
-        remaining = longest + KILL_AFTER_SECONDS - SPARE_SECONDS
+        """Serves for most of the remaining time, then closes the listener and answers open requests."""
+        longest_wait = min(self.configuration.longest_wait, MAX_COUNTED_WAIT_SECONDS)
+        remaining = longest_wait + KILL_AFTER_SECONDS - KILL_MARGIN_SECONDS
         self.clients.end_by = self.transport.now() + remaining
         self.driver.shutting_down_by(self.clients.end_by)
         await self.transport.sleep(max(NEW_CONNECTIONS_SECONDS, remaining - LAST_ANSWERS_SECONDS))
         self.clients.ending = True
         listener.close()
-        while self.clients.holds_any():
+        while self.clients.has_connections():
             self.clients.close_idle()
             await self.transport.sleep(LAST_ANSWERS_POLL_SECONDS)
 
-    # ---- what recurs
+    # ---- periodic work
 
     def _sweep(self) -> None:
         if not self.ended:
--- a/gorsethread/http_gateway/request_parsing.py
+++ b/gorsethread/http_gateway/request_parsing.py
@@ -1,4 +1,4 @@
-"""A client's request as the operators' protocol has it; anything missing or invalid is an error."""
+"""Parses a client's request by the operators' protocol; anything missing or invalid is an error."""
 
 import re
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 from gorsethread.http1.server_codec import Request
 from gorsethread.http_gateway.configuration import RequestNames
 
-# Headers and the parts of io-info, by the operators' names.
+# The operators' names of headers and of the fields of io-info.
 ID_HEADER = b"req-id"
 TIER_HEADER = b"tier"
 TIMEOUT_HEADER = b"req-deadline-ms"
@@ -25,11 +25,11 @@
 INFO = re.compile(rb"[0-9A-Za-z_]+=[^=,]*(?:,[0-9A-Za-z_]+=[^=,]*)*")
 INTEGER = re.compile(rb"-?[0-9]{1,9}")
 MAX_GATEWAYS = 100_000
-MAX_QUOTED_BYTES = 20  # bytes of a wrong value that an error quotes
+MAX_QUOTED_BYTES = 20  # bytes of an invalid value that an error quotes
 
 
 class RequestFields(NamedTuple):
-    """What a request says; timeout is in seconds from when the client sent it."""
+    """The fields of a request; timeout is in seconds from when the client sent it."""
 
     id: bytes
     request_class: int
@@ -44,9 +44,9 @@
 
 
 def parse_request(request: Request, names: RequestNames) -> RequestFields:
-    """What a valid request says.
+    """Returns the fields of a valid request.
 
-    Raises InvalidRequestError, with the status to answer, for anything missing, doubled, unknown or out of
+    Raises InvalidRequestError, with the status to answer, for anything missing, duplicated, unknown or out of
     bounds.
     """
     request_class, key = _parse_target(request, names)
@@ -78,7 +78,7 @@
 
 
 def _parse_target(request: Request, names: RequestNames) -> tuple[int, str]:
-    """The request class and the idempotency key, by method and path."""
+    """Returns the request class and the idempotency key from the method and the path."""
     if request.method not in (b"GET", b"PUT"):
         raise InvalidRequestError(405, "neither GET nor PUT")
     target = TARGET.fullmatch(request.target)
--- a/tests/crossing/test_settings.py
+++ b/tests/crossing/test_settings.py
@@ -85,12 +85,12 @@
         peer.message()
         for broken in ("", "{", "[]", '{"settings": {}}'):
             self.gateway.path.write_text(broken)
-            said = len(self.gateway.lines("the old one stands"))
+            said = len(self.gateway.lines("keeping the old one"))
             self.gateway.signal(signal.SIGHUP)
-            self.gateway.logged("the old one stands", count=said + 1)
+            self.gateway.logged("keeping the old one", count=said + 1)
         self.gateway.path.unlink()
         self.gateway.signal(signal.SIGHUP)
-        self.gateway.logged("the old one stands", "can't be read")
+        self.gateway.logged("keeping the old one", "can't be read")
         peer.send(answer(200, b"goes on"))
         self.assertEqual(b"goes on", asker.message().body)
 
