--- a/tests/http_gateway/test_backends.py
+++ b/tests/http_gateway/test_backends.py
@@ -1,4 +1,4 @@
-"""Connections to backends on the virtual clock: what is sent, kept, called off and told of each ending."""
+"""Connections to backends on the virtual clock: sending, reuse, cancellation, and the outcome of attempts."""
 
 from gorsethread.http1.server_codec import Request
 from gorsethread.transport.base import Stream
@@ -7,7 +7,7 @@
 
 
 class Backends(GatewayTest):
-    def test_one_connection_is_used_again(self) -> None:
+    def test_a_connection_is_reused(self) -> None:
         async def work() -> None:
             self.start()
             for n in range(20, 30):
@@ -16,8 +16,8 @@
 
         self.run_scenario(work)
 
-    def test_answers_on_the_wire_and_what_the_decisions_hear(self) -> None:
-        for says, status, ending in (
+    def test_each_answer_gives_the_client_its_status_and_the_attempt_its_outcome(self) -> None:
+        for pieces, status, outcome in (
             ([response_bytes(200, b"x")], 200, "succeeded"),
             ([response_bytes(500)], 504, "error"),
             ([response_bytes(503, b"", "Srv-Declined: 1\r\n")], 503, "rejected"),
@@ -34,94 +34,101 @@
                 "succeeded",
             ),
         ):
-            with self.subTest(says=says):
+            with self.subTest(pieces=pieces):
                 self.setUp()
 
-                async def work(says: list[bytes] = says, status: int = status, ending: str = ending) -> None:
+                async def work(
+                    pieces: list[bytes] = pieces, status: int = status, outcome: str = outcome
+                ) -> None:
                     gateway = self.start()
-                    self.backends[0].respond = lambda r: says
-                    caller = await self.call(request_bytes("30", "post", timeout_ms=500, body=b"x"), 1.0)
-                    self.assertEqual(status, caller.status)
-                    self.assertGreaterEqual(gateway.driver.counts[f"attempts {ending}"], 1)
-                    if ending != "rejected":
+                    self.backends[0].respond = lambda r: pieces
+                    client = await self.call(request_bytes("30", "post", timeout_ms=500, body=b"x"), 1.0)
+                    self.assertEqual(status, client.status)
+                    self.assertGreaterEqual(gateway.driver.counts[f"attempts {outcome}"], 1)
+                    if outcome != "rejected":
                         self.assertEqual(
-                            1, len(self.backends[0].requests), "irreversible and may have run: once"
+                            1,
+                            len(self.backends[0].requests),
+                            "a non-idempotent request that may have run is sent once",
                         )
 
                 self.run_scenario(work)
 
-    def test_a_refused_connection_never_ran_and_the_next_try_may(self) -> None:
+    def test_a_request_is_retried_after_a_refused_connection(self) -> None:
         async def work() -> None:
             gateway = self.start()
             self.backends[0].listener.close()
-            caller = await self.call(request_bytes("31", "post", timeout_ms=900, body=b"x"), 0.15)
+            client = await self.call(request_bytes("31", "post", timeout_ms=900, body=b"x"), 0.15)
             self.assertEqual(2, gateway.driver.counts["attempts unreachable"])
             self.backends[0] = FakeBackend(self.process("shelf0"), "shelf0")
             await self.wait(0.8)
-            self.assertEqual((200, 1), (caller.status, len(self.backends[0].requests)))
+            self.assertEqual((200, 1), (client.status, len(self.backends[0].requests)))
 
         self.run_scenario(work)
 
-    def test_noise_that_comes_later_on_an_idle_connection_reaches_nobody(self) -> None:
+    def test_bytes_that_arrive_on_an_idle_connection_reach_no_client(self) -> None:
         async def work() -> None:
             gateway = self.start()
             self.backends[0].trailing_bytes = response_bytes(200, b"a second answer")
             for n in range(46, 50):
-                caller = await self.call(request_bytes(str(n), "post", body=b"x"), 0.03)
-                self.assertEqual((200, b"got /post/7f3a9c21e0b4d655"), (caller.status, caller.body))
+                client = await self.call(request_bytes(str(n), "post", body=b"x"), 0.03)
+                self.assertEqual((200, b"got /post/7f3a9c21e0b4d655"), (client.status, client.body))
                 await self.wait(0.05)
                 self.assertEqual(0, gateway.pool.open_connections)
 
         self.run_scenario(work)
 
-    def test_a_second_answer_or_noise_behind_one_reaches_nobody_else(self) -> None:
+    def test_a_second_answer_behind_an_answer_reaches_no_other_client(self) -> None:
         async def work() -> None:
             self.start()
             self.backends[0].respond = lambda r: [response_bytes(200, r.header(b"req-id") or b"") * 2]
             for n in range(40, 46):
-                caller = await self.call(request_bytes(str(n)))
-                self.assertEqual(f"{n:0>16}".encode(), caller.body)
+                client = await self.call(request_bytes(str(n)))
+                self.assertEqual(f"{n:0>16}".encode(), client.body)
             self.assertEqual(6, self.backends[0].connections)
 
         self.run_scenario(work)
 
-    def test_a_connection_that_the_shelf_ends_right_behind_its_answer_costs_nothing(self) -> None:
+    def test_no_request_is_lost_where_the_backend_closes_right_after_an_answer(self) -> None:
         async def work() -> None:
             gateway = self.start()
-            shelf = self.backends[0]
-            shelf.respond = (
+            backend = self.backends[0]
+            backend.respond = (
                 lambda r: [response_bytes(200, b"x")]
-                if shelf.connections % 2
+                if backend.connections % 2
                 else [response_bytes(200, b"x"), b""]
             )
-            shelf.delay = 0.0
+            backend.delay = 0.0
             for n in range(100, 130):
-                caller = await self.call(request_bytes(str(n), "post", body=b"x"), 0.004)
-                caller.stream.write(request_bytes(str(n + 100), "post", body=b"x"))
+                client = await self.call(request_bytes(str(n), "post", body=b"x"), 0.004)
+                client.stream.write(request_bytes(str(n + 100), "post", body=b"x"))
                 await self.wait(0.02)
-                self.assertEqual(2, caller.received.count(b"HTTP/1.1 200"))
+                self.assertEqual(2, client.received.count(b"HTTP/1.1 200"))
             self.assertEqual(0, gateway.driver.counts["attempts connection lost"])
 
         self.run_scenario(work)
 
-    def test_an_answer_that_meets_its_own_call_off_hurts_nobody(self) -> None:
-        """The bytes are read, and before their reader goes on the client leaves or the cut-off comes."""
+    def test_an_answer_read_as_its_client_leaves_harms_no_other_request(self) -> None:
+        """The client leaves after the answer's bytes were read and before the reading task resumes.
+
+        The request's deadline can pass at the same point.
+        """
 
         async def work() -> None:
             gateway = self.start()
-            honest = self.transport.connect
-            struck: list[bytes] = []
+            original_connect = self.transport.connect
+            intercepted: list[bytes] = []
 
             async def connect(host: str, port: int, within: float) -> Stream:
-                stream = await honest(host, port, within)
-                honest_read = stream.read
+                stream = await original_connect(host, port, within)
+                original_read = stream.read
 
                 async def read() -> bytes:
-                    data = await honest_read()
-                    if host == "shelf0" and not struck:
-                        struck.append(data)
-                        for t in list(gateway.driver.open_requests.values()):
-                            gateway.driver.client_left(t)
+                    data = await original_read()
+                    if host == "shelf0" and not intercepted:
+                        intercepted.append(data)
+                        for request in list(gateway.driver.open_requests.values()):
+                            gateway.driver.client_left(request)
                     return data
 
                 stream.read = read  # type: ignore[method-assign]
@@ -129,56 +136,57 @@
 
             self.transport.connect = connect  # type: ignore[method-assign]
             first = await self.call(request_bytes("90"))
-            self.assertEqual((1, 0), (len(struck), first.status))
+            self.assertEqual((1, 0), (len(intercepted), first.status))
             self.assertEqual(200, (await self.call(request_bytes("91"))).status)
 
         self.run_scenario(work)
 
-    def test_where_kept_connections_break_none_is_kept_for_a_while(self) -> None:
+    def test_no_connection_is_reused_for_a_while_after_reused_ones_broke(self) -> None:
         async def work() -> None:
             gateway = self.start()
-            shelf, seen = self.backends[0], []
+            backend, seen = self.backends[0], []
 
-            def says(request: Request) -> list[bytes]:
-                seen.append(shelf.connections)
-                return [b""] if seen.count(shelf.connections) > 1 else [response_bytes(200, b"x")]
+            def respond(request: Request) -> list[bytes]:
+                seen.append(backend.connections)
+                return [b""] if seen.count(backend.connections) > 1 else [response_bytes(200, b"x")]
 
-            shelf.respond = says
+            backend.respond = respond
             statuses = [
                 (await self.call(request_bytes(str(n), "post", body=b"x"), 0.05)).status
                 for n in range(300, 340)
             ]
             self.assertLess(statuses.count(504), 4)
-            self.assertEqual(0, gateway.pool.open_connections, "none is kept, used or not")
-            shelf.respond = lambda r: [response_bytes(200, b"x")]
+            self.assertEqual(0, gateway.pool.open_connections, "no connection is kept, reused or not")
+            backend.respond = lambda r: [response_bytes(200, b"x")]
             await self.wait(30.0)
-            before = shelf.connections
+            before = backend.connections
             for n in range(340, 360):
                 await self.call(request_bytes(str(n), "post", body=b"x"), 0.05)
-            self.assertEqual(1, shelf.connections - before)
+            self.assertEqual(1, backend.connections - before)
             self.assertEqual({}, gateway.driver.open_requests)
 
         self.run_scenario(work)
 
-    def test_nothing_is_sent_right_behind_an_answer_on_the_same_connection(self) -> None:
-        """The second transaction is there as the first is answered; the connection's end is on its way."""
+    def test_a_connection_is_not_reused_right_after_its_answer(self) -> None:
+        """The second request waits as the first is answered, and the connection's end is in transit."""
 
         async def work() -> None:
             gateway = self.start()
             self.backends[0].respond = lambda r: [response_bytes(200, b"x"), b""]
             for n in range(130, 150, 2):
-                both = request_bytes(str(n), "post", body=b"x") + request_bytes(str(n + 1), "post", body=b"x")
-                self.assertEqual(2, (await self.call(both)).received.count(b"HTTP/1.1 200"))
+                first = request_bytes(str(n), "post", body=b"x")
+                second = request_bytes(str(n + 1), "post", body=b"x")
+                self.assertEqual(2, (await self.call(first + second)).received.count(b"HTTP/1.1 200"))
             self.assertEqual(0, gateway.driver.counts["attempts connection lost"])
 
         self.run_scenario(work)
 
-    def test_what_the_system_knows_of_a_connections_end_is_asked_before_it_is_used(self) -> None:
+    def test_a_connection_that_the_system_knows_as_ended_is_not_reused(self) -> None:
         async def work() -> None:
             gateway = self.start()
             await self.call(request_bytes("150"))
             link = next(link for link in gateway.pool.links.values() if link.idle_connections)
-            link.idle_connections[0].stream._ended = "closed by peer"  # type: ignore[attr-defined]  # no task was told yet
+            link.idle_connections[0].stream._ended = "closed by peer"  # type: ignore[attr-defined]  # no task knows yet
             self.assertEqual(200, (await self.call(request_bytes("151", "post", body=b"x"))).status)
             self.assertEqual(
                 (0, 2), (gateway.driver.counts["attempts connection lost"], self.backends[0].connections)
@@ -186,23 +194,23 @@
 
         self.run_scenario(work)
 
-    def test_a_connection_that_ends_before_the_last_byte_is_written_never_ran(self) -> None:
+    def test_a_request_is_retried_if_its_connection_ends_before_its_last_byte_is_written(self) -> None:
         async def work() -> None:
             gateway = self.start()
             self.network.weather = Weather(window=1000, split=0.0)
-            shelf, honest = self.backends[0], self.backends[0].on_stream
+            backend, original_on_stream = self.backends[0], self.backends[0].on_stream
 
-            async def deaf(stream: Stream) -> None:
-                shelf.listener.on_stream = honest
+            async def close_unread(stream: Stream) -> None:
+                backend.listener.on_stream = original_on_stream
                 await self.client_process.sleep(0.05)
                 stream.close()
 
-            shelf.listener.on_stream = deaf
-            caller = await self.call(request_bytes("152", "post", body=bytes(5000)), 0.9)
+            backend.listener.on_stream = close_unread
+            client = await self.call(request_bytes("152", "post", body=bytes(5000)), 0.9)
             self.assertEqual(
                 (200, 1, 0),
                 (
-                    caller.status,
+                    client.status,
                     gateway.driver.counts["attempts unreachable"],
                     gateway.driver.counts["attempts connection lost"],
                 ),
@@ -210,31 +218,31 @@
 
         self.run_scenario(work)
 
-    def test_what_is_over_before_its_connection_stands_is_not_sent(self) -> None:
+    def test_a_request_whose_client_left_before_the_connection_is_up_is_not_sent(self) -> None:
         async def work() -> None:
             self.start()
             self.network.slow_connects["shelf0"] = 0.05
-            caller = await self.call(request_bytes("153", "post", body=b"x"), 0.05)
-            caller.stream.close()
+            client = await self.call(request_bytes("153", "post", body=b"x"), 0.05)
+            client.stream.close()
             await self.wait(0.5)
             self.assertEqual((1, []), (self.backends[0].connections, self.backends[0].requests))
 
         self.run_scenario(work)
 
-    def test_an_idle_connection_that_the_shelf_ends_is_not_used(self) -> None:
+    def test_an_idle_connection_that_the_backend_ended_is_not_reused(self) -> None:
         async def work() -> None:
             gateway = self.start()
             self.backends[0].respond = lambda r: [response_bytes(200, b"x"), b""]
             for n in range(50, 53):
-                caller = await self.call(request_bytes(str(n), "post", body=b"x"))
-                self.assertEqual(200, caller.status)
+                client = await self.call(request_bytes(str(n), "post", body=b"x"))
+                self.assertEqual(200, client.status)
             self.assertEqual(
                 (0, 0), (gateway.driver.counts["attempts connection lost"], gateway.pool.open_connections)
             )
 
         self.run_scenario(work)
 
-    def test_idle_connections_end_before_the_shelf_ends_them(self) -> None:
+    def test_idle_connections_are_closed_before_the_backend_closes_them(self) -> None:
         async def work() -> None:
             gateway = self.start()
             await self.call(request_bytes("54"), 14.5)
@@ -242,7 +250,7 @@
 
         self.run_scenario(work)
 
-    def test_what_waits_for_a_connection_is_not_sent_to_a_shelf_that_drains(self) -> None:
+    def test_an_attempt_that_waits_for_a_connection_is_not_sent_to_a_draining_backend(self) -> None:
         async def work() -> None:
             gateway = self.start()
             await self.wait(0.2)
@@ -260,13 +268,13 @@
 
         self.run_scenario(work)
 
-    def test_the_pool_is_bounded_and_those_who_wait_get_their_turn(self) -> None:
+    def test_the_pool_is_bounded_and_waiting_attempts_are_sent_in_the_end(self) -> None:
         async def work() -> None:
             gateway = self.start(limits={"cores": 1.0, "memory_mb": 64, "sockets": 32})
             gateway.pool.max_connections = 2
-            callers = [await self.call(request_bytes(str(n), shard=n % 2), 0.0) for n in range(60, 70)]
+            clients = [await self.call(request_bytes(str(n), shard=n % 2), 0.0) for n in range(60, 70)]
             await self.wait(0.6)
             self.assertLessEqual(gateway.pool.open_connections, 2)
-            self.assertEqual([200] * 10, [c.status for c in callers])
+            self.assertEqual([200] * 10, [c.status for c in clients])
 
         self.run_scenario(work)
--- a/tests/http_gateway/test_clients.py
+++ b/tests/http_gateway/test_clients.py
@@ -1,4 +1,4 @@
-"""Clients of the gateway on the virtual clock: honest ones, and such that send what is no request."""
+"""Clients of the gateway on the virtual clock: well-behaved ones and those that send invalid requests."""
 
 from typing import Any
 
@@ -8,63 +8,63 @@
 
 
 class Clients(GatewayTest):
-    def test_the_shelfs_body_comes_back_byte_for_byte_on_connections_kept(self) -> None:
+    def test_bodies_pass_unchanged_both_ways_on_a_kept_connection(self) -> None:
         async def work() -> None:
             self.start()
             body = bytes(range(256)) * 64
             self.backends[1].respond = lambda r: [response_bytes(200, r.body, "X-Own: 1\r\n")]
-            caller = await self.call(request_bytes("a1", "post", 1, body=body))
-            self.assertEqual((200, body), (caller.status, caller.received[-len(body) :]))
-            caller.received = b""
-            caller.stream.write(request_bytes("a2"))
+            client = await self.call(request_bytes("a1", "post", 1, body=body))
+            self.assertEqual((200, body), (client.status, client.received[-len(body) :]))
+            client.received = b""
+            client.stream.write(request_bytes("a2"))
             await self.wait(0.1)
-            self.assertEqual((200, b"got /read/7f3a9c21e0b4d655"), (caller.status, caller.body))
-            passed = self.backends[1].requests[0]
-            self.assertEqual((b"PUT", b"/post/7f3a9c21e0b4d655", body), passed[:2] + passed[3:])
-            self.assertEqual(b"00000000000000a1", passed.header(b"req-id"))
-            self.assertTrue(900 <= int(passed.header(b"req-deadline-ms") or 0) <= 1000)
-            self.assertEqual(0.0, caller.ended_at)
+            self.assertEqual((200, b"got /read/7f3a9c21e0b4d655"), (client.status, client.body))
+            forwarded = self.backends[1].requests[0]
+            self.assertEqual((b"PUT", b"/post/7f3a9c21e0b4d655", body), forwarded[:2] + forwarded[3:])
+            self.assertEqual(b"00000000000000a1", forwarded.header(b"req-id"))
+            self.assertTrue(900 <= int(forwarded.header(b"req-deadline-ms") or 0) <= 1000)
+            self.assertEqual(0.0, client.ended_at)
 
         self.run_scenario(work)
 
-    def test_ready_is_told_as_soon_as_it_listens(self) -> None:
+    def test_the_health_check_is_answered_as_soon_as_the_gateway_listens(self) -> None:
         async def work() -> None:
             self.start()
             self.assertEqual(200, (await self.call(b"GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")).status)
 
         self.run_scenario(work)
 
-    def test_a_silent_shelf_costs_the_client_no_more_than_its_patience_and_gives_up(self) -> None:
+    def test_a_request_to_a_silent_backend_fails_at_its_deadline(self) -> None:
         async def work() -> None:
             self.start()
             self.backends[0].respond = lambda r: None
             began = self.client_process.now()
-            caller = await self.call(request_bytes("b1", "post", 0, timeout_ms=400, body=b"x"), 1.0)
-            self.assertEqual(504, caller.status, "it may have run: no push back")
-            self.assertLess(caller.answered_at - began, 0.45)
-            self.assertEqual(1, len(self.backends[0].requests), "irreversible: sent once")
-            self.assertEqual(1, self.backends[0].closed_connections, "the forward's connection is closed")
+            client = await self.call(request_bytes("b1", "post", 0, timeout_ms=400, body=b"x"), 1.0)
+            self.assertEqual(504, client.status, "it may have run, so it is not rejected")
+            self.assertLess(client.answered_at - began, 0.45)
+            self.assertEqual(1, len(self.backends[0].requests), "non-idempotent: sent once")
+            self.assertEqual(1, self.backends[0].closed_connections, "the attempt's connection is closed")
 
         self.run_scenario(work)
 
-    def test_a_push_back_names_its_return_time(self) -> None:
+    def test_a_rejection_has_a_retry_after_header(self) -> None:
         async def work() -> None:
             self.start(known={"generation": 1, "reset": True, "instances": []})
-            caller, _ = (
+            client, _ = (
                 await self.call(request_bytes("c1", timeout_ms=1000)),
                 await self.call(request_bytes("c2"), 1.2),
             )
-            self.assertEqual(503, caller.status)
-            self.assertRegex(caller.received, rb"(?i)retry-after: [0-9]+\.[0-9]+\r\n")
+            self.assertEqual(503, client.status)
+            self.assertRegex(client.received, rb"(?i)retry-after: [0-9]+\.[0-9]+\r\n")
 
         self.run_scenario(work)
 
-    def test_a_client_that_leaves_is_noticed_and_its_forward_called_off(self) -> None:
+    def test_the_attempt_of_a_client_that_left_is_cancelled(self) -> None:
         async def work() -> None:
             gateway = self.start()
             self.backends[0].respond = lambda r: None
-            caller = await self.call(request_bytes("d1"))
-            caller.stream.close()
+            client = await self.call(request_bytes("d1"))
+            client.stream.close()
             await self.wait(0.05)
             self.assertEqual(
                 (1, {}, {}),
@@ -76,23 +76,23 @@
             )
             self.assertEqual(1, self.backends[0].closed_connections)
             self.assertFalse(
-                any(s.in_flight for s in gateway.driver.scheduler.shards.backends.values()),
-                "a slot stays taken",
+                any(backend.in_flight for backend in gateway.driver.scheduler.shards.backends.values()),
+                "an attempt still counts as in flight",
             )
 
         self.run_scenario(work)
 
-    def test_requests_sent_ahead_run_once_each_and_in_turn(self) -> None:
+    def test_pipelined_requests_run_once_each_and_in_order(self) -> None:
         async def work() -> None:
             self.start()
-            caller = await self.call(request_bytes("e1") + request_bytes("e2") + request_bytes("e3"), 0.3)
-            self.assertEqual(3, caller.received.count(b"HTTP/1.1 200"))
+            client = await self.call(request_bytes("e1") + request_bytes("e2") + request_bytes("e3"), 0.3)
+            self.assertEqual(3, client.received.count(b"HTTP/1.1 200"))
             ids = [r.header(b"req-id") for r in self.backends[0].requests]
             self.assertEqual([b"00000000000000e1", b"00000000000000e2", b"00000000000000e3"], ids)
 
         self.run_scenario(work)
 
-    def test_connections_that_asked_once_and_stay_leave_room_for_others(self) -> None:
+    def test_idle_connections_leave_room_for_others(self) -> None:
         async def work() -> None:
             gateway = self.start()
             for n in range(200, 280):
@@ -102,116 +102,118 @@
 
         self.run_scenario(work)
 
-    def test_a_held_requests_cut_off_counts_from_its_own_coming(self) -> None:
+    def test_a_pipelined_requests_deadline_counts_from_its_own_arrival(self) -> None:
         async def work() -> None:
             self.start()
             self.backends[1].delay, self.backends[0].respond = 0.3, lambda r: None
-            caller = await self.call(request_bytes("e5", shard=1) + request_bytes("e6", timeout_ms=400), 0.25)
-            caller.stream.write(request_bytes("e7")[:30])
+            client = await self.call(request_bytes("e5", shard=1) + request_bytes("e6", timeout_ms=400), 0.25)
+            client.stream.write(request_bytes("e7")[:30])
             began = self.client_process.now() - 0.25
             await self.wait(0.7)
-            self.assertEqual([b"200", b"504"], [part[:3] for part in caller.received.split(b"HTTP/1.1 ")[1:]])
-            self.assertLess(caller.answered_at - began, 0.5)
+            self.assertEqual([b"200", b"504"], [part[:3] for part in client.received.split(b"HTTP/1.1 ")[1:]])
+            self.assertLess(client.answered_at - began, 0.5)
 
         self.run_scenario(work)
 
-    def test_a_clients_mark_of_a_repeat_reaches_the_decisions(self) -> None:
+    def test_a_clients_retry_mark_reaches_the_scheduler(self) -> None:
         async def work() -> None:
             gateway = self.start()
-            told: list[tuple[Any, ...]] = []
-            gateway.driver.recorder = told.append
+            events: list[tuple[Any, ...]] = []
+            gateway.driver.recorder = events.append
             await self.call(request_bytes("e9"))
             await self.call(request_bytes("ea", headers="Req-Retry: 1\r\n"))
-            marks = [entry[-1].is_retry for entry in told if entry[2:3] == ("request_taken",)]
+            marks = [entry[-1].is_retry for entry in events if entry[2:3] == ("request_taken",)]
             self.assertEqual([False, True], marks)
 
         self.run_scenario(work)
 
-    def test_a_client_may_ask_before_it_sends_its_body(self) -> None:
+    def test_a_client_gets_100_continue_before_it_sends_its_body(self) -> None:
         async def work() -> None:
             self.start()
-            whole_wish = request_bytes("e8", "post", body=b"hello", headers="Expect: 100-continue\r\n")
-            caller = await self.call(whole_wish[:-5])
-            self.assertEqual(b"HTTP/1.1 100 \r\n\r\n", caller.received)
-            caller.stream.write(b"hello")
+            request = request_bytes("e8", "post", body=b"hello", headers="Expect: 100-continue\r\n")
+            client = await self.call(request[:-5])
+            self.assertEqual(b"HTTP/1.1 100 \r\n\r\n", client.received)
+            client.stream.write(b"hello")
             await self.wait(0.1)
-            self.assertEqual((200, [b"hello"]), (caller.status, [r.body for r in self.backends[0].requests]))
+            self.assertEqual((200, [b"hello"]), (client.status, [r.body for r in self.backends[0].requests]))
 
         self.run_scenario(work)
 
-    def test_an_idle_connection_is_kept_for_two_seconds_and_not_for_ever(self) -> None:
+    def test_an_idle_connection_is_kept_for_two_seconds_but_not_forever(self) -> None:
         async def work() -> None:
             self.start()
-            caller = await self.call(request_bytes("f1"), 2.0)
-            self.assertEqual(0.0, caller.ended_at)
+            client = await self.call(request_bytes("f1"), 2.0)
+            self.assertEqual(0.0, client.ended_at)
             await self.wait(10.0)
-            self.assertNotEqual(0.0, caller.ended_at)
+            self.assertNotEqual(0.0, client.ended_at)
 
         self.run_scenario(work)
 
 
-class Crowded(GatewayTest):
-    def test_room_is_never_made_by_a_connection_whose_request_is_on_its_way(self) -> None:
+class FullOfConnections(GatewayTest):
+    def test_a_connection_with_a_partial_request_is_not_closed_for_a_new_one(self) -> None:
         async def work() -> None:
             gateway = self.start()
-            begun = [
+            partial = [
                 await self.call(request_bytes(f"{n:x}")[:60], 0.0)
                 for n in range(1, gateway.clients.max_connections + 1)
             ]
-            await self.wait(0.01)  # the last one's first bytes are there
-            newcomer = await self.call(request_bytes("ff1"))
-            self.assertEqual((b"", True), (newcomer.received, bool(newcomer.ended_at)), "there is no room")
-            begun[0].stream.write(request_bytes("1")[60:])
+            await self.wait(0.01)  # until the last one's first bytes have arrived
+            new_client = await self.call(request_bytes("ff1"))
+            self.assertEqual(
+                (b"", True), (new_client.received, bool(new_client.ended_at)), "the new connection is refused"
+            )
+            partial[0].stream.write(request_bytes("1")[60:])
             await self.wait(0.1)
-            self.assertEqual(200, begun[0].status)
+            self.assertEqual(200, partial[0].status)
 
         self.run_scenario(work)
 
 
-class BadClients(GatewayTest):
-    def test_what_is_no_transaction_gets_an_error_and_reaches_no_shelf(self) -> None:
-        good = request_bytes("1")
-        spoilt = [
-            good.replace(b"GET /read/", b"GET /nothing/"),
-            good.replace(b"Tier: plain", b"Tier: gold"),
-            good.replace(b"Tier: plain\r\n", b""),
-            good.replace(b"1000", b"soon"),
-            good.replace(b"1000", b"0"),
-            good.replace(b"1000", b"-5"),
-            good.replace(b"Req-Id: 0000000000000001\r\n", b""),
-            good.replace(b"Req-Id: 0000", b"Req-Id: zzzz"),
-            good.replace(b"Req-Id: 00", b"Req-Id: "),
-            good.replace(b"7f3a9c21e0b4d655", b"7f3a"),
-            good.replace(b"units=1", b"units=99"),
-            good.replace(b"units=1", b"units=-1"),
-            good.replace(b"shard=0", b"shard=7"),
-            good.replace(b"shard=0,", b""),
-            good.replace(b"hosts=1", b"hosts=0"),
-            good.replace(b"units=1", b"units=1,units=2"),
-            good.replace(b"IO-Info", b"IO-Inf"),
-            good.replace(b"GET", b"POST"),
-            good.replace(b"Tier: plain", b"Tier: plain\r\nTier: plain"),
-            good[:-2] + b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + good,
+class InvalidRequests(GatewayTest):
+    def test_an_invalid_request_gets_an_error_and_reaches_no_backend(self) -> None:
+        valid = request_bytes("1")
+        invalid = [
+            valid.replace(b"GET /read/", b"GET /nothing/"),
+            valid.replace(b"Tier: plain", b"Tier: gold"),
+            valid.replace(b"Tier: plain\r\n", b""),
+            valid.replace(b"1000", b"soon"),
+            valid.replace(b"1000", b"0"),
+            valid.replace(b"1000", b"-5"),
+            valid.replace(b"Req-Id: 0000000000000001\r\n", b""),
+            valid.replace(b"Req-Id: 0000", b"Req-Id: zzzz"),
+            valid.replace(b"Req-Id: 00", b"Req-Id: "),
+            valid.replace(b"7f3a9c21e0b4d655", b"7f3a"),
+            valid.replace(b"units=1", b"units=99"),
+            valid.replace(b"units=1", b"units=-1"),
+            valid.replace(b"shard=0", b"shard=7"),
+            valid.replace(b"shard=0,", b""),
+            valid.replace(b"hosts=1", b"hosts=0"),
+            valid.replace(b"units=1", b"units=1,units=2"),
+            valid.replace(b"IO-Info", b"IO-Inf"),
+            valid.replace(b"GET", b"POST"),
+            valid.replace(b"Tier: plain", b"Tier: plain\r\nTier: plain"),
+            valid[:-2] + b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + valid,
             b"GET / HTTP/1.1\r\nHost: a\r\nX: " + b"y" * 70_000,
             b"\0\1\2\3\r\n\r\n",
             b"nonsense\r\n\r\n",
-            good.replace(b"\r\n\r\n", b"\r\nContent-Length: 60000000\r\n\r\n") + b"x" * 100_000,
-            good.replace(b"\r\n\r\n", b"\r\nContent-Length: 3\r\n\r\nabc"),
+            valid.replace(b"\r\n\r\n", b"\r\nContent-Length: 60000000\r\n\r\n") + b"x" * 100_000,
+            valid.replace(b"\r\n\r\n", b"\r\nContent-Length: 3\r\n\r\nabc"),
         ]
 
         async def work() -> None:
             gateway = self.start()
-            for data in spoilt:
+            for data in invalid:
                 with self.subTest(data=data[:200]):
-                    caller = await self.call(data, 0.5)
-                    self.assertTrue(400 <= caller.status < 600 or caller.ended_at, caller.received)
-                    self.assertNotIn(caller.status, (429, 503), "these would say that it was a transaction")
+                    client = await self.call(data, 0.5)
+                    self.assertTrue(400 <= client.status < 600 or client.ended_at, client.received)
+                    self.assertNotIn(client.status, (429, 503), "these would say that the request was valid")
             self.assertEqual([], self.backends[0].requests + self.backends[1].requests)
             self.assertEqual(0, gateway.driver.counts["requests"])
 
         self.run_scenario(work)
 
-    def test_the_id_of_an_open_transaction_is_refused_and_hurts_the_other_not(self) -> None:
+    def test_a_second_request_with_the_id_of_an_open_one_is_refused_and_does_not_harm_it(self) -> None:
         async def work() -> None:
             self.start()
             self.backends[0].delay = 0.2
@@ -223,39 +225,39 @@
 
         self.run_scenario(work)
 
-    def test_silence_and_half_requests_end_within_three_seconds(self) -> None:
+    def test_connections_without_a_complete_request_end_within_three_seconds(self) -> None:
         async def work() -> None:
             self.start()
             began = self.client_process.now()
-            silent, half = await self.call(b""), await self.call(request_bytes("8")[:60])
+            silent, partial = await self.call(b""), await self.call(request_bytes("8")[:60])
             body = await self.call(request_bytes("9", "post", body=b"hello")[:-2])
             slow = await self.call(b"")
             for byte in request_bytes("10")[:40]:
                 slow.stream.write(bytes([byte]))
                 await self.wait(0.07)
-            for caller in (silent, half, body, slow):
-                self.assertTrue(0.0 < caller.ended_at - began < 3.0)
+            for client in (silent, partial, body, slow):
+                self.assertTrue(0.0 < client.ended_at - began < 3.0)
 
         self.run_scenario(work)
 
-    def test_hundreds_that_say_nothing_leave_room_for_who_asks(self) -> None:
+    def test_hundreds_of_silent_connections_leave_room_for_a_request(self) -> None:
         async def work() -> None:
             gateway = self.start()
             for _ in range(300):
                 await FakeClient(self.client_process).connect()
-            caller = await self.call(request_bytes("11"))
-            self.assertEqual(200, caller.status)
+            client = await self.call(request_bytes("11"))
+            self.assertEqual(200, client.status)
             self.assertLessEqual(len(gateway.clients.connections), 128)
             await self.wait(4.0)
             self.assertLessEqual(len(gateway.clients.connections), 1)
 
         self.run_scenario(work)
 
-    def test_the_same_again_without_end_is_read_slowly(self) -> None:
+    def test_a_flood_of_invalid_requests_is_read_slowly(self) -> None:
         async def work() -> None:
             gateway = self.start()
-            caller = await self.call(request_bytes("12").replace(b"Tier", b"Tear") * 400, 2.0)
-            answered = caller.received.count(b"HTTP/1.1 400")
+            client = await self.call(request_bytes("12").replace(b"Tier", b"Tear") * 400, 2.0)
+            answered = client.received.count(b"HTTP/1.1 400")
             self.assertGreater(answered, 0)
             self.assertLess(answered, 250)
             self.assertEqual(200, (await self.call(request_bytes("13"))).status)
@@ -263,34 +265,34 @@
 
         self.run_scenario(work)
 
-    def fails_at_bombs(self, gateway: Gateway) -> None:
-        """Plants a defect that requests with a header of their own meet."""
-        honest = gateway.clients.handle_request
+    def fail_on_bombs(self, gateway: Gateway) -> None:
+        """Makes the handling of requests with the header X-Bomb raise an unexpected error."""
+        original = gateway.clients.handle_request
 
         def handle_request(connection: object, request: Request) -> None:
             if request.header(b"x-bomb"):
                 raise ZeroDivisionError
-            honest(connection, request)  # type: ignore[arg-type]
+            original(connection, request)  # type: ignore[arg-type]
 
         gateway.clients.handle_request = handle_request  # type: ignore[method-assign]
 
-    def test_a_defect_met_by_a_held_request_costs_its_connection_alone(self) -> None:
-        """What was sent ahead is gone on with from the loop, not from the connection's own task."""
+    def test_an_unexpected_error_in_a_pipelined_request_ends_its_connection_only(self) -> None:
+        """The event loop handles a pipelined request, not the connection's own task."""
 
         async def work() -> None:
-            self.fails_at_bombs(self.start())
-            bomb = await self.call(request_bytes("16") + request_bytes("17", headers="X-Bomb: 1\r\n"), 0.2)
-            self.assertEqual((1, True), (bomb.received.count(b"HTTP/1.1 200"), bomb.ended_at > 0))
+            self.fail_on_bombs(self.start())
+            bomber = await self.call(request_bytes("16") + request_bytes("17", headers="X-Bomb: 1\r\n"), 0.2)
+            self.assertEqual((1, True), (bomber.received.count(b"HTTP/1.1 200"), bomber.ended_at > 0))
             self.assertEqual(200, (await self.call(request_bytes("18"))).status)
 
         self.run_scenario(work)
 
-    def test_a_defect_met_by_one_connection_costs_that_one_alone(self) -> None:
+    def test_an_unexpected_error_ends_its_connection_only(self) -> None:
         async def work() -> None:
-            self.fails_at_bombs(self.start())
-            bomb = await self.call(request_bytes("14", headers="X-Bomb: 1\r\n"))
-            self.assertNotEqual(0.0, bomb.ended_at)
-            self.assertEqual(500, bomb.status, "what was read is owed an answer")
+            self.fail_on_bombs(self.start())
+            bomber = await self.call(request_bytes("14", headers="X-Bomb: 1\r\n"))
+            self.assertNotEqual(0.0, bomber.ended_at)
+            self.assertEqual(500, bomber.status, "the request that was read gets an answer")
             self.assertEqual(200, (await self.call(request_bytes("15"))).status)
 
         self.run_scenario(work)
--- a/tests/http_gateway/test_connection_pool.py
+++ b/tests/http_gateway/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""The pool's choice of the connection to close: the longest idle, among equals that of the first link."""
+"""The pool closes the longest idle connection; of several idle for equally long, the first link's."""
 
 from typing import Any
 
@@ -13,7 +13,7 @@
 
 
 class Clock:
-    """The pool's and links' transport, of which they ask only the time here."""
+    """Stands in for the pool's and links' transport, of which these tests use only the clock."""
 
     def __init__(self) -> None:
         self.time = 0.0
@@ -23,7 +23,7 @@
 
 
 class OpenStream:
-    """A connection's stream that notes in what order it is closed among others."""
+    """Stands in for a connection's stream; appends its name to a list when it is closed."""
 
     def __init__(self, name: str, closed: list[str]) -> None:
         self.name, self.closed = name, closed
@@ -32,8 +32,8 @@
         self.closed.append(self.name)
 
 
-class Pool:
-    """Three links, made in the order 3, 1, 2, and the names of closed connections."""
+class PoolRig:
+    """A pool with three links, created in the order 3, 1, 2, and the names of closed connections."""
 
     def __init__(self) -> None:
         self.clock: Any = Clock()
@@ -41,12 +41,12 @@
         self.pool = ConnectionPool(self.clock, self.links, 1, 1.0, IDLE_TIMEOUT, log_for())
         self.closed: list[str] = []
         for backend in (3, 1, 2):
-            self.link(backend, "old")
+            self.add_link(backend, "old")
 
-    def link(self, backend: int, host: str) -> None:
+    def add_link(self, backend: int, host: str) -> None:
         self.links[backend] = BackendLink(self.pool, backend, (host, 1))
 
-    def becomes_idle(self, backend: int, name: str, at: float) -> None:
+    def add_idle(self, backend: int, name: str, at: float) -> None:
         self.clock.time = at
         stream: Any = OpenStream(name, self.closed)
         self.pool.open_connections += 1
@@ -54,47 +54,49 @@
 
 
 @pytest.fixture
-def rig() -> Pool:
-    return Pool()
+def rig() -> PoolRig:
+    return PoolRig()
 
 
-def test_the_longest_idle_connection_makes_room(rig: Pool) -> None:
-    rig.becomes_idle(2, "first", 1.0)
-    rig.becomes_idle(3, "second", 2.0)
+def test_the_longest_idle_connection_is_closed_first(rig: PoolRig) -> None:
+    rig.add_idle(2, "first", 1.0)
+    rig.add_idle(3, "second", 2.0)
     assert rig.pool.make_room()
     assert rig.pool.make_room()
     assert rig.closed == ["first", "second"]
     assert (rig.pool.open_connections, dict(rig.pool.idle)) == (0, {})
 
 
-def test_among_equals_the_first_links_makes_room_also_where_that_link_was_replaced(rig: Pool) -> None:
+def test_of_equally_idle_connections_the_first_links_is_closed_even_if_the_link_was_replaced(
+    rig: PoolRig,
+) -> None:
     rig.links[3].close()
-    rig.link(3, "new")
+    rig.add_link(3, "new")
     for backend in (2, 1, 3):
-        rig.becomes_idle(backend, f"of {backend}", 1.0)
+        rig.add_idle(backend, f"of {backend}", 1.0)
     for _ in range(3):
         assert rig.pool.make_room()
     assert rig.closed == ["of 3", "of 1", "of 2"]
 
 
-def test_a_link_that_left_and_came_back_is_the_last(rig: Pool) -> None:
+def test_a_link_that_was_removed_and_added_again_is_the_last(rig: PoolRig) -> None:
     del rig.links[3]
-    rig.link(3, "back")
+    rig.add_link(3, "back")
     for backend in (3, 2, 1):
-        rig.becomes_idle(backend, f"of {backend}", 1.0)
+        rig.add_idle(backend, f"of {backend}", 1.0)
     for _ in range(3):
         assert rig.pool.make_room()
     assert rig.closed == ["of 1", "of 2", "of 3"]
 
 
-def test_a_full_pool_with_nothing_idle_has_no_room(rig: Pool) -> None:
+def test_a_full_pool_without_idle_connections_has_no_room(rig: PoolRig) -> None:
     rig.pool.open_connections = 1
     assert not rig.pool.make_room()
 
 
-def test_a_sweep_closes_what_was_idle_for_its_time_link_by_link(rig: Pool) -> None:
+def test_a_sweep_closes_the_connections_past_the_idle_timeout_in_the_order_of_links(rig: PoolRig) -> None:
     for name, backend, at in (("a", 2, 1.0), ("b", 3, 1.5), ("c", 2, 1.5), ("d", 1, 3.0)):
-        rig.becomes_idle(backend, name, at)
+        rig.add_idle(backend, name, at)
     rig.clock.time = 1.5 + IDLE_TIMEOUT * IDLE_TIMEOUT_FRACTION
     rig.pool.sweep()
     assert rig.closed == ["b", "a", "c"]
--- a/tests/http_gateway/test_discovery.py
+++ b/tests/http_gateway/test_discovery.py
@@ -1,4 +1,4 @@
-"""The gateway follows discovery, a reload and its own end, on the virtual clock."""
+"""Discovery, reload and shutdown of the gateway on the virtual clock."""
 
 import json
 
@@ -15,7 +15,7 @@
 
 
 class Discovery(GatewayTest):
-    def test_changes_come_by_watch_and_a_drain_ends_what_is_sent(self) -> None:
+    def test_the_watch_receives_changes_and_a_draining_backend_gets_no_requests(self) -> None:
         async def work() -> None:
             gateway = self.start()
             await self.wait(0.2)
@@ -29,7 +29,7 @@
 
         self.run_scenario(work)
 
-    def test_a_new_address_of_the_same_shelf_is_a_new_link(self) -> None:
+    def test_a_new_address_of_a_backend_gets_a_new_link(self) -> None:
         async def work() -> None:
             self.start()
             await self.call(request_bytes("71"))
@@ -44,16 +44,18 @@
             self.discovery.publish(instance(0))
             await self.wait(0.5)
             self.assertEqual(
-                (200, 1), (slow.status, moved.closed_connections), "it answers, and its connection goes"
+                (200, 1),
+                (slow.status, moved.closed_connections),
+                "the attempt in flight is answered, and its connection is closed",
             )
 
         self.run_scenario(work)
 
-    def test_a_sick_discovery_changes_nothing_and_is_not_hammered(self) -> None:
+    def test_invalid_or_failing_answers_of_discovery_change_nothing_and_are_backed_off(self) -> None:
         async def work() -> None:
             gateway = self.start()
             await self.wait(0.2)
-            for raw in (
+            for response in (
                 response_bytes(200, b"{"),
                 response_bytes(200, b'{"generation":9,"reset":true,"instances":[{}]}'),
                 response_bytes(
@@ -64,7 +66,7 @@
                 ),
                 b"noise\r\n\r\n",
             ):
-                self.discovery.next_response = raw
+                self.discovery.next_response = response
                 await self.wait(11.0)
                 self.assertEqual(1, gateway.discovery.version)
             self.discovery.unavailable = True
@@ -79,16 +81,18 @@
 
         self.run_scenario(work)
 
-    def test_a_list_of_generation_0_is_watched_and_a_hasty_service_is_asked_slowly(self) -> None:
+    def test_generation_0_is_watched_and_a_service_that_answers_at_once_is_polled_slowly(self) -> None:
         async def work() -> None:
             self.discovery.generation = 0
             gateway = self.start(
                 known={"generation": 0, "reset": True, "instances": [instance(0), instance(1)]}
             )
             await self.wait(3.0)
-            waits = [int(asked.rpartition("=")[2]) for asked in self.discovery.targets]
+            waits = [int(target.rpartition("=")[2]) for target in self.discovery.targets]
             self.assertTrue(all(1500 <= wait <= 3000 for wait in waits), waits)
-            self.assertTrue(len(set(waits)) == len(waits) <= 2, "each is drawn, and none is hasty")
+            self.assertTrue(
+                len(set(waits)) == len(waits) <= 2, "each wait is drawn at random, and none is short"
+            )
             self.discovery.publish(instance(0, "draining"))
             self.discovery.answers_at_once = True
             await self.wait(2.0)
@@ -97,7 +101,7 @@
 
         self.run_scenario(work)
 
-    def test_a_shelfs_start_is_put_on_the_heads_clock_once(self) -> None:
+    def test_a_backends_start_time_is_converted_to_the_gateways_clock_and_stays_the_same(self) -> None:
         async def work() -> None:
             gateway = self.start()
             await self.wait(0.2)
@@ -105,14 +109,14 @@
             for _ in range(2):
                 self.discovery.publish(instance(0, started=started))
                 await self.wait(0.7)
-                since = [
+                started_at = [
                     s.started_at for s in gateway.driver.scheduler.shards.backends.values() if s.shard == 0
                 ]
-                self.assertAlmostEqual(now, since[0], places=3)
+                self.assertAlmostEqual(now, started_at[0], places=3)
 
         self.run_scenario(work)
 
-    def test_a_discovery_whose_machine_is_gone_is_asked_anew(self) -> None:
+    def test_a_discovery_that_restarts_elsewhere_is_watched_again(self) -> None:
         async def work() -> None:
             gateway = self.start()
             await self.wait(0.2)
@@ -124,7 +128,7 @@
 
         self.run_scenario(work)
 
-    def test_a_discovery_that_vanished_without_a_word_is_asked_again(self) -> None:
+    def test_discovery_is_watched_again_after_a_silent_network_failure(self) -> None:
         async def work() -> None:
             gateway = self.start()
             await self.wait(0.2)
@@ -137,7 +141,7 @@
 
         self.run_scenario(work)
 
-    def test_older_news_is_not_believed_until_the_whole_list_says_so(self) -> None:
+    def test_an_older_generation_is_not_applied_until_a_complete_list_confirms_it(self) -> None:
         async def work() -> None:
             gateway = self.start(known={"generation": 50, "reset": True, "instances": [instance(0)]})
             self.discovery.next_response = response_bytes(
@@ -154,7 +158,7 @@
 
 
 class Signals(GatewayTest):
-    def test_a_new_configuration_moves_the_watch_at_once_while_serving(self) -> None:
+    def test_a_reload_moves_the_watch_at_once_while_the_gateway_serves(self) -> None:
         async def work() -> None:
             gateway = self.start()
             await self.wait(0.2)
@@ -174,7 +178,7 @@
 
         self.run_scenario(work)
 
-    def test_ending_serves_who_still_comes_and_answers_all_it_took(self) -> None:
+    def test_shutdown_serves_new_requests_for_a_while_and_answers_all_it_admitted(self) -> None:
         async def work() -> None:
             gateway = self.start()
             self.backends[0].delay = 0.9
@@ -196,7 +200,7 @@
             await ending
             self.assertLess(self.client_process.now() - began, 2.0 + 0.7 - 0.25)
             await self.wait(0.05)
-            self.assertEqual(504, last.status, "the head ends first: it is answered all the same")
+            self.assertEqual(504, last.status, "the gateway ends before the deadline and still answers")
             self.assertIn(b"connection: close", last.received.lower())
             self.assertTrue(idle.ended_at)
             self.assertEqual({}, gateway.driver.open_requests)
--- a/tests/http_gateway/test_program.py
+++ b/tests/http_gateway/test_program.py
@@ -1,4 +1,4 @@
-"""The program as the platform starts it: its configuration, its start and its end, as a real process."""
+"""The program as the platform starts it: configuration, start and shutdown of a real process."""
 
 import json
 import signal
@@ -18,8 +18,8 @@
 
 
 class Configuration(unittest.TestCase):
-    def test_what_is_missing_or_wrong_is_named(self) -> None:
-        for changed, said in (
+    def test_an_error_names_the_field_that_is_missing_or_invalid(self) -> None:
+        for changes, field in (
             ({"listen": "here"}, "listen"),
             ({"limits": {}}, "limits.sockets"),
             ({"seed": "xyz"}, "seed"),
@@ -39,15 +39,15 @@
             ),
             ({"settings": {**SETTINGS, "grades": [{"name": "plain", "neverOver": [9]}]}}, "limit"),
         ):
-            with self.subTest(changed=changed), self.assertRaises(UnusableConfigurationError) as caught:
-                read_configuration(json.dumps(make_config(**changed)).encode(), "the/place")
+            with self.subTest(changes=changes), self.assertRaises(UnusableConfigurationError) as caught:
+                read_configuration(json.dumps(make_config(**changes)).encode(), "the/place")
             self.assertIn("the/place", str(caught.exception))
-            self.assertIn(said, str(caught.exception))
+            self.assertIn(field, str(caught.exception))
         self.assertEqual(
             ("head", 1), read_configuration(json.dumps(make_config(unknown=1)).encode(), "p").listen
         )
 
-    def test_the_program_says_so_in_one_line_and_ends_with_2(self) -> None:
+    def test_an_unusable_configuration_gives_one_line_of_error_and_exit_status_2(self) -> None:
         for env in ({}, {"GW_CONFIG": "/nowhere/config.json"}):
             done = subprocess.run(
                 [sys.executable, "-m", "gorsethread.http_gateway"],
@@ -58,7 +58,7 @@
             )
             self.assertEqual((2, 1), (done.returncode, done.stderr.count("\n")), done.stderr)
 
-    def test_the_lean_start_imports_nothing_it_does_not_use(self) -> None:
+    def test_the_program_imports_no_modules_that_it_does_not_use(self) -> None:
         code = (
             "import sys, gorsethread.http_gateway.__main__ as m; print(*sorted(n for n in sys.modules if "
             "n.split('.')[0] in ('typer', 'numpy', 'matplotlib', 'google') or n.startswith(("
@@ -69,52 +69,53 @@
         self.assertEqual("\n", done.stdout, done.stderr)
 
 
-# What the platform's filter refuses, and names that would need DNS; the program runs on as it is.
-WATCHED = """
+# Runs the program with an audit hook that reports what the platform's filter refuses and names that need DNS.
+AUDITED_PROGRAM = """
 import ipaddress, runpy, sys
 
-def saw(event, facts):
-    named = event in ("subprocess.Popen", "os.fork", "os.forkpty", "os.posix_spawn", "os.system", "os.exec",
+def audit(event, arguments):
+    refused = event in ("subprocess.Popen", "os.fork", "os.forkpty", "os.posix_spawn", "os.system", "os.exec",
                       "pty.spawn", "socket.gethostbyname", "socket.gethostbyaddr", "ctypes.dlopen")
     if event == "socket.getaddrinfo":
         try:
-            ipaddress.ip_address(facts[0])
+            ipaddress.ip_address(arguments[0])
         except ValueError:
-            named = True
+            refused = True
     if event in ("socket.bind", "socket.connect"):
-        named = not isinstance(facts[1], tuple)
-    if named:
-        print("REFUSED", event, facts, file=sys.stderr, flush=True)
+        refused = not isinstance(arguments[1], tuple)
+    if refused:
+        print("REFUSED", event, arguments, file=sys.stderr, flush=True)
 
-sys.addaudithook(saw)
-PLANTED
+sys.addaudithook(audit)
+PRELUDE
 runpy.run_module("gorsethread.http_gateway", run_name="__main__")
 """
 
 
-class WholeProgram(unittest.TestCase):
+class RunningProgram(unittest.TestCase):
     """The real program as the platform starts it, on loopback."""
 
-    def program(self, listen: str, planted: str = "") -> "subprocess.Popen[str]":
+    def program(self, listen: str, prelude: str = "") -> "subprocess.Popen[str]":
         folder = self.enterContext(tempfile.TemporaryDirectory())
         settings = {**SETTINGS, "services": [{**s, "giveUp": 0.2} for s in SETTINGS["services"]]}
-        nobody: dict[str, Any] = {"generation": 0, "reset": True, "instances": []}
+        no_backends: dict[str, Any] = {"generation": 0, "reset": True, "instances": []}
         with open(f"{folder}/config.json", "w") as file:
             json.dump(
-                make_config(listen=listen, discovery="127.0.0.1:9", settings=settings, known=nobody), file
+                make_config(listen=listen, discovery="127.0.0.1:9", settings=settings, known=no_backends),
+                file,
             )
-        started = self.enterContext(
+        process = self.enterContext(
             subprocess.Popen(
-                [sys.executable, "-c", WATCHED.replace("PLANTED", planted)],
+                [sys.executable, "-c", AUDITED_PROGRAM.replace("PRELUDE", prelude)],
                 stderr=subprocess.PIPE,
                 text=True,
                 env={"GW_CONFIG": f"{folder}/config.json"},
             )
         )
-        self.addCleanup(started.kill)
-        return started
+        self.addCleanup(process.kill)
+        return process
 
-    def test_it_serves_reloads_and_ends_in_order(self) -> None:
+    def test_it_serves_reloads_and_shuts_down(self) -> None:
         port = free_ports(1)[0]
         program = self.program(f"127.0.0.1:{port}")
         assert program.stderr is not None
@@ -129,21 +130,21 @@
             self.assertTrue(client.recv(1000).startswith(b"HTTP/1.1 400 "))
         program.send_signal(signal.SIGTERM)
         program.send_signal(signal.SIGTERM)
-        said = program.stderr.read()
-        self.assertIn("gateway ended", said)
-        self.assertNotIn("REFUSED", said)
+        output = program.stderr.read()
+        self.assertIn("gateway ended", output)
+        self.assertNotIn("REFUSED", output)
         self.assertEqual(0, program.wait(10))
 
-    def test_what_the_platform_refuses_would_be_seen(self) -> None:
-        planted = (
+    def test_the_audit_hook_reports_what_the_platform_refuses(self) -> None:
+        prelude = (
             'import os, socket; os.system("true"); socket.socket(socket.AF_UNIX).bind("\\0x"); ' "sys.exit()"
         )
-        program = self.program("127.0.0.1:1", planted)
-        said = program.communicate(timeout=20)[1]
-        self.assertIn("REFUSED os.system", said)
-        self.assertIn("REFUSED socket.bind", said)
+        program = self.program("127.0.0.1:1", prelude)
+        output = program.communicate(timeout=20)[1]
+        self.assertIn("REFUSED os.system", output)
+        self.assertIn("REFUSED socket.bind", output)
 
-    def test_run_is_one_program_in_the_place_of_the_shell(self) -> None:
+    def test_the_run_command_replaces_the_shell_and_the_listed_files_exist(self) -> None:
         deploy = tomllib.loads((Path(__file__).parents[2] / "deploy" / "balancer.toml").read_text())
         self.assertRegex(deploy["run"], r"^exec [^;&|<>$`]+$")
         self.assertEqual(
@@ -155,9 +156,9 @@
             ],
         )
 
-    def test_an_address_that_cant_be_had(self) -> None:
+    def test_an_address_in_use_gives_one_line_of_error_and_exit_status_2(self) -> None:
         with socket.create_server(("127.0.0.1", 0)) as taken:
             program = self.program(f"127.0.0.1:{taken.getsockname()[1]}")
-            said = program.communicate(timeout=20)[1]
-        self.assertEqual((2, 1), (program.returncode, said.count("\n")), said)
-        self.assertIn("listen", said)
+            output = program.communicate(timeout=20)[1]
+        self.assertEqual((2, 1), (program.returncode, output.count("\n")), output)
+        self.assertIn("listen", output)
