--- a/tests/crossing/rig.py
+++ b/tests/crossing/rig.py
@@ -1,8 +1,8 @@
-"""One gateway process as `run` starts it, between backends, discovery and clients played step by step.
+"""A test rig: one gateway process as `run` starts it, with backends, discovery and clients stepped by hand.
 
-Every party is a plain blocking socket, so that a test says in which order things happen. What it can't see on
-a socket it waits for by name: a line of the gateway's log, or a state of the system's connections. Nothing
-waits by a sleep.
+Backends, discovery and clients are plain blocking sockets, so a test determines the order of events. For what
+a socket does not show, a test waits for a line of the gateway's log or a state of the system's connection
+table. No step waits by a fixed sleep.
 """
 
 import json
@@ -23,24 +23,24 @@
 from gorsethread.transport.real import free_ports
 from tests.live import SETTINGS
 
-PATIENCE = 10.0  # seconds until a step that does not happen fails its test
-CONNECTING = "02"  # SYN_SENT in the system's table of connections
+STEP_TIMEOUT = 10.0  # seconds after which a step that did not happen fails its test
+CONNECTING = "02"  # SYN_SENT in /proc/net/tcp
 HOST = "127.0.0.1"
 PROGRAM = "import runpy; runpy.run_module('gorsethread.http_gateway', run_name='__main__')"
 
 
-def until(happened: Callable[[], Any], what: str, patience: float = PATIENCE) -> Any:
-    """Waits for a state that only a look can show."""
-    by = time.monotonic() + patience
-    while not (found := happened()):
-        if time.monotonic() > by:
-            raise AssertionError(f"never happened: {what}")
+def wait_until(condition: Callable[[], Any], description: str, timeout: float = STEP_TIMEOUT) -> Any:
+    """Polls a condition until it is true and returns its value; fails the test after the timeout."""
+    deadline = time.monotonic() + timeout
+    while not (found := condition()):
+        if time.monotonic() > deadline:
+            raise AssertionError(f"never happened: {description}")
         time.sleep(0.002)
     return found
 
 
 def _connections() -> list[list[str]]:
-    """The system's table of connections, a row of fields each."""
+    """Returns the system's table of TCP connections, as rows of fields."""
     return [line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:]]
 
 
@@ -49,66 +49,69 @@
 
 
 def connections_to(port: int, state: str) -> int:
-    """How many connections of this machine to a port are in that state."""
+    """Returns how many of this machine's connections to a port are in that state."""
     return sum(_port(row[2]) == port and row[3] == state for row in _connections())
 
 
 def has_read_all(reader: int, writer: int) -> bool:
-    """Whether the process at one port has read all that was written to it at the other end's."""
+    """Returns whether the process at the reader's port has read all that was written at the writer's port."""
     unread = unsent = ""
     for row in _connections():
-        sending, received = row[4].split(":")
+        send_queue, receive_queue = row[4].split(":")
         if (_port(row[1]), _port(row[2])) == (reader, writer):
-            unread = received
+            unread = receive_queue
         elif (_port(row[1]), _port(row[2])) == (writer, reader):
-            unsent = sending
+            unsent = send_queue
     return unread == unsent == "00000000"
 
 
-class Ended(Exception):
-    """The other side has ended its sending."""
+class PeerEnded(Exception):
+    """The peer has ended its side of the connection."""
 
 
 class Peer:
-    """One connection, read and written by hand."""
+    """One connection that a test reads and writes step by step."""
 
     def __init__(self, connection: socket.socket) -> None:
         self.socket = connection
-        self.socket.settimeout(PATIENCE)
+        self.socket.settimeout(STEP_TIMEOUT)
         self.buffer = b""
 
     def send(self, data: bytes) -> None:
         self.socket.sendall(data)
 
-    def _more(self) -> None:
+    def _receive(self) -> None:
         data = self.socket.recv(65_536)
         if not data:
-            raise Ended
+            raise PeerEnded
         self.buffer += data
 
     def message(self) -> "Message":
-        """The next request or answer, whole; Ended or ConnectionResetError where it does not come."""
+        """Reads the next complete request or response.
+
+        Raises PeerEnded or ConnectionResetError if the connection ends before.
+        """
         while b"\r\n\r\n" not in self.buffer:
-            self._more()
+            self._receive()
         head, _, rest = self.buffer.partition(b"\r\n\r\n")
         lines = head.decode().split("\r\n")
         fields = [line.partition(":") for line in lines[1:]]
         headers = {name.lower(): value.strip() for name, _, value in fields}
         length = int(headers.get("content-length", 0))
         while len(rest) < length:
-            self._more()
+            self._receive()
             rest = self.buffer.partition(b"\r\n\r\n")[2]
         self.buffer = rest[length:]
         return Message(lines[0], headers, rest[:length])
 
-    def ends(self) -> bool:
-        """Waits for the other side's end: True in order, False by a reset; what comes before is an error."""
+    def wait_for_end(self) -> bool:
+        """Waits for the end of the peer's side; returns False for a reset. Fails the test if data arrives."""
         try:
             data = self.socket.recv(65_536)
         except ConnectionResetError:
             return False
         if data:
-            raise AssertionError(f"in place of the end: {data[:200]!r}")
+            raise AssertionError(f"data instead of the end: {data[:200]!r}")
         return True
 
     def reset(self) -> None:
@@ -120,69 +123,69 @@
 
     @property
     def ports(self) -> tuple[int, int]:
-        """The other side's and this one's."""
+        """The ports of the peer and of this side."""
         return self.socket.getpeername()[1], self.socket.getsockname()[1]
 
 
 class Message:
-    """A request or an answer."""
+    """A complete request or response."""
 
-    def __init__(self, first: str, headers: dict[str, str], body: bytes) -> None:
-        self.first, self.headers, self.body = first, headers, body
+    def __init__(self, start_line: str, headers: dict[str, str], body: bytes) -> None:
+        self.start_line, self.headers, self.body = start_line, headers, body
 
     @property
     def status(self) -> int:
-        return int(self.first.split(" ")[1])
+        return int(self.start_line.split(" ")[1])
 
     @property
     def target(self) -> str:
-        return self.first.split(" ")[1]
+        return self.start_line.split(" ")[1]
 
 
-def answer(status: int, body: bytes = b"", more: str = "") -> bytes:
-    return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{more}\r\n".encode() + body
+def response_bytes(status: int, body: bytes = b"", headers: str = "") -> bytes:
+    return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{headers}\r\n".encode() + body
 
 
 class Server:
-    """A listening party; accept() gives what connects, in order."""
+    """A listening socket; accept() returns its connections in order."""
 
     def __init__(self, test: unittest.TestCase, backlog: int = 128) -> None:
         self.socket = socket.socket()
         test.addCleanup(self.socket.close)
         self.socket.bind((HOST, 0))
         self.socket.listen(backlog)
-        self.socket.settimeout(PATIENCE)
+        self.socket.settimeout(STEP_TIMEOUT)
         self.port: int = self.socket.getsockname()[1]
         self.address = f"{HOST}:{self.port}"
         self._test = test
-        self.peers: list[Peer] = []  # accepted by accept(), until next_request() sees their end
+        self.peers: list[Peer] = []  # returned by accept(), until next_request() finds them ended
 
-    def accept(self, within: float = PATIENCE) -> Peer:
-        self.socket.settimeout(within)
+    def accept(self, timeout: float = STEP_TIMEOUT) -> Peer:
+        self.socket.settimeout(timeout)
         connection, _ = self.socket.accept()
         self._test.addCleanup(connection.close)
         self.peers.append(Peer(connection))
         return self.peers[-1]
 
-    def next_request(self, within: float = PATIENCE) -> tuple[Peer, "Message"]:
-        """The next request and where it came: on any connection that is there or on a new one."""
-        by = time.monotonic() + within
+    def next_request(self, timeout: float = STEP_TIMEOUT) -> tuple[Peer, "Message"]:
+        """Returns the next request on any connection, open or new, and the connection."""
+        deadline = time.monotonic() + timeout
         while True:
             self.peers = [peer for peer in self.peers if peer.socket.fileno() >= 0]
             sockets = [self.socket, *(peer.socket for peer in self.peers)]
-            ready, _, _ = select.select(sockets, [], [], max(0.0, by - time.monotonic()))
+            ready, _, _ = select.select(sockets, [], [], max(0.0, deadline - time.monotonic()))
             if not ready:
-                raise TimeoutError("no request came")
+                raise TimeoutError("no request arrived")
             if self.socket in ready:
                 self.accept()
                 continue
             peer = next(peer for peer in self.peers if peer.socket in ready)
             try:
                 return peer, peer.message()
-            except (Ended, ConnectionResetError):
+            except (PeerEnded, ConnectionResetError):
                 self.peers.remove(peer)
 
-    def accepts_nothing(self, seconds: float) -> bool:
+    def gets_no_connection(self, seconds: float) -> bool:
         try:
             self.accept(seconds)
         except TimeoutError:
@@ -190,44 +193,44 @@
         return False
 
 
-class LateServer(Server):
-    """A backend to which connections come up only after let_in(): until then its queue of them is full."""
+class SlowAcceptServer(Server):
+    """A backend whose backlog is full, so that connections are established only after accept_late()."""
 
     def __init__(self, test: unittest.TestCase) -> None:
         super().__init__(test, backlog=0)
         self._fillers: list[socket.socket] = []
-        # One more than the backlog is taken; the system leaves further requests to connect unanswered.
-        filler = socket.create_connection((HOST, self.port), PATIENCE)
+        # The system accepts one connection more than the backlog and leaves further SYNs unanswered.
+        filler = socket.create_connection((HOST, self.port), STEP_TIMEOUT)
         test.addCleanup(filler.close)
 
-    def awaits_connection(self) -> None:
-        """Waits until the gateway has asked for a connection that does not come up."""
-        until(lambda: connections_to(self.port, CONNECTING), "a connection that comes up late")
+    def wait_for_connecting(self) -> None:
+        """Waits until the gateway tries to connect, which does not succeed yet."""
+        wait_until(lambda: connections_to(self.port, CONNECTING), "a connection that is not established yet")
 
-    def let_in(self) -> Peer:
-        """Takes what filled the queue; the gateway's connection comes up when its system asks again."""
+    def accept_late(self) -> Peer:
+        """Empties the backlog; the gateway's connection is established when its system retries the SYN."""
         self.accept().close()
         return self.accept()
 
 
 class Discovery(Server):
-    """Answers the whole list at once and watches when there is news; keeps what it was asked."""
+    """Answers calls for the complete list at once and watches when the list changes; records the targets."""
 
     def __init__(self, test: unittest.TestCase, instances: list[dict[str, Any]], generation: int = 1) -> None:
         super().__init__(test)
         self.generation, self.instances = generation, instances
-        self.asked: list[str] = []
-        self._news: list[tuple[int, list[dict[str, Any]]]] = []
+        self.targets: list[str] = []
+        self._changes: list[tuple[int, list[dict[str, Any]]]] = []
         self._changed = threading.Condition()
         threading.Thread(target=self._serve, daemon=True).start()
 
-    def tell(self, *instances: dict[str, Any]) -> None:
+    def publish(self, *instances: dict[str, Any]) -> None:
         with self._changed:
             self.generation += 1
-            self._news.append((self.generation, list(instances)))
-            told = {one["instanceId"] for one in instances}
-            self.instances = [one for one in self.instances if one["instanceId"] not in told]
-            self.instances += [one for one in instances if one["lifecycle"] != "gone"]
+            self._changes.append((self.generation, list(instances)))
+            changed = {entry["instanceId"] for entry in instances}
+            self.instances = [entry for entry in self.instances if entry["instanceId"] not in changed]
+            self.instances += [entry for entry in instances if entry["lifecycle"] != "gone"]
             self._changed.notify_all()
 
     def _serve(self) -> None:
@@ -246,46 +249,50 @@
         try:
             while True:
                 target = peer.message().target
-                self.asked.append(target)
-                peer.send(answer(200, json.dumps(self._answer(target)).encode()))
-        except (Ended, OSError):
+                self.targets.append(target)
+                peer.send(response_bytes(200, json.dumps(self._answer(target)).encode()))
+        except (PeerEnded, OSError):
             connection.close()
 
     def _answer(self, target: str) -> dict[str, Any]:
         with self._changed:
             if "since=" not in target:
                 return {"generation": self.generation, "reset": True, "instances": self.instances}
-            words = dict(part.split("=") for part in target.partition("?")[2].split("&"))
-            since = int(words["since"])
-            self._changed.wait_for(lambda: self.generation > since, int(words["timeout_ms"]) / 1000)
-            told = [one for version, some in self._news if version > since for one in some]
-            return {"generation": self.generation, "reset": False, "instances": told}
+            query = dict(part.split("=") for part in target.partition("?")[2].split("&"))
+            since = int(query["since"])
+            self._changed.wait_for(lambda: self.generation > since, int(query["timeout_ms"]) / 1000)
+            changes = [entry for version, some in self._changes if version > since for entry in some]
+            return {"generation": self.generation, "reset": False, "instances": changes}
 
 
 class GatewayProcess:
-    """The process and its log."""
+    """The gateway's process and its log."""
 
     def __init__(
-        self, test: unittest.TestCase, config: dict[str, Any], plant: str = "", serves: bool = True
+        self,
+        test: unittest.TestCase,
+        config: dict[str, Any],
+        prelude: str = "",
+        wait_until_serving: bool = True,
     ) -> None:
-        """plant: code that the process runs before it starts. serves: wait until it does."""
+        """Starts the process; prelude is code that it runs before the gateway's program."""
         folder = test.enterContext(tempfile.TemporaryDirectory())
         self.path = Path(folder) / "config.json"
         self.port = int(config["listen"].rpartition(":")[2])
         self.configure(config)
         self.process = subprocess.Popen(
-            [sys.executable, "-c", f"{plant}\n{PROGRAM}"],
+            [sys.executable, "-c", f"{prelude}\n{PROGRAM}"],
             text=True,
             stderr=subprocess.PIPE,
             env={"GW_CONFIG": str(self.path)},
         )
         test.addCleanup(self._end)
         self._lines: list[str] = []
-        self._came = threading.Condition()
+        self._line_read = threading.Condition()
         self._reader = threading.Thread(target=self._read, daemon=True)
         self._reader.start()
-        if serves:
-            self.logged("gateway serves")
+        if wait_until_serving:
+            self.wait_for_log("gateway serves")
 
     def configure(self, config: dict[str, Any]) -> None:
         self.path.write_text(json.dumps(config))
@@ -293,38 +300,39 @@
     def _read(self) -> None:
         assert self.process.stderr is not None
         for line in self.process.stderr:
-            with self._came:
+            with self._line_read:
                 self._lines.append(line)
-                self._came.notify_all()
+                self._line_read.notify_all()
 
     def _end(self) -> None:
         self.process.send_signal(signal.SIGCONT)
         self.process.kill()
         self.process.wait()
-        self._reader.join(PATIENCE)
+        self._reader.join(STEP_TIMEOUT)
         assert self.process.stderr is not None
         self.process.stderr.close()
 
-    def logged(self, *words: str, count: int = 1) -> None:
-        """Waits until that many lines of the log hold all of the words."""
-        with self._came:
-            found = self._came.wait_for(
-                lambda: sum(all(word in line for word in words) for line in self._lines) >= count, PATIENCE
+    def wait_for_log(self, *texts: str, count: int = 1) -> None:
+        """Waits until that many lines of the log contain all of the texts."""
+        with self._line_read:
+            found = self._line_read.wait_for(
+                lambda: sum(all(text in line for text in texts) for line in self._lines) >= count,
+                STEP_TIMEOUT,
             )
         if not found:
-            raise AssertionError(f"never logged: {words}: {''.join(self._lines)}")
+            raise AssertionError(f"never logged: {texts}: {''.join(self._lines)}")
 
-    def lines(self, *words: str) -> list[int]:
-        """The places in the log of the lines that hold all of the words."""
-        with self._came:
-            return [n for n, line in enumerate(self._lines) if all(word in line for word in words)]
+    def log_positions(self, *texts: str) -> list[int]:
+        """Returns the positions of the log lines that contain all of the texts."""
+        with self._line_read:
+            return [n for n, line in enumerate(self._lines) if all(text in line for text in texts)]
 
-    def signal(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         self.process.send_signal(number)
 
 
-class CrossingTest(unittest.TestCase):
-    """start() gives a gateway that knows backends[0] for shard 0 and backends[1] for shard 1."""
+class ProcessTest(unittest.TestCase):
+    """start() runs a gateway whose list has backends[0] for shard 0 and backends[1] for shard 1."""
 
     def instance(self, number: int, server: Server, state: str = "ready") -> dict[str, Any]:
         return {
@@ -339,7 +347,7 @@
         }
 
     def config(self, discovery: Server, instances: list[dict[str, Any]], **settings: Any) -> dict[str, Any]:
-        """settings: parts of the settings, each merged with what stands there."""
+        """Returns a configuration; each given part of the settings is merged with the default part."""
         merged = {
             name: {**SETTINGS[name], **settings[name]}
             if isinstance(settings.get(name), dict)
@@ -357,14 +365,14 @@
         }
 
     def start(
-        self, first: Server, second: Server | None = None, plant: str = "", **settings: Any
+        self, first: Server, second: Server | None = None, prelude: str = "", **settings: Any
     ) -> GatewayProcess:
         self.backends = [first, second or Server(self)]
         instances = [self.instance(n, backend) for n, backend in enumerate(self.backends)]
         self.discovery = Discovery(self, instances)
         self.configuration = self.config(self.discovery, instances, **settings)
-        self.gateway = GatewayProcess(self, self.configuration, plant)
-        self.gateway.logged("endpoint list watch begins")
+        self.gateway = GatewayProcess(self, self.configuration, prelude)
+        self.gateway.wait_for_log("endpoint list watch begins")
         return self.gateway
 
     def client(self, receive_buffer: int = 0) -> Peer:
@@ -372,12 +380,12 @@
         self.addCleanup(connection.close)
         if receive_buffer:
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
-        connection.settimeout(PATIENCE)
+        connection.settimeout(STEP_TIMEOUT)
         connection.connect((HOST, self.gateway.port))
         return Peer(connection)
 
-    def ask(self, data: bytes) -> Peer:
-        """A client that sends this and waits."""
+    def connect_and_send(self, data: bytes) -> Peer:
+        """Returns a new client's connection after sending the bytes on it."""
         client = self.client()
         client.send(data)
         return client
--- a/tests/crossing/test_backends.py
+++ b/tests/crossing/test_backends.py
@@ -7,12 +7,12 @@
 from tests.crossing.rig import (
     CONNECTING,
     HOST,
-    CrossingTest,
-    LateServer,
+    ProcessTest,
     Server,
-    answer,
+    SlowAcceptServer,
     connections_to,
-    until,
+    response_bytes,
+    wait_until,
 )
 from tests.live import SETTINGS, request_bytes
 
@@ -21,24 +21,24 @@
 SLACK_MS = 150  # milliseconds that the time told to a backend may pass what the client has left
 
 
-class ConnectionsThatComeUpLate(CrossingTest):
+class ConnectionsThatComeUpLate(ProcessTest):
     """The gateway has chosen a backend; what happens before the connection to it is there?"""
 
     def begin(self, patience: int = 2500, kind: str = "read") -> None:
-        self.backend = LateServer(self)
+        self.backend = SlowAcceptServer(self)
         self.start(self.backend, **LATE)
         self.sent_at = time.monotonic()
-        self.asker = self.ask(request_bytes("a1", kind, timeout_ms=patience))
-        self.backend.awaits_connection()
+        self.waiting_client = self.connect_and_send(request_bytes("a1", kind, timeout_ms=patience))
+        self.backend.wait_for_connecting()
 
     def test_a_backend_told_to_drain_meanwhile_gets_nothing_past_the_grace(self) -> None:
         for state in ("draining", "gone"):
             with self.subTest(state=state):
                 self.begin()
-                self.discovery.tell(self.instance(0, self.backend, state))
-                self.gateway.logged('"endpoint list"', f'"s-0": "{state}"')
-                late = self.backend.let_in()
-                self.assertIn(self.asker.message().status, (503, 504))
+                self.discovery.publish(self.instance(0, self.backend, state))
+                self.gateway.wait_for_log('"endpoint list"', f'"s-0": "{state}"')
+                late = self.backend.accept_late()
+                self.assertIn(self.waiting_client.message().status, (503, 504))
                 late.socket.settimeout(0.3)
                 with self.assertRaises(TimeoutError, msg="a request reached the backend past the grace"):
                     late.message()
@@ -46,39 +46,39 @@
     def test_a_backend_that_moved_meanwhile_gets_nothing_at_its_old_address(self) -> None:
         self.begin()
         moved = Server(self)
-        self.discovery.tell(self.instance(0, moved))
-        self.gateway.logged('"endpoint list"', '"generation": 2')
-        late = self.backend.let_in()
+        self.discovery.publish(self.instance(0, moved))
+        self.gateway.wait_for_log('"endpoint list"', '"generation": 2')
+        late = self.backend.accept_late()
         new = moved.accept()
         self.assertIn("a1", new.message().headers["req-id"])
-        new.send(answer(200, b"from the new address"))
-        self.assertEqual(b"from the new address", self.asker.message().body)
-        self.assertTrue(late.ends(), "the old connection is not kept")
+        new.send(response_bytes(200, b"from the new address"))
+        self.assertEqual(b"from the new address", self.waiting_client.message().body)
+        self.assertTrue(late.wait_for_end(), "the old connection is not kept")
 
     def test_what_its_client_left_meanwhile_is_not_sent_and_the_connection_serves_the_next(self) -> None:
         self.begin()
-        self.asker.close()
-        self.backend.let_in()
-        next_one = self.ask(request_bytes("a2"))
+        self.waiting_client.close()
+        self.backend.accept_late()
+        next_one = self.connect_and_send(request_bytes("a2"))
         peer, request = self.backend.next_request()
         self.assertIn("a2", request.headers["req-id"])
-        peer.send(answer(200))
+        peer.send(response_bytes(200))
         self.assertEqual(200, next_one.message().status)
 
     def test_what_its_time_is_up_for_meanwhile_is_answered_and_not_sent(self) -> None:
         self.begin(timeout_ms=300)
-        self.assertIn(self.asker.message().status, (503, 504))
+        self.assertIn(self.waiting_client.message().status, (503, 504))
         self.assertLess(time.monotonic() - self.sent_at, 0.6)
-        self.backend.let_in()
-        next_one = self.ask(request_bytes("a2"))
+        self.backend.accept_late()
+        next_one = self.connect_and_send(request_bytes("a2"))
         peer, request = self.backend.next_request()
         self.assertIn("a2", request.headers["req-id"])
-        peer.send(answer(200))
+        peer.send(response_bytes(200))
         self.assertEqual(200, next_one.message().status)
 
     def test_the_time_told_is_what_the_client_has_left_when_the_connection_is_there(self) -> None:
         self.begin()
-        late = self.backend.let_in()
+        late = self.backend.accept_late()
         told = int(late.message().headers["req-deadline-ms"])
         left = 2500 - (time.monotonic() - self.sent_at) * 1000
         self.assertGreater(2000, left, "it was not late: this shows nothing")
@@ -86,16 +86,16 @@
 
     def test_a_connection_that_dies_before_its_first_byte_never_ran_and_is_tried_again(self) -> None:
         self.begin(kind="post")
-        self.gateway.signal(signal.SIGSTOP)
-        self.backend.let_in().reset()
-        self.gateway.signal(signal.SIGCONT)
+        self.gateway.send_signal(signal.SIGSTOP)
+        self.backend.accept_late().reset()
+        self.gateway.send_signal(signal.SIGCONT)
         peer, request = self.backend.next_request()
         self.assertIn("a1", request.headers["req-id"])
-        peer.send(answer(200, b"once"))
-        self.assertEqual(b"once", self.asker.message().body)
+        peer.send(response_bytes(200, b"once"))
+        self.assertEqual(b"once", self.waiting_client.message().body)
 
 
-class HeldUp(CrossingTest):
+class HeldUp(ProcessTest):
     """The process stands still for 0.15 s before it hears what it was told, and again before it writes."""
 
     GRACE = 0.25  # seconds
@@ -114,58 +114,58 @@
 
     def test_nothing_new_is_written_to_a_draining_backend_past_the_grace(self) -> None:
         backend = Server(self)
-        self.start(backend, plant=self.HELD_UP, contract={"stopSendingWithin": self.GRACE})
-        first = self.ask(request_bytes("d1"))
-        backend.next_request()[0].send(answer(200))
+        self.start(backend, prelude=self.HELD_UP, contract={"stopSendingWithin": self.GRACE})
+        first = self.connect_and_send(request_bytes("d1"))
+        backend.next_request()[0].send(response_bytes(200))
         self.assertEqual(200, first.message().status)
         told_at = time.monotonic()
-        self.discovery.tell(self.instance(0, backend, "draining"))
+        self.discovery.publish(self.instance(0, backend, "draining"))
         # Heard 0.15 s later; a request decided then and held up as long is written past the grace.
-        self.gateway.logged('"endpoint list"', '"s-0": "draining"')
-        self.ask(request_bytes("d2"))
+        self.gateway.wait_for_log('"endpoint list"', '"s-0": "draining"')
+        self.connect_and_send(request_bytes("d2"))
         try:
-            backend.next_request(within=0.5)
+            backend.next_request(timeout=0.5)
         except TimeoutError:
             return
         self.assertLess(time.monotonic() - told_at, self.GRACE + self.SLACK)
 
 
-class KeyedRequests(CrossingTest):
+class KeyedRequests(ProcessTest):
     """A backend forgets a key after its window; a repeat that comes later would run a second time."""
 
     def test_one_whose_connection_comes_up_after_the_window_is_not_sent_again(self) -> None:
         keyed = {"name": "post", "aim": 0.4, "effect": "guarded", "window": 0.5, "worth": 3.0}
         backend = Server(self, backlog=0)
         self.start(backend, services=[SETTINGS["services"][0], keyed], **LATE)
-        asker = self.ask(request_bytes("c1", "post", timeout_ms=2500, body=b"x"))
+        client = self.connect_and_send(request_bytes("c1", "post", timeout_ms=2500, body=b"x"))
         first = backend.accept()
         first.message()
         filler = socket.create_connection((HOST, backend.port), 5)
         self.addCleanup(filler.close)
         first.reset()
-        until(lambda: connections_to(backend.port, CONNECTING), "a retry whose connection comes up late")
+        wait_until(lambda: connections_to(backend.port, CONNECTING), "a retry whose connection comes up late")
         backend.accept().close()
         late = backend.accept()
-        self.assertEqual(504, asker.message().status, "it may have run")
+        self.assertEqual(504, client.message().status, "it may have run")
         late.socket.settimeout(0.3)
         with self.assertRaises(TimeoutError, msg="sent again after its window"):
             late.message()
 
 
-class AnswersThatBreakOff(CrossingTest):
+class AnswersThatBreakOff(ProcessTest):
     """The request has been read by the backend; where does its connection end?"""
 
     def begin(self, kind: str) -> None:
         self.backend = Server(self)
         self.start(self.backend)
         body = b"x" if kind == "post" else b""
-        self.asker = self.ask(request_bytes("b1", kind, timeout_ms=3000, body=body))
+        self.waiting_client = self.connect_and_send(request_bytes("b1", kind, timeout_ms=3000, body=body))
         self.first = self.backend.accept()
         self.first.message()
 
     def never_again(self) -> None:
-        self.assertEqual(504, self.asker.message().status, "it may have run")
-        self.assertTrue(self.backend.accepts_nothing(0.3), "sent again on a guess")
+        self.assertEqual(504, self.waiting_client.message().status, "it may have run")
+        self.assertTrue(self.backend.gets_no_connection(0.3), "sent again on a guess")
 
     def test_a_reset_before_the_answer(self) -> None:
         self.begin("post")
@@ -191,24 +191,24 @@
                 self.first.send(b"HTTP/1.1 200 X\r\n\r\nall ")
                 self.first.send(b"of it")
                 self.first.close()
-                got = self.asker.message()
+                got = self.waiting_client.message()
                 self.assertEqual((200, b"all of it"), (got.status, got.body))
-                self.assertTrue(self.backend.accepts_nothing(0.1), "sent again though it was served")
+                self.assertTrue(self.backend.gets_no_connection(0.1), "sent again though it was served")
 
     def test_an_answer_with_neither_a_length_nor_an_end_holds_up_no_retry(self) -> None:
         self.begin("read")
         self.first.send(b"HTTP/1.1 200 X\r\n\r\nand no end")
         second = self.backend.accept(1.0)
         self.assertIn("b1", second.message().headers["req-id"])
-        second.send(answer(200, b"second"))
-        self.assertEqual(b"second", self.asker.message().body)
-        self.assertTrue(self.first.ends(), "the connection without an end is not kept")
+        second.send(response_bytes(200, b"second"))
+        self.assertEqual(b"second", self.waiting_client.message().body)
+        self.assertTrue(self.first.wait_for_end(), "the connection without an end is not kept")
 
     def test_a_whole_answer_counts_though_a_reset_comes_with_it(self) -> None:
         self.begin("post")
-        self.first.send(answer(200, b"whole"))
+        self.first.send(response_bytes(200, b"whole"))
         self.first.reset()
-        self.assertEqual(b"whole", self.asker.message().body)
+        self.assertEqual(b"whole", self.waiting_client.message().body)
 
     def test_an_idempotent_request_is_retried_once_and_a_late_first_answer_reaches_nobody(self) -> None:
         self.begin("read")
@@ -216,32 +216,32 @@
         self.first.socket.shutdown(1)
         second = self.backend.accept()
         self.assertIn("b1", second.message().headers["req-id"])
-        second.send(answer(200, b"second"))
-        got = self.asker.message()
+        second.send(response_bytes(200, b"second"))
+        got = self.waiting_client.message()
         self.assertEqual((200, b"second"), (got.status, got.body))
-        self.asker.send(request_bytes("b2"))
+        self.waiting_client.send(request_bytes("b2"))
         third, _ = self.backend.next_request()
-        third.send(answer(200, b"third"))
-        self.assertEqual(b"third", self.asker.message().body, "no second answer stood before it")
+        third.send(response_bytes(200, b"third"))
+        self.assertEqual(b"third", self.waiting_client.message().body, "no second answer stood before it")
 
     def test_a_kept_connection_that_the_backend_ends_is_not_used_for_the_next(self) -> None:
         self.begin("read")
-        self.first.send(answer(200, b"one"))
-        self.asker.message()
+        self.first.send(response_bytes(200, b"one"))
+        self.waiting_client.message()
         self.first.socket.shutdown(1)
-        self.assertTrue(self.first.ends(), "the gateway ends its side as it sees the backend's end")
-        self.asker.send(request_bytes("b2", "post", body=b"x"))
+        self.assertTrue(self.first.wait_for_end(), "the gateway ends its side as it sees the backend's end")
+        self.waiting_client.send(request_bytes("b2", "post", body=b"x"))
         second = self.backend.accept()
         self.assertIn("b2", second.message().headers["req-id"])
-        second.send(answer(200, b"two"))
-        self.assertEqual(b"two", self.asker.message().body)
+        second.send(response_bytes(200, b"two"))
+        self.assertEqual(b"two", self.waiting_client.message().body)
 
     def test_an_answer_that_comes_with_the_cancel_reaches_nobody(self) -> None:
         self.begin("read")
-        self.asker.close()
-        self.first.ends()
+        self.waiting_client.close()
+        self.first.wait_for_end()
         with self.assertRaises(OSError):
             for _ in range(3):  # the first may still be taken by the system
-                self.first.send(answer(200, b"late"))
-                self.first.ends()
-        self.assertTrue(self.backend.accepts_nothing(0.2), "nothing further is sent for it")
+                self.first.send(response_bytes(200, b"late"))
+                self.first.wait_for_end()
+        self.assertTrue(self.backend.gets_no_connection(0.2), "nothing further is sent for it")
--- a/tests/crossing/test_clients.py
+++ b/tests/crossing/test_clients.py
@@ -14,14 +14,14 @@
 from gorsethread.transport.real import RealTransport
 from tests.crossing.rig import (
     HOST,
-    CrossingTest,
     Discovery,
     GatewayProcess,
     Peer,
+    ProcessTest,
     Server,
-    answer,
     has_read_all,
-    until,
+    response_bytes,
+    wait_until,
 )
 from tests.live import request_bytes
 
@@ -37,7 +37,7 @@
 ALL_ANSWERED_BY = 0.6 + 0.7  # seconds after SIGTERM, from which it may be killed
 
 
-class SentAhead(CrossingTest):
+class SentAhead(ProcessTest):
     """A client sends on before it has its answer."""
 
     def test_requests_far_ahead_of_an_open_one_cost_nobody_an_answer(self) -> None:
@@ -45,7 +45,7 @@
         self.start(backend)
         body = b"x" * 40_000
         ids = [f"{n:x}" for n in range(0xA1, 0xA7)]
-        asker = self.ask(
+        client = self.connect_and_send(
             b"".join(
                 request_bytes(
                     id, "read" if id == "a1" else "post", body=b"" if id == "a1" else body, timeout_ms=9000
@@ -56,57 +56,57 @@
         peer = backend.accept()
         self.assertIn("a1", peer.message().headers["req-id"])
         # All of it, four times what is read ahead, has been sent before the first is answered.
-        peer.send(answer(200, b"ok"))
-        self.assertEqual(200, asker.message().status, "the open one keeps its answer")
+        peer.send(response_bytes(200, b"ok"))
+        self.assertEqual(200, client.message().status, "the open one keeps its answer")
         for id in ids[1:]:
             peer, request = backend.next_request()
             self.assertIn(id, request.headers["req-id"])
-            peer.send(answer(200, b"ok"))
-            self.assertEqual(200, asker.message().status)
+            peer.send(response_bytes(200, b"ok"))
+            self.assertEqual(200, client.message().status)
 
     def test_a_client_that_leaves_behind_what_it_sent_ahead_is_noticed(self) -> None:
         backend = Server(self)
         self.start(backend)
-        asker = self.ask(
+        client = self.connect_and_send(
             request_bytes("b1", timeout_ms=9000)
             + b"".join(request_bytes(f"{n:x}", "post", body=b"x" * 40_000) for n in range(0xC1, 0xC5))
         )
         peer = backend.accept()
         peer.message()
         closed_at = time.monotonic()
-        asker.close()
-        self.assertTrue(peer.ends(), "its attempt is called off")
+        client.close()
+        self.assertTrue(peer.wait_for_end(), "its attempt is called off")
         self.assertLess(time.monotonic() - closed_at, 0.4)
-        self.assertTrue(backend.accepts_nothing(0.3), "what it had sent ahead is sent on after it left")
+        self.assertTrue(backend.gets_no_connection(0.3), "what it had sent ahead is sent on after it left")
 
     def test_answers_that_a_client_never_reads_are_bounded_and_all_come_in_the_end(self) -> None:
         backend = Server(self)
         self.start(backend)
         number, body = 200, b"y" * 200_000
-        asker = self.client(receive_buffer=4096)
-        asker.send(b"".join(request_bytes(f"{n + 1:x}", timeout_ms=9000) for n in range(number)))
+        client = self.client(receive_buffer=4096)
+        client.send(b"".join(request_bytes(f"{n + 1:x}", timeout_ms=9000) for n in range(number)))
         served = 0
         while served < number:
             try:
-                peer, _ = backend.next_request(within=1.0)
+                peer, _ = backend.next_request(timeout=1.0)
             except TimeoutError:
                 break
-            peer.send(answer(200, body))
+            peer.send(response_bytes(200, body))
             served += 1
         self.assertLess(served, number // 2, "its answers add up in the gateway's memory")
         self.assertGreater(served, 1)
         read = 0
         while read < number:
             while read < served:
-                self.assertEqual(body, asker.message().body, "what was answered comes as it is read")
+                self.assertEqual(body, client.message().body, "what was answered comes as it is read")
                 read += 1
             if served < number:
                 peer, _ = backend.next_request()
-                peer.send(answer(200, body))
+                peer.send(response_bytes(200, body))
                 served += 1
 
 
-class LeavesWhileTheGatewayStandsStill(CrossingTest):
+class LeavesWhileTheGatewayStandsStill(ProcessTest):
     """A client closes while the gateway is held up: one turn brings its close and room for its request."""
 
     SLOTS = 4  # requests that a gateway has out at one backend at first
@@ -117,67 +117,69 @@
             with self.subTest(close_comes_first=close_comes_first):
                 backend = Server(self)
                 self.start(backend)
-                askers = [self.ask(request_bytes(f"a{n}", timeout_ms=5000)) for n in range(self.SLOTS)]
-                peers = [backend.next_request()[0] for _ in askers]
-                leaver = self.ask(request_bytes("b1", timeout_ms=5000))
+                clients = [
+                    self.connect_and_send(request_bytes(f"a{n}", timeout_ms=5000)) for n in range(self.SLOTS)
+                ]
+                peers = [backend.next_request()[0] for _ in clients]
+                leaver = self.connect_and_send(request_bytes("b1", timeout_ms=5000))
                 ports = leaver.ports
-                until(lambda ports=ports: has_read_all(*ports), "the request is read")
-                self.gateway.signal(signal.SIGSTOP)
-                steps = [leaver.close, *(lambda p=peer: p.send(answer(200)) for peer in peers)]
+                wait_until(lambda ports=ports: has_read_all(*ports), "the request is read")
+                self.gateway.send_signal(signal.SIGSTOP)
+                steps = [leaver.close, *(lambda p=peer: p.send(response_bytes(200)) for peer in peers)]
                 for step in steps if close_comes_first else reversed(steps):
                     step()
                 time.sleep(self.LEFT_AGO)
-                self.gateway.signal(signal.SIGCONT)
-                for asker in askers:
-                    self.assertEqual(200, asker.message().status)
+                self.gateway.send_signal(signal.SIGCONT)
+                for client in clients:
+                    self.assertEqual(200, client.message().status)
                 with self.assertRaises(TimeoutError, msg="sent on after its client had left"):
-                    backend.next_request(within=0.4)
+                    backend.next_request(timeout=0.4)
 
 
-class Ends(CrossingTest):
+class Ends(ProcessTest):
     """The gateway ends a connection; the client is sending, or has not read all."""
 
     def test_an_error_reaches_a_client_that_is_still_sending_its_body(self) -> None:
         self.start(Server(self))
-        asker = self.ask(
+        client = self.connect_and_send(
             b"PUT /read/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: a\r\nContent-Length: 60000000\r\n\r\n"
             + b"x" * 150_000
         )
-        self.assertEqual(413, asker.message().status)
-        self.assertTrue(asker.ends(), "a reset, which takes from a client what it has not read yet")
+        self.assertEqual(413, client.message().status)
+        self.assertTrue(client.wait_for_end(), "a reset, which takes from a client what it has not read yet")
 
     def test_a_large_last_answer_comes_whole_to_a_client_that_reads_late(self) -> None:
         backend = Server(self)
         self.start(backend)
-        asker = self.client(receive_buffer=4096)
-        asker.send(
+        client = self.client(receive_buffer=4096)
+        client.send(
             request_bytes("d1", timeout_ms=5000)
             + request_bytes("d2", timeout_ms=5000, headers="Connection: close\r\n")
         )
         for _ in range(2):
             peer, _ = backend.next_request()
-            peer.send(answer(200, LARGE))
-            until(lambda peer=peer: has_read_all(*peer.ports), "an answer that the gateway has read")
-        self.assertEqual([LARGE, LARGE], [asker.message().body, asker.message().body])
-        self.assertTrue(asker.ends())
+            peer.send(response_bytes(200, LARGE))
+            wait_until(lambda peer=peer: has_read_all(*peer.ports), "an answer that the gateway has read")
+        self.assertEqual([LARGE, LARGE], [client.message().body, client.message().body])
+        self.assertTrue(client.wait_for_end())
 
     def test_a_request_that_crosses_an_idle_connections_end_is_neither_sent_on_nor_reset(self) -> None:
         backend = Server(self)
         self.start(backend)
-        asker = self.client()
-        self.assertTrue(asker.ends(), "silent since it connected")
-        asker.send(request_bytes("d2"))
-        self.assertTrue(asker.ends())
-        self.assertTrue(backend.accepts_nothing(0.3))
+        client = self.client()
+        self.assertTrue(client.wait_for_end(), "silent since it connected")
+        client.send(request_bytes("d2"))
+        self.assertTrue(client.wait_for_end())
+        self.assertTrue(backend.gets_no_connection(0.3))
 
 
-class TroubleOfOthers(CrossingTest):
+class TroubleOfOthers(ProcessTest):
     """What goes wrong elsewhere frees no request of its answer."""
 
     def test_bad_clients_and_a_backend_that_talks_nonsense_cost_nobody_else_an_answer(self) -> None:
         good, bad = Server(self), Server(self)
         self.start(good, bad)
-        asker = self.ask(request_bytes("aa1", "post", timeout_ms=5000, body=b"x"))
+        client = self.connect_and_send(request_bytes("aa1", "post", timeout_ms=5000, body=b"x"))
         peer = good.accept()
         peer.message()
         rude = [
@@ -186,34 +188,34 @@
             b"PUT /read/7f",
             200 * request_bytes("aa2", "nothing"),
         ]
-        others = [self.ask(rude[n % len(rude)]) for n in range(80)]
-        spoilt = self.ask(request_bytes("aa3", "post", shard=1, timeout_ms=5000, body=b"x"))
+        others = [self.connect_and_send(rude[n % len(rude)]) for n in range(80)]
+        spoilt = self.connect_and_send(request_bytes("aa3", "post", shard=1, timeout_ms=5000, body=b"x"))
         nonsense, _ = bad.next_request()
         nonsense.send(b"\x00\xff what is this\r\n\r\n")
         self.assertEqual(504, spoilt.message().status, "it may have run")
         for other in others:
             other.reset()
-        peer.send(answer(200, b"mine"))
-        self.assertEqual(b"mine", asker.message().body)
-        asker.send(request_bytes("aa4"))
+        peer.send(response_bytes(200, b"mine"))
+        self.assertEqual(b"mine", client.message().body)
+        client.send(request_bytes("aa4"))
         peer, _ = good.next_request()
-        peer.send(answer(200, b"and the next"))
-        self.assertEqual(b"and the next", asker.message().body)
+        peer.send(response_bytes(200, b"and the next"))
+        self.assertEqual(b"and the next", client.message().body)
 
 
-class Shutdown(CrossingTest):
+class Shutdown(ProcessTest):
     """SIGTERM, and what comes before, with and after it."""
 
     def test_what_is_open_at_sigterm_is_answered_and_told_that_the_connection_ends(self) -> None:
         backend = Server(self)
         self.start(backend, **SHORT_LIVED)
-        asker = self.ask(request_bytes("e1", timeout_ms=600))
+        client = self.connect_and_send(request_bytes("e1", timeout_ms=600))
         peer = backend.accept()
         peer.message()
-        self.gateway.signal(signal.SIGTERM)
-        self.gateway.logged("gateway ends")
-        peer.send(answer(200, b"last"))
-        self.assertEqual(b"last", asker.message().body)
+        self.gateway.send_signal(signal.SIGTERM)
+        self.gateway.wait_for_log("gateway ends")
+        peer.send(response_bytes(200, b"last"))
+        self.assertEqual(b"last", client.message().body)
         self.assertEqual(0, self.gateway.process.wait(5))
 
     def test_what_hangs_through_the_end_is_answered_before_the_kill_however_long_its_client_waits(
@@ -221,12 +223,12 @@
     ) -> None:
         backend = Server(self)
         self.start(backend, services=LONG_LIVED)
-        reader = self.ask(request_bytes("a1", timeout_ms=9000))
-        writer = self.ask(request_bytes("a2", "post", timeout_ms=9000, body=b"x"))
+        reader = self.connect_and_send(request_bytes("a1", timeout_ms=9000))
+        writer = self.connect_and_send(request_bytes("a2", "post", timeout_ms=9000, body=b"x"))
         for _ in range(2):
             backend.next_request()
         began = time.monotonic()
-        self.gateway.signal(signal.SIGTERM)
+        self.gateway.send_signal(signal.SIGTERM)
         self.assertIn(reader.message().status, (503, 504))
         self.assertEqual(504, writer.message().status, "it may run yet")
         self.assertLess(time.monotonic() - began, KILLED_AFTER)
@@ -236,18 +238,18 @@
     def test_twice_and_together_with_a_reload_ends_once_and_in_order(self) -> None:
         backend = Server(self)
         self.start(backend, **SHORT_LIVED)
-        asker = self.ask(request_bytes("e2", timeout_ms=600))
+        client = self.connect_and_send(request_bytes("e2", timeout_ms=600))
         peer = backend.accept()
         peer.message()
-        self.gateway.signal(signal.SIGSTOP)
+        self.gateway.send_signal(signal.SIGSTOP)
         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
-            self.gateway.signal(number)
-        self.gateway.signal(signal.SIGCONT)
-        self.gateway.logged("gateway ends")
-        peer.send(answer(200, b"last"))
-        self.assertEqual(b"last", asker.message().body)
+            self.gateway.send_signal(number)
+        self.gateway.send_signal(signal.SIGCONT)
+        self.gateway.wait_for_log("gateway ends")
+        peer.send(response_bytes(200, b"last"))
+        self.assertEqual(b"last", client.message().body)
         self.assertEqual(0, self.gateway.process.wait(5))
-        self.assertEqual(1, len(self.gateway.lines("gateway ended")))
+        self.assertEqual(1, len(self.gateway.log_positions("gateway ended")))
 
     def test_before_any_list_is_there_it_answers_and_ends(self) -> None:
         silent = Server(self)  # takes connections and says nothing
@@ -255,40 +257,40 @@
         self.backends = [backend, Server(self)]
         self.configuration = self.config(silent, [], **SHORT_LIVED)
         self.gateway = GatewayProcess(self, self.configuration)
-        asker = self.ask(request_bytes("e3", timeout_ms=600))
-        self.gateway.signal(signal.SIGTERM)
-        self.assertIn(asker.message().status, (503, 504))
+        client = self.connect_and_send(request_bytes("e3", timeout_ms=600))
+        self.gateway.send_signal(signal.SIGTERM)
+        self.assertIn(client.message().status, (503, 504))
         self.assertEqual(0, self.gateway.process.wait(5))
 
     def test_half_a_request_at_the_end_gets_an_answer(self) -> None:
         self.start(Server(self), **SHORT_LIVED)
-        asker = self.client()
+        client = self.client()
         told = time.monotonic()
-        self.gateway.signal(signal.SIGTERM)
-        self.gateway.logged("gateway ends")
-        asker.send(request_bytes("e4", "post", body=b"hello")[:-3])
-        self.assertIn(asker.message().status, (408, 503))
-        self.assertTrue(asker.ends())
+        self.gateway.send_signal(signal.SIGTERM)
+        self.gateway.wait_for_log("gateway ends")
+        client.send(request_bytes("e4", "post", body=b"hello")[:-3])
+        self.assertIn(client.message().status, (408, 503))
+        self.assertTrue(client.wait_for_end())
         self.assertLess(time.monotonic() - told, ALL_ANSWERED_BY)
         self.assertEqual(0, self.gateway.process.wait(5))
 
     def test_all_that_was_read_behind_the_request_in_work_is_answered_while_it_ends(self) -> None:
         backend = Server(self)
         self.start(backend)
-        asker = self.ask(request_bytes("f1", timeout_ms=3000))
+        client = self.connect_and_send(request_bytes("f1", timeout_ms=3000))
         peer = backend.accept()
         peer.message()
-        self.gateway.signal(signal.SIGTERM)
-        self.gateway.logged("gateway ends")
+        self.gateway.send_signal(signal.SIGTERM)
+        self.gateway.wait_for_log("gateway ends")
         # From here on the listener is closed, and each answer may be the last of its connection.
-        until(self._refused, "a listener that is closed")
-        asker.send(2 * b"GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
-        until(lambda: has_read_all(*asker.ports), "a gateway that has read what came")
-        peer.send(answer(200, b"one"))
-        got = [asker.message() for _ in range(3)]
+        wait_until(self._refused, "a listener that is closed")
+        client.send(2 * b"GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
+        wait_until(lambda: has_read_all(*client.ports), "a gateway that has read what came")
+        peer.send(response_bytes(200, b"one"))
+        got = [client.message() for _ in range(3)]
         self.assertEqual([200, 200, 200], [m.status for m in got])
         self.assertEqual(["", "", "close"], [m.headers.get("connection", "") for m in got])
-        self.assertTrue(asker.ends())
+        self.assertTrue(client.wait_for_end())
         self.assertEqual(0, self.gateway.process.wait(5))
 
     def _refused(self) -> bool:
@@ -301,26 +303,26 @@
     def test_clients_that_go_on_sending_get_an_answer_to_all_but_what_crosses_the_end(self) -> None:
         backend = Server(self)
         self.start(backend, **SHORT_LIVED)
-        asker = self.client()
-        self.gateway.signal(signal.SIGTERM)
+        client = self.client()
+        self.gateway.send_signal(signal.SIGTERM)
         answered = 0
         for n in range(100_000):
-            asker.send(request_bytes(f"{0x1000 + n:x}", timeout_ms=300))
+            client.send(request_bytes(f"{0x1000 + n:x}", timeout_ms=300))
             try:
-                peer, _ = backend.next_request(within=0.5)
+                peer, _ = backend.next_request(timeout=0.5)
             except TimeoutError:
                 break  # it crossed the end of its connection, which is seen below
-            peer.send(answer(200, b"ok"))
-            got = asker.message()
+            peer.send(response_bytes(200, b"ok"))
+            got = client.message()
             answered += 1
             if got.headers.get("connection") == "close":
                 break
         self.assertGreater(answered, 10)
-        self.assertTrue(asker.ends())
+        self.assertTrue(client.wait_for_end())
         self.assertEqual(0, self.gateway.process.wait(5))
 
 
-class ListenerThatCloses(CrossingTest):
+class ListenerThatCloses(ProcessTest):
     """In this process, where a client can connect in the very turn in which the listener closes."""
 
     def test_a_connection_accepted_in_that_turn_is_served_and_waited_for(self) -> None:
@@ -353,4 +355,4 @@
         asyncio.run(work())
         got = clients[0].message()
         self.assertEqual((200, "close"), (got.status, got.headers["connection"]))
-        self.assertTrue(clients[0].ends())
+        self.assertTrue(clients[0].wait_for_end())
--- a/tests/crossing/test_discovery.py
+++ b/tests/crossing/test_discovery.py
@@ -16,7 +16,16 @@
 from gorsethread.scheduling.model import SchedulerSettings, SlowStartRule
 from gorsethread.scheduling.scheduler import Scheduler
 from gorsethread.transport.real import RealTransport
-from tests.crossing.rig import HOST, PATIENCE, CrossingTest, Discovery, GatewayProcess, Peer, Server, answer
+from tests.crossing.rig import (
+    HOST,
+    STEP_TIMEOUT,
+    Discovery,
+    GatewayProcess,
+    Peer,
+    ProcessTest,
+    Server,
+    response_bytes,
+)
 from tests.harness import FACTS, PrintingHost
 from tests.live import SETTINGS, FakeDiscovery, GatewayTest, request_bytes
 
@@ -24,29 +33,29 @@
 TOLD_AFTER = 6.0  # seconds after discovery can be reached, from which a change counts as told
 
 
-class DiscoveryTest(CrossingTest):
+class DiscoveryTest(ProcessTest):
     """The test is discovery, and says byte by byte what it says."""
 
-    def begin(self, plant: str = "") -> Peer:
+    def begin(self, prelude: str = "") -> Peer:
         self.service = Server(self)
         self.backends = [Server(self), Server(self)]
         self.known = [self.instance(n, backend) for n, backend in enumerate(self.backends)]
         self.configuration = self.config(self.service, self.known)
-        self.gateway = GatewayProcess(self, self.configuration, plant)
+        self.gateway = GatewayProcess(self, self.configuration, prelude)
         self.watch = self.service.accept()
         self.target = self.watch.message().target
         return self.watch
 
     def said(self, generation: int, reset: bool, *instances: dict[str, Any]) -> bytes:
         told = {"generation": generation, "reset": reset, "instances": instances}
-        return answer(200, json.dumps(told).encode())
+        return response_bytes(200, json.dumps(told).encode())
 
     def is_served(self, number: int) -> None:
         """A request for the backend of that number reaches it and is answered."""
-        asker = self.ask(request_bytes(f"a{number}", shard=number))
+        client = self.connect_and_send(request_bytes(f"a{number}", shard=number))
         peer, _ = self.backends[number].next_request()
-        peer.send(answer(200, b"served"))
-        self.assertEqual(b"served", asker.message().body)
+        peer.send(response_bytes(200, b"served"))
+        self.assertEqual(b"served", client.message().body)
 
 
 class PlayedByHand(DiscoveryTest):
@@ -67,9 +76,9 @@
         again.message()
         self.assertLess(time.monotonic() - began, TOLD_AFTER - 1.0)
         # What the old watch says now is not heard: its connection has ended.
-        self.assertTrue(watch.ends())
+        self.assertTrue(watch.wait_for_end())
         again.send(self.said(2, False, self.instance(0, self.backends[0], "draining")))
-        self.gateway.logged('"endpoint list"', '"generation": 2')
+        self.gateway.wait_for_log('"endpoint list"', '"generation": 2')
 
     def test_an_older_list_after_a_newer_is_not_believed_but_asked_for_whole(self) -> None:
         watch = self.begin()
@@ -80,7 +89,7 @@
         self.assertNotIn("since", again.message().target)
         self.is_served(0)
         again.send(self.said(6, True, *self.known))
-        self.gateway.logged('"endpoint list"', '"generation": 6')
+        self.gateway.wait_for_log('"endpoint list"', '"generation": 6')
         self.is_served(1)
 
     def test_a_process_that_was_told_no_list_asks_for_the_whole_one(self) -> None:
@@ -99,7 +108,7 @@
                 gone = {**self.known[0], "lifecycle": "gone"}
                 back = {**self.known[0], "instanceId": "s-new"}
                 watch.send(self.said(2, False, *((gone, back) if gone_first else (back, gone))))
-                self.gateway.logged('"endpoint list"', '"generation": 2')
+                self.gateway.wait_for_log('"endpoint list"', '"generation": 2')
                 self.is_served(0)
 
     def test_a_reload_moves_the_watch_while_the_old_one_is_silent(self) -> None:
@@ -107,25 +116,27 @@
         moved = Discovery(self, self.known, generation=7)
         self.gateway.configure({**self.configuration, "discovery": moved.address})
         told = time.monotonic()
-        self.gateway.signal(signal.SIGHUP)
-        moved.tell(self.instance(0, self.backends[0], "draining"))
-        self.gateway.logged('"endpoint list"', '"generation": 8')
+        self.gateway.send_signal(signal.SIGHUP)
+        moved.publish(self.instance(0, self.backends[0], "draining"))
+        self.gateway.wait_for_log('"endpoint list"', '"generation": 8')
         self.assertLess(time.monotonic() - told, 1.0)
-        self.assertTrue(self.watch.ends())
+        self.assertTrue(self.watch.wait_for_end())
 
     def test_the_old_address_is_heard_before_the_move_or_not_at_all(self) -> None:
         watch = self.begin()
         moved = Discovery(self, self.known, generation=7)
         self.gateway.configure({**self.configuration, "discovery": moved.address})
-        self.gateway.signal(signal.SIGSTOP)
+        self.gateway.send_signal(signal.SIGSTOP)
         watch.send(self.said(50, False, self.instance(0, self.backends[0], "gone")))
-        self.gateway.signal(signal.SIGHUP)
-        self.gateway.signal(signal.SIGCONT)
-        self.gateway.logged("configuration read again")
-        moved.tell(self.instance(1, self.backends[1], "draining"))
-        self.gateway.logged('"endpoint list"', '"s-1": "draining"')
-        reload = self.gateway.lines("configuration read again")[0]
-        self.assertFalse([n for n in self.gateway.lines('"endpoint list"', '"generation": 50') if n > reload])
+        self.gateway.send_signal(signal.SIGHUP)
+        self.gateway.send_signal(signal.SIGCONT)
+        self.gateway.wait_for_log("configuration read again")
+        moved.publish(self.instance(1, self.backends[1], "draining"))
+        self.gateway.wait_for_log('"endpoint list"', '"s-1": "draining"')
+        reload = self.gateway.log_positions("configuration read again")[0]
+        self.assertFalse(
+            [n for n in self.gateway.log_positions('"endpoint list"', '"generation": 50') if n > reload]
+        )
 
     def test_idle_clients_in_every_descriptor_keep_no_call_from_discovery(self) -> None:
         watch = self.begin()
@@ -138,7 +149,7 @@
         again = self.service.accept()
         again.message()
         again.send(self.said(2, False, self.instance(0, self.backends[0], "draining")))
-        self.gateway.logged('"endpoint list"', '"generation": 2')
+        self.gateway.wait_for_log('"endpoint list"', '"generation": 2')
         self.is_served(1)
 
 
@@ -147,7 +158,7 @@
 
     GRACE = 0.25  # seconds
 
-    def begin(self, plant: str = "") -> Peer:
+    def begin(self, prelude: str = "") -> Peer:
         self.service = Server(self)
         self.backends = [Server(self), Server(self)]
         self.known = [self.instance(n, backend) for n, backend in enumerate(self.backends)]
@@ -155,7 +166,7 @@
         del contract["askWithin"]
         configuration = self.config(self.service, self.known, membershipMode="push")
         configuration["settings"]["contract"] = contract
-        self.gateway = GatewayProcess(self, configuration, plant, serves=False)
+        self.gateway = GatewayProcess(self, configuration, prelude, wait_until_serving=False)
         self.watch = self.service.accept()
         self.target = self.watch.message().target
         return self.watch
@@ -165,17 +176,17 @@
         with self.assertRaises(ConnectionRefusedError):
             socket.create_connection((HOST, self.gateway.port), 1.0)
         self.watch.send(self.said(2, False, self.instance(0, self.backends[0], "draining")))
-        self.gateway.logged("gateway serves")
-        asker = self.ask(request_bytes("a1", timeout_ms=600))
+        self.gateway.wait_for_log("gateway serves")
+        client = self.connect_and_send(request_bytes("a1", timeout_ms=600))
         with self.assertRaises(TimeoutError, msg="sent to a backend whose drain counted as told"):
-            self.backends[0].next_request(within=0.8)
-        self.assertIn(asker.message().status, (503, 504))
+            self.backends[0].next_request(timeout=0.8)
+        self.assertIn(client.message().status, (503, 504))
         self.is_served(1)
 
     def test_an_agent_that_refuses_is_not_waited_for(self) -> None:
         self.begin()
-        self.watch.send(answer(503))
-        self.gateway.logged("gateway serves")
+        self.watch.send(response_bytes(503))
+        self.gateway.wait_for_log("gateway serves")
         self.is_served(0)
 
     def test_an_agent_that_began_anew_is_asked_for_the_whole_list_first(self) -> None:
@@ -186,22 +197,22 @@
         with self.assertRaises(ConnectionRefusedError):
             socket.create_connection((HOST, self.gateway.port), 1.0)
         again.send(self.said(0, True, self.known[1]))
-        self.gateway.logged("gateway serves")
-        asker = self.ask(request_bytes("a1", timeout_ms=600))
+        self.gateway.wait_for_log("gateway serves")
+        client = self.connect_and_send(request_bytes("a1", timeout_ms=600))
         with self.assertRaises(TimeoutError, msg="sent to a backend that the agent does not know"):
-            self.backends[0].next_request(within=0.8)
-        self.assertIn(asker.message().status, (503, 504))
+            self.backends[0].next_request(timeout=0.8)
+        self.assertIn(client.message().status, (503, 504))
 
     def test_an_agent_that_hangs_is_waited_for_a_moment_only(self) -> None:
         self.begin()
         began = time.monotonic()
-        self.gateway.logged("gateway serves")
+        self.gateway.wait_for_log("gateway serves")
         self.assertLess(time.monotonic() - began, READY_WITHIN)
         self.is_served(0)
 
     def test_told_to_end_meanwhile_it_ends_at_once(self) -> None:
         self.begin()
-        self.gateway.signal(signal.SIGTERM)
+        self.gateway.send_signal(signal.SIGTERM)
         self.assertEqual(0, self.gateway.process.wait(READY_WITHIN))
 
 
@@ -222,7 +233,7 @@
         except TimeoutError:
             return True
         finally:
-            peer.socket.settimeout(PATIENCE)
+            peer.socket.settimeout(STEP_TIMEOUT)
 
     def test_an_answer_that_comes_late_is_waited_for_and_believed(self) -> None:
         self.begin()
@@ -232,19 +243,19 @@
             wait = int(target.rpartition("=")[2]) / 1000
             self.assertTrue(self.stays_open(self.watch, wait + self.CROWDED), "given up too early")
             self.watch.send(self.said(generation, False, self.instance(0, self.backends[0], "draining")))
-            self.gateway.logged('"endpoint list"', f'"generation": {generation}')
+            self.gateway.wait_for_log('"endpoint list"', f'"generation": {generation}')
 
     def test_a_whole_list_that_comes_late_is_waited_for_and_believed(self) -> None:
         self.begin()
         self.watch.send(self.said(7, True, *self.known))
         self.watch.message()
         self.watch.send(self.said(3, False))  # older than what is known: the whole list is asked for
-        self.assertTrue(self.watch.ends())
+        self.assertTrue(self.watch.wait_for_end())
         again = self.service.accept()
         self.assertEqual("/v1/servers", again.message().target)
         self.assertTrue(self.stays_open(again, self.CROWDED), "given up too early")
         again.send(self.said(3, True, self.known[1]))
-        self.gateway.logged('"endpoint list"', '"generation": 3')
+        self.gateway.wait_for_log('"endpoint list"', '"generation": 3')
 
     def test_however_many_calls_hang_the_next_is_answered_before_what_it_brings_counts_as_told(self) -> None:
         self.begin(self.LONGEST_PAUSES)
@@ -253,7 +264,7 @@
         reachable_at = time.monotonic()
         for _ in range(self.HANGS):
             # From now on it could be reached; the call that is out has hung already.
-            self.assertTrue(self.watch.ends())
+            self.assertTrue(self.watch.wait_for_end())
             self.watch = self.service.accept()
             self.watch.message()
             waited = time.monotonic() - reachable_at
--- a/tests/crossing/test_large_fleet.py
+++ b/tests/crossing/test_large_fleet.py
@@ -12,13 +12,13 @@
 from gorsethread.transport.real import free_ports
 from tests.crossing.rig import (
     HOST,
-    CrossingTest,
     Discovery,
-    Ended,
     GatewayProcess,
     Peer,
+    PeerEnded,
+    ProcessTest,
     Server,
-    answer,
+    response_bytes,
 )
 from tests.live import SETTINGS, request_bytes
 
@@ -45,7 +45,7 @@
 class AnyBackend(Server):
     """Answers every request on every connection; all backends of the list are at its address."""
 
-    def __init__(self, test: CrossingTest) -> None:
+    def __init__(self, test: ProcessTest) -> None:
         super().__init__(test, backlog=512)
         threading.Thread(target=self._accept_all, daemon=True).start()
 
@@ -63,13 +63,13 @@
         try:
             while True:
                 peer.message()
-                peer.send(answer(200, b"x" * 200))
-        except (Ended, OSError):
+                peer.send(response_bytes(200, b"x" * 200))
+        except (PeerEnded, OSError):
             peer.close()
 
 
 @pytest.mark.processes
-class LargeFleet(CrossingTest):
+class LargeFleet(ProcessTest):
     def backend(self, number: int, shard: int, state: str = "ready") -> dict[str, Any]:
         return {**self.instance(number, self.server, state), "cell": shard}
 
@@ -82,7 +82,7 @@
         configuration["listen"] = f"{HOST}:{free_ports(1)[0]}"
         configuration["limits"] = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
         self.gateway = GatewayProcess(self, configuration)
-        self.gateway.logged("endpoint list watch begins")
+        self.gateway.wait_for_log("endpoint list watch begins")
         before = self.cpu_seconds()
         served = self.play(backends)
         process = Path(f"/proc/{self.gateway.process.pid}")
@@ -101,18 +101,18 @@
 
     def play(self, backends: int) -> int:
         """The same requests whatever the number of backends; how many were served."""
-        chance, asker, served = random.Random(1), self.client(), 0
+        chance, client, served = random.Random(1), self.client(), 0
         changed, begun = 0, time.monotonic()
         for number in range(1, REQUESTS + 1):
             shard = -1 if chance.random() < NEW_PART else chance.randrange(backends)
             data = request_bytes(f"{number:x}", shard=shard, timeout_ms=2000, body=b"x" if shard < 0 else b"")
             volume = b"%016x" % chance.randrange(VOLUMES)
-            asker.send(data.replace(b"00000003b4d60021", volume))
-            served += asker.message().status == 200
+            client.send(data.replace(b"00000003b4d60021", volume))
+            served += client.message().status == 200
             due = begun + number / RATE
             if due - begun > (changed + 1) * CHANGE_EVERY:
                 gone = self.backend(changed, changed, "gone")
-                self.discovery.tell(gone, self.backend(backends + changed, changed))
+                self.discovery.publish(gone, self.backend(backends + changed, changed))
                 changed += 1
             time.sleep(max(0.0, due - time.monotonic()))
         return served
--- a/tests/http_gateway/test_clients.py
+++ b/tests/http_gateway/test_clients.py
@@ -265,12 +265,12 @@
 
         self.run_scenario(work)
 
-    def fail_on_bombs(self, gateway: Gateway) -> None:
-        """Makes the handling of requests with the header X-Bomb raise an unexpected error."""
+    def fail_on_marked_requests(self, gateway: Gateway) -> None:
+        """Makes the handling of requests with the header X-Fail raise an unexpected error."""
         original = gateway.clients.handle_request
 
         def handle_request(connection: object, request: Request) -> None:
-            if request.header(b"x-bomb"):
+            if request.header(b"x-fail"):
                 raise ZeroDivisionError
             original(connection, request)  # type: ignore[arg-type]
 
@@ -280,19 +280,19 @@
         """The event loop handles a pipelined request, not the connection's own task."""
 
         async def work() -> None:
-            self.fail_on_bombs(self.start())
-            bomber = await self.call(request_bytes("16") + request_bytes("17", headers="X-Bomb: 1\r\n"), 0.2)
-            self.assertEqual((1, True), (bomber.received.count(b"HTTP/1.1 200"), bomber.ended_at > 0))
+            self.fail_on_marked_requests(self.start())
+            failing = await self.call(request_bytes("16") + request_bytes("17", headers="X-Fail: 1\r\n"), 0.2)
+            self.assertEqual((1, True), (failing.received.count(b"HTTP/1.1 200"), failing.ended_at > 0))
             self.assertEqual(200, (await self.call(request_bytes("18"))).status)
 
         self.run_scenario(work)
 
     def test_an_unexpected_error_ends_its_connection_only(self) -> None:
         async def work() -> None:
-            self.fail_on_bombs(self.start())
-            bomber = await self.call(request_bytes("14", headers="X-Bomb: 1\r\n"))
-            self.assertNotEqual(0.0, bomber.ended_at)
-            self.assertEqual(500, bomber.status, "the request that was read gets an answer")
+            self.fail_on_marked_requests(self.start())
+            failing = await self.call(request_bytes("14", headers="X-Fail: 1\r\n"))
+            self.assertNotEqual(0.0, failing.ended_at)
+            self.assertEqual(500, failing.status, "the request that was read gets an answer")
             self.assertEqual(200, (await self.call(request_bytes("15"))).status)
 
         self.run_scenario(work)
