--- a/tests/crossing/test_clients.py
+++ b/tests/crossing/test_clients.py
@@ -1,4 +1,4 @@
-"""Orders that cross between clients and the gateway: ends of connections, requests sent ahead, shutdown."""
+"""Races between clients and the gateway: pipelined requests, closed connections, shutdown."""
 
 import asyncio
 import json
@@ -25,22 +25,22 @@
 )
 from tests.live import request_bytes
 
-LARGE = bytes(range(256)) * 7800  # 2 MB: two of these are more than the system's buffers take at once
-SHORT_LIVED = {
+LARGE = bytes(range(256)) * 7800  # 2 MB; two of these exceed the system's buffers
+SHORT_WAITS = {
     "services": [
         {"name": "read", "aim": 0.3, "giveUp": 0.6, "effect": "free", "worth": 2.0},
         {"name": "post", "aim": 0.4, "effect": "single_shot", "worth": 3.0},
     ]
 }
-LONG_LIVED = [{**service, "giveUp": 9.0} for service in SHORT_LIVED["services"]]
-KILLED_AFTER = 3.0 + 0.7  # seconds after SIGTERM, where a client may wait for 3 s or more
-ALL_ANSWERED_BY = 0.6 + 0.7  # seconds after SIGTERM, from which it may be killed
+LONG_WAITS = [{**service, "giveUp": 9.0} for service in SHORT_WAITS["services"]]
+KILLED_AFTER = 3.0 + 0.7  # seconds after SIGTERM, if a client may wait for 3 s or more
+ALL_ANSWERED_WITHIN = 0.6 + 0.7  # seconds after SIGTERM; after that the gateway may be killed
 
 
-class SentAhead(ProcessTest):
-    """A client sends on before it has its answer."""
+class Pipelining(ProcessTest):
+    """A client sends more before it has received its answer."""
 
-    def test_requests_far_ahead_of_an_open_one_cost_nobody_an_answer(self) -> None:
+    def test_requests_sent_far_ahead_of_an_open_one_are_all_answered(self) -> None:
         backend = Server(self)
         self.start(backend)
         body = b"x" * 40_000
@@ -57,14 +57,14 @@
         self.assertIn("a1", peer.message().headers["req-id"])
         # All of it, four times what is read ahead, has been sent before the first is answered.
         peer.send(response_bytes(200, b"ok"))
-        self.assertEqual(200, client.message().status, "the open one keeps its answer")
+        self.assertEqual(200, client.message().status, "the open request gets its answer")
         for id in ids[1:]:
             peer, request = backend.next_request()
             self.assertIn(id, request.headers["req-id"])
             peer.send(response_bytes(200, b"ok"))
             self.assertEqual(200, client.message().status)
 
-    def test_a_client_that_leaves_behind_what_it_sent_ahead_is_noticed(self) -> None:
+    def test_the_leaving_of_a_client_that_sent_requests_ahead_is_noticed(self) -> None:
         backend = Server(self)
         self.start(backend)
         client = self.connect_and_send(
@@ -75,11 +75,13 @@
         peer.message()
         closed_at = time.monotonic()
         client.close()
-        self.assertTrue(peer.wait_for_end(), "its attempt is called off")
+        self.assertTrue(peer.wait_for_end(), "its attempt is cancelled")
         self.assertLess(time.monotonic() - closed_at, 0.4)
-        self.assertTrue(backend.gets_no_connection(0.3), "what it had sent ahead is sent on after it left")
+        self.assertTrue(
+            backend.gets_no_connection(0.3), "a request that it had sent ahead is sent on after it left"
+        )
 
-    def test_answers_that_a_client_never_reads_are_bounded_and_all_come_in_the_end(self) -> None:
+    def test_unread_answers_are_bounded_and_all_are_received_in_the_end(self) -> None:
         backend = Server(self)
         self.start(backend)
         number, body = 200, b"y" * 200_000
@@ -93,12 +95,12 @@
                 break
             peer.send(response_bytes(200, body))
             served += 1
-        self.assertLess(served, number // 2, "its answers add up in the gateway's memory")
+        self.assertLess(served, number // 2, "unread answers accumulate in the gateway's memory")
         self.assertGreater(served, 1)
         read = 0
         while read < number:
             while read < served:
-                self.assertEqual(body, client.message().body, "what was answered comes as it is read")
+                self.assertEqual(body, client.message().body, "the client receives each answer as it reads")
                 read += 1
             if served < number:
                 peer, _ = backend.next_request()
@@ -106,13 +108,16 @@
                 served += 1
 
 
-class LeavesWhileTheGatewayStandsStill(ProcessTest):
-    """A client closes while the gateway is held up: one turn brings its close and room for its request."""
+class LeavesWhileTheGatewayIsStopped(ProcessTest):
+    """A client closes its connection while the gateway is stopped.
+
+    After the stop, one iteration of the event loop sees both the close and free slots for the request.
+    """
 
-    SLOTS = 4  # requests that a gateway has out at one backend at first
-    LEFT_AGO = 0.2  # seconds: from 0.1 after the close, no attempt may begin
+    SLOTS = 4  # a gateway's first concurrency limit at one backend
+    STOP_SECONDS = 0.2  # longer than 0.1 s after the close, from when on no attempt may begin
 
-    def test_what_waited_for_room_is_not_sent_though_both_come_in_one_turn(self) -> None:
+    def test_a_queued_request_is_not_sent_though_its_close_and_a_free_slot_arrive_together(self) -> None:
         for close_comes_first in (True, False):
             with self.subTest(close_comes_first=close_comes_first):
                 backend = Server(self)
@@ -121,34 +126,37 @@
                     self.connect_and_send(request_bytes(f"a{n}", timeout_ms=5000)) for n in range(self.SLOTS)
                 ]
                 peers = [backend.next_request()[0] for _ in clients]
-                leaver = self.connect_and_send(request_bytes("b1", timeout_ms=5000))
-                ports = leaver.ports
-                wait_until(lambda ports=ports: has_read_all(*ports), "the request is read")
+                leaving_client = self.connect_and_send(request_bytes("b1", timeout_ms=5000))
+                ports = leaving_client.ports
+                wait_until(lambda ports=ports: has_read_all(*ports), "a gateway that has read the request")
                 self.gateway.send_signal(signal.SIGSTOP)
-                steps = [leaver.close, *(lambda p=peer: p.send(response_bytes(200)) for peer in peers)]
+                steps = [
+                    leaving_client.close,
+                    *(lambda p=peer: p.send(response_bytes(200)) for peer in peers),
+                ]
                 for step in steps if close_comes_first else reversed(steps):
                     step()
-                time.sleep(self.LEFT_AGO)
+                time.sleep(self.STOP_SECONDS)
                 self.gateway.send_signal(signal.SIGCONT)
                 for client in clients:
                     self.assertEqual(200, client.message().status)
-                with self.assertRaises(TimeoutError, msg="sent on after its client had left"):
+                with self.assertRaises(TimeoutError, msg="sent after its client had left"):
                     backend.next_request(timeout=0.4)
 
 
-class Ends(ProcessTest):
-    """The gateway ends a connection; the client is sending, or has not read all."""
+class ConnectionEnds(ProcessTest):
+    """The gateway ends a connection while the client still sends or has not read everything."""
 
-    def test_an_error_reaches_a_client_that_is_still_sending_its_body(self) -> None:
+    def test_an_error_reaches_a_client_that_still_sends_its_body(self) -> None:
         self.start(Server(self))
         client = self.connect_and_send(
             b"PUT /read/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: a\r\nContent-Length: 60000000\r\n\r\n"
             + b"x" * 150_000
         )
         self.assertEqual(413, client.message().status)
-        self.assertTrue(client.wait_for_end(), "a reset, which takes from a client what it has not read yet")
+        self.assertTrue(client.wait_for_end(), "a reset, which discards what the client has not read yet")
 
-    def test_a_large_last_answer_comes_whole_to_a_client_that_reads_late(self) -> None:
+    def test_a_client_that_reads_late_receives_a_large_last_answer_in_full(self) -> None:
         backend = Server(self)
         self.start(backend)
         client = self.client(receive_buffer=4096)
@@ -163,36 +171,36 @@
         self.assertEqual([LARGE, LARGE], [client.message().body, client.message().body])
         self.assertTrue(client.wait_for_end())
 
-    def test_a_request_that_crosses_an_idle_connections_end_is_neither_sent_on_nor_reset(self) -> None:
+    def test_a_request_sent_as_its_idle_connection_ends_is_neither_sent_on_nor_reset(self) -> None:
         backend = Server(self)
         self.start(backend)
         client = self.client()
-        self.assertTrue(client.wait_for_end(), "silent since it connected")
+        self.assertTrue(client.wait_for_end(), "closed, as it sent nothing since it connected")
         client.send(request_bytes("d2"))
         self.assertTrue(client.wait_for_end())
         self.assertTrue(backend.gets_no_connection(0.3))
 
 
-class TroubleOfOthers(ProcessTest):
-    """What goes wrong elsewhere frees no request of its answer."""
+class UnrelatedFailures(ProcessTest):
+    """A request is answered whatever goes wrong with other clients and backends."""
 
-    def test_bad_clients_and_a_backend_that_talks_nonsense_cost_nobody_else_an_answer(self) -> None:
+    def test_invalid_clients_and_an_invalid_backend_cost_no_other_client_its_answer(self) -> None:
         good, bad = Server(self), Server(self)
         self.start(good, bad)
         client = self.connect_and_send(request_bytes("aa1", "post", timeout_ms=5000, body=b"x"))
         peer = good.accept()
         peer.message()
-        rude = [
+        invalid = [
             b"\x16\x03\x01",
             b"GET / HTTP/1.0\r\n\r\n",
             b"PUT /read/7f",
             200 * request_bytes("aa2", "nothing"),
         ]
-        others = [self.connect_and_send(rude[n % len(rude)]) for n in range(80)]
-        spoilt = self.connect_and_send(request_bytes("aa3", "post", shard=1, timeout_ms=5000, body=b"x"))
+        others = [self.connect_and_send(invalid[n % len(invalid)]) for n in range(80)]
+        failing = self.connect_and_send(request_bytes("aa3", "post", shard=1, timeout_ms=5000, body=b"x"))
         nonsense, _ = bad.next_request()
         nonsense.send(b"\x00\xff what is this\r\n\r\n")
-        self.assertEqual(504, spoilt.message().status, "it may have run")
+        self.assertEqual(504, failing.message().status, "it may have run")
         for other in others:
             other.reset()
         peer.send(response_bytes(200, b"mine"))
@@ -204,11 +212,11 @@
 
 
 class Shutdown(ProcessTest):
-    """SIGTERM, and what comes before, with and after it."""
+    """Events shortly before, together with and after SIGTERM."""
 
-    def test_what_is_open_at_sigterm_is_answered_and_told_that_the_connection_ends(self) -> None:
+    def test_a_request_open_at_sigterm_is_answered_and_the_gateway_exits_in_order(self) -> None:
         backend = Server(self)
-        self.start(backend, **SHORT_LIVED)
+        self.start(backend, **SHORT_WAITS)
         client = self.connect_and_send(request_bytes("e1", timeout_ms=600))
         peer = backend.accept()
         peer.message()
@@ -218,11 +226,11 @@
         self.assertEqual(b"last", client.message().body)
         self.assertEqual(0, self.gateway.process.wait(5))
 
-    def test_what_hangs_through_the_end_is_answered_before_the_kill_however_long_its_client_waits(
+    def test_a_request_that_hangs_is_answered_before_the_kill_however_long_its_client_waits(
         self,
     ) -> None:
         backend = Server(self)
-        self.start(backend, services=LONG_LIVED)
+        self.start(backend, services=LONG_WAITS)
         reader = self.connect_and_send(request_bytes("a1", timeout_ms=9000))
         writer = self.connect_and_send(request_bytes("a2", "post", timeout_ms=9000, body=b"x"))
         for _ in range(2):
@@ -230,14 +238,14 @@
         began = time.monotonic()
         self.gateway.send_signal(signal.SIGTERM)
         self.assertIn(reader.message().status, (503, 504))
-        self.assertEqual(504, writer.message().status, "it may run yet")
+        self.assertEqual(504, writer.message().status, "it may still run")
         self.assertLess(time.monotonic() - began, KILLED_AFTER)
         self.assertEqual(0, self.gateway.process.wait(KILLED_AFTER))
         self.assertLess(time.monotonic() - began, KILLED_AFTER)
 
-    def test_twice_and_together_with_a_reload_ends_once_and_in_order(self) -> None:
+    def test_two_sigterms_with_a_reload_between_shut_down_once_and_in_order(self) -> None:
         backend = Server(self)
-        self.start(backend, **SHORT_LIVED)
+        self.start(backend, **SHORT_WAITS)
         client = self.connect_and_send(request_bytes("e2", timeout_ms=600))
         peer = backend.accept()
         peer.message()
@@ -251,30 +259,30 @@
         self.assertEqual(0, self.gateway.process.wait(5))
         self.assertEqual(1, len(self.gateway.log_positions("gateway ended")))
 
-    def test_before_any_list_is_there_it_answers_and_ends(self) -> None:
-        silent = Server(self)  # takes connections and says nothing
+    def test_a_gateway_without_any_list_answers_and_shuts_down(self) -> None:
+        silent = Server(self)  # accepts connections and sends nothing
         backend = Server(self)
         self.backends = [backend, Server(self)]
-        self.configuration = self.config(silent, [], **SHORT_LIVED)
+        self.configuration = self.config(silent, [], **SHORT_WAITS)
         self.gateway = GatewayProcess(self, self.configuration)
         client = self.connect_and_send(request_bytes("e3", timeout_ms=600))
         self.gateway.send_signal(signal.SIGTERM)
         self.assertIn(client.message().status, (503, 504))
         self.assertEqual(0, self.gateway.process.wait(5))
 
-    def test_half_a_request_at_the_end_gets_an_answer(self) -> None:
-        self.start(Server(self), **SHORT_LIVED)
+    def test_a_partial_request_at_shutdown_gets_an_answer(self) -> None:
+        self.start(Server(self), **SHORT_WAITS)
         client = self.client()
-        told = time.monotonic()
+        signalled_at = time.monotonic()
         self.gateway.send_signal(signal.SIGTERM)
         self.gateway.wait_for_log("gateway ends")
         client.send(request_bytes("e4", "post", body=b"hello")[:-3])
         self.assertIn(client.message().status, (408, 503))
         self.assertTrue(client.wait_for_end())
-        self.assertLess(time.monotonic() - told, ALL_ANSWERED_BY)
+        self.assertLess(time.monotonic() - signalled_at, ALL_ANSWERED_WITHIN)
         self.assertEqual(0, self.gateway.process.wait(5))
 
-    def test_all_that_was_read_behind_the_request_in_work_is_answered_while_it_ends(self) -> None:
+    def test_requests_read_behind_an_open_one_are_answered_during_shutdown(self) -> None:
         backend = Server(self)
         self.start(backend)
         client = self.connect_and_send(request_bytes("f1", timeout_ms=3000))
@@ -283,9 +291,9 @@
         self.gateway.send_signal(signal.SIGTERM)
         self.gateway.wait_for_log("gateway ends")
         # From here on the listener is closed, and each answer may be the last of its connection.
-        wait_until(self._refused, "a listener that is closed")
+        wait_until(self._refused, "a closed listener")
         client.send(2 * b"GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
-        wait_until(lambda: has_read_all(*client.ports), "a gateway that has read what came")
+        wait_until(lambda: has_read_all(*client.ports), "a gateway that has read the requests")
         peer.send(response_bytes(200, b"one"))
         got = [client.message() for _ in range(3)]
         self.assertEqual([200, 200, 200], [m.status for m in got])
@@ -300,9 +308,9 @@
             return True
         return False
 
-    def test_clients_that_go_on_sending_get_an_answer_to_all_but_what_crosses_the_end(self) -> None:
+    def test_a_client_that_keeps_sending_gets_answers_until_its_connection_ends(self) -> None:
         backend = Server(self)
-        self.start(backend, **SHORT_LIVED)
+        self.start(backend, **SHORT_WAITS)
         client = self.client()
         self.gateway.send_signal(signal.SIGTERM)
         answered = 0
@@ -311,7 +319,7 @@
             try:
                 peer, _ = backend.next_request(timeout=0.5)
             except TimeoutError:
-                break  # it crossed the end of its connection, which is seen below
+                break  # sent as its connection ended, which is checked below
             peer.send(response_bytes(200, b"ok"))
             got = client.message()
             answered += 1
@@ -323,30 +331,30 @@
 
 
 class ListenerThatCloses(ProcessTest):
-    """In this process, where a client can connect in the very turn in which the listener closes."""
+    """Runs the gateway in the test's process, so that a client connects just before the listener closes."""
 
-    def test_a_connection_accepted_in_that_turn_is_served_and_waited_for(self) -> None:
+    def test_a_connection_made_just_before_the_listener_closes_is_served(self) -> None:
         self.backends = [Server(self), Server(self)]
         instances = [self.instance(n, backend) for n, backend in enumerate(self.backends)]
         discovery = Discovery(self, instances)
         path = Path(self.enterContext(tempfile.TemporaryDirectory())) / "config.json"
-        path.write_text(json.dumps(self.config(discovery, instances, **SHORT_LIVED)))
+        path.write_text(json.dumps(self.config(discovery, instances, **SHORT_WAITS)))
         start_logs(True, "critical")
         clients: list[Peer] = []
 
         async def work() -> None:
             transport = RealTransport()
-            order = read_configuration(path.read_bytes(), str(path))
-            gateway = Gateway(transport, order, str(path), log_for())
+            configuration = read_configuration(path.read_bytes(), str(path))
+            gateway = Gateway(transport, configuration, str(path), log_for())
             gateway.start()
-            closes = gateway._listener.close
+            original_close = gateway._listener.close
 
             def close() -> None:
-                # The system takes the connection; the loop has no turn until the listener is closed.
-                clients.append(Peer(socket.create_connection(order.listen, 5)))
+                # The system accepts the connection; the event loop runs again after the listener is closed.
+                clients.append(Peer(socket.create_connection(configuration.listen, 5)))
                 self.addCleanup(clients[0].close)
                 clients[0].send(b"GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
-                closes()
+                original_close()
 
             gateway._listener.close = close  # type: ignore[method-assign]
             await gateway.end()
--- a/tests/crossing/test_discovery.py
+++ b/tests/crossing/test_discovery.py
@@ -1,4 +1,4 @@
-"""Orders that cross between the gateway and discovery: watches replaced, old ones that speak, refusals."""
+"""Races between the gateway and discovery: broken and replaced watches, late answers, backoff."""
 
 import asyncio
 import json
@@ -29,12 +29,12 @@
 from tests.harness import FACTS, PrintingHost
 from tests.live import SETTINGS, FakeDiscovery, GatewayTest, request_bytes
 
-READY_WITHIN = 3.0  # seconds from a process's first call, of the 10 that nine in ten restarts may take
-TOLD_AFTER = 6.0  # seconds after discovery can be reached, from which a change counts as told
+READY_WITHIN = 3.0  # seconds from a process's first call; nine in ten restarts have to take at most 10 s
+NOTIFIED_AFTER = 6.0  # seconds after discovery is reachable, a gateway counts as notified of a change
 
 
 class DiscoveryTest(ProcessTest):
-    """The test is discovery, and says byte by byte what it says."""
+    """The test itself plays discovery and controls every byte of its answers."""
 
     def begin(self, prelude: str = "") -> Peer:
         self.service = Server(self)
@@ -46,88 +46,92 @@
         self.target = self.watch.message().target
         return self.watch
 
-    def said(self, generation: int, reset: bool, *instances: dict[str, Any]) -> bytes:
-        told = {"generation": generation, "reset": reset, "instances": instances}
-        return response_bytes(200, json.dumps(told).encode())
+    def list_response(self, generation: int, reset: bool, *instances: dict[str, Any]) -> bytes:
+        content = {"generation": generation, "reset": reset, "instances": instances}
+        return response_bytes(200, json.dumps(content).encode())
 
-    def is_served(self, number: int) -> None:
-        """A request for the backend of that number reaches it and is answered."""
+    def assert_served(self, number: int) -> None:
+        """Checks that a request for the backend of that number reaches it and is answered."""
         client = self.connect_and_send(request_bytes(f"a{number}", shard=number))
         peer, _ = self.backends[number].next_request()
         peer.send(response_bytes(200, b"served"))
         self.assertEqual(b"served", client.message().body)
 
 
-class PlayedByHand(DiscoveryTest):
-    def test_a_watch_that_ends_in_the_middle_of_a_message_is_opened_anew_and_changes_nothing(self) -> None:
+class WatchFailures(DiscoveryTest):
+    def test_a_watch_that_ends_within_an_answer_is_reopened_and_changes_nothing(self) -> None:
         watch = self.begin()
-        half = self.said(2, True, self.known[1])
-        watch.send(half[:-5])
+        response = self.list_response(2, True, self.known[1])
+        watch.send(response[:-5])
         watch.close()
         again = self.service.accept()
-        self.assertIn("since=1&", again.message().target, "of the half message nothing is believed")
-        self.is_served(0)
+        self.assertIn("since=1&", again.message().target, "nothing of the partial answer is applied")
+        self.assert_served(0)
 
-    def test_an_answer_that_never_ends_is_given_up(self) -> None:
+    def test_an_answer_that_never_ends_times_out(self) -> None:
         watch = self.begin()
         began = time.monotonic()
         watch.send(b"HTTP/1.1 200 X\r\nContent-Length: 100000\r\n\r\n")
         again = self.service.accept()
         again.message()
-        self.assertLess(time.monotonic() - began, TOLD_AFTER - 1.0)
-        # What the old watch says now is not heard: its connection has ended.
+        self.assertLess(time.monotonic() - began, NOTIFIED_AFTER - 1.0)
+        # Nothing more can arrive on the old watch: the gateway has ended its connection.
         self.assertTrue(watch.wait_for_end())
-        again.send(self.said(2, False, self.instance(0, self.backends[0], "draining")))
+        again.send(self.list_response(2, False, self.instance(0, self.backends[0], "draining")))
         self.gateway.wait_for_log('"endpoint list"', '"generation": 2')
 
-    def test_an_older_list_after_a_newer_is_not_believed_but_asked_for_whole(self) -> None:
+    def test_an_older_list_after_a_newer_one_is_not_applied_and_the_complete_list_is_requested(self) -> None:
         watch = self.begin()
-        watch.send(self.said(5, False))
+        watch.send(self.list_response(5, False))
         watch.message()
-        watch.send(self.said(4, False, self.instance(0, self.backends[0], "gone")))
+        watch.send(self.list_response(4, False, self.instance(0, self.backends[0], "gone")))
         again = self.service.accept()
         self.assertNotIn("since", again.message().target)
-        self.is_served(0)
-        again.send(self.said(6, True, *self.known))
+        self.assert_served(0)
+        again.send(self.list_response(6, True, *self.known))
         self.gateway.wait_for_log('"endpoint list"', '"generation": 6')
-        self.is_served(1)
+        self.assert_served(1)
 
-    def test_a_process_that_was_told_no_list_asks_for_the_whole_one(self) -> None:
+    def test_a_process_without_a_known_list_requests_the_complete_one(self) -> None:
         service = Server(self)
         self.backends = [Server(self), Server(self)]
         config = self.config(service, [])
         del config["known"]
         self.gateway = GatewayProcess(self, config)
         target = service.accept().message().target
-        self.assertNotIn("since", target, "changes would build on a list that is none")
+        self.assertNotIn("since", target, "there is no list to which changes could be applied")
 
-    def test_a_backend_back_at_the_same_address_with_another_id_is_another(self) -> None:
+    def test_a_new_id_at_the_address_of_a_gone_backend_is_another_backend(self) -> None:
         for gone_first in (True, False):
             with self.subTest(gone_first=gone_first):
                 watch = self.begin()
                 gone = {**self.known[0], "lifecycle": "gone"}
-                back = {**self.known[0], "instanceId": "s-new"}
-                watch.send(self.said(2, False, *((gone, back) if gone_first else (back, gone))))
+                replacement = {**self.known[0], "instanceId": "s-new"}
+                watch.send(
+                    self.list_response(
+                        2, False, *((gone, replacement) if gone_first else (replacement, gone))
+                    )
+                )
                 self.gateway.wait_for_log('"endpoint list"', '"generation": 2')
-                self.is_served(0)
+                self.assert_served(0)
 
-    def test_a_reload_moves_the_watch_while_the_old_one_is_silent(self) -> None:
+    def test_a_reload_moves_a_silent_watch(self) -> None:
         self.begin()
         moved = Discovery(self, self.known, generation=7)
         self.gateway.configure({**self.configuration, "discovery": moved.address})
-        told = time.monotonic()
+        signalled_at = time.monotonic()
         self.gateway.send_signal(signal.SIGHUP)
         moved.publish(self.instance(0, self.backends[0], "draining"))
         self.gateway.wait_for_log('"endpoint list"', '"generation": 8')
-        self.assertLess(time.monotonic() - told, 1.0)
+        self.assertLess(time.monotonic() - signalled_at, 1.0)
         self.assertTrue(self.watch.wait_for_end())
 
-    def test_the_old_address_is_heard_before_the_move_or_not_at_all(self) -> None:
+    def test_no_answer_from_the_old_address_is_applied_after_the_move(self) -> None:
         watch = self.begin()
         moved = Discovery(self, self.known, generation=7)
         self.gateway.configure({**self.configuration, "discovery": moved.address})
         self.gateway.send_signal(signal.SIGSTOP)
-        watch.send(self.said(50, False, self.instance(0, self.backends[0], "gone")))
+        watch.send(self.list_response(50, False, self.instance(0, self.backends[0], "gone")))
         self.gateway.send_signal(signal.SIGHUP)
         self.gateway.send_signal(signal.SIGCONT)
         self.gateway.wait_for_log("configuration read again")
@@ -138,31 +142,31 @@
             [n for n in self.gateway.log_positions('"endpoint list"', '"generation": 50') if n > reload]
         )
 
-    def test_idle_clients_in_every_descriptor_keep_no_call_from_discovery(self) -> None:
+    def test_idle_clients_leave_a_descriptor_for_the_watch(self) -> None:
         watch = self.begin()
         idle = []
         for _ in range(300):
             connection = socket.create_connection(("127.0.0.1", self.gateway.port), 5)
             self.addCleanup(connection.close)
             idle.append(connection)
-        watch.close()  # while it is away its watch ends; the next needs a descriptor
+        watch.close()  # the next watch needs a descriptor
         again = self.service.accept()
         again.message()
-        again.send(self.said(2, False, self.instance(0, self.backends[0], "draining")))
+        again.send(self.list_response(2, False, self.instance(0, self.backends[0], "draining")))
         self.gateway.wait_for_log('"endpoint list"', '"generation": 2')
-        self.is_served(1)
+        self.assert_served(1)
 
 
-class PushedToAnAgent(DiscoveryTest):
-    """What the agent on this machine has counts as told from the first moment of a new process."""
+class PushedLists(DiscoveryTest):
+    """A new process counts as notified, from its start, of the list that the agent on this machine has."""
 
-    GRACE = 0.25  # seconds
+    DRAIN_GRACE = 0.25  # seconds
 
     def begin(self, prelude: str = "") -> Peer:
         self.service = Server(self)
         self.backends = [Server(self), Server(self)]
         self.known = [self.instance(n, backend) for n, backend in enumerate(self.backends)]
-        contract = {**SETTINGS["contract"], "stopSendingWithin": self.GRACE}
+        contract = {**SETTINGS["contract"], "stopSendingWithin": self.DRAIN_GRACE}
         del contract["askWithin"]
         configuration = self.config(self.service, self.known, membershipMode="push")
         configuration["settings"]["contract"] = contract
@@ -171,58 +175,60 @@
         self.target = self.watch.message().target
         return self.watch
 
-    def test_no_request_is_taken_before_the_agent_has_told_what_drains(self) -> None:
+    def test_no_request_is_accepted_before_the_agents_list_is_applied(self) -> None:
         self.begin()
         with self.assertRaises(ConnectionRefusedError):
             socket.create_connection((HOST, self.gateway.port), 1.0)
-        self.watch.send(self.said(2, False, self.instance(0, self.backends[0], "draining")))
+        self.watch.send(self.list_response(2, False, self.instance(0, self.backends[0], "draining")))
         self.gateway.wait_for_log("gateway serves")
         client = self.connect_and_send(request_bytes("a1", timeout_ms=600))
-        with self.assertRaises(TimeoutError, msg="sent to a backend whose drain counted as told"):
+        with self.assertRaises(
+            TimeoutError, msg="sent to a backend whose drain the gateway counts as notified of"
+        ):
             self.backends[0].next_request(timeout=0.8)
         self.assertIn(client.message().status, (503, 504))
-        self.is_served(1)
+        self.assert_served(1)
 
-    def test_an_agent_that_refuses_is_not_waited_for(self) -> None:
+    def test_the_gateway_serves_at_once_if_the_agent_refuses(self) -> None:
         self.begin()
         self.watch.send(response_bytes(503))
         self.gateway.wait_for_log("gateway serves")
-        self.is_served(0)
+        self.assert_served(0)
 
-    def test_an_agent_that_began_anew_is_asked_for_the_whole_list_first(self) -> None:
+    def test_the_complete_list_of_a_restarted_agent_is_requested_before_serving(self) -> None:
         self.begin()
-        self.watch.send(self.said(0, False))  # older than what this process was told
+        self.watch.send(self.list_response(0, False))  # older than the list in the configuration
         again = self.service.accept()
         self.assertEqual("/v1/servers", again.message().target)
         with self.assertRaises(ConnectionRefusedError):
             socket.create_connection((HOST, self.gateway.port), 1.0)
-        again.send(self.said(0, True, self.known[1]))
+        again.send(self.list_response(0, True, self.known[1]))
         self.gateway.wait_for_log("gateway serves")
         client = self.connect_and_send(request_bytes("a1", timeout_ms=600))
-        with self.assertRaises(TimeoutError, msg="sent to a backend that the agent does not know"):
+        with self.assertRaises(TimeoutError, msg="sent to a backend that is not in the agent's list"):
             self.backends[0].next_request(timeout=0.8)
         self.assertIn(client.message().status, (503, 504))
 
-    def test_an_agent_that_hangs_is_waited_for_a_moment_only(self) -> None:
+    def test_the_gateway_serves_after_a_short_wait_if_the_agent_hangs(self) -> None:
         self.begin()
         began = time.monotonic()
         self.gateway.wait_for_log("gateway serves")
         self.assertLess(time.monotonic() - began, READY_WITHIN)
-        self.is_served(0)
+        self.assert_served(0)
 
-    def test_told_to_end_meanwhile_it_ends_at_once(self) -> None:
+    def test_sigterm_while_waiting_for_the_agent_ends_the_gateway_at_once(self) -> None:
         self.begin()
         self.gateway.send_signal(signal.SIGTERM)
         self.assertEqual(0, self.gateway.process.wait(READY_WITHIN))
 
 
-class SlowOrHanging(DiscoveryTest):
-    """Discovery takes its time, or takes calls and answers none of them."""
+class SlowOrHangingDiscovery(DiscoveryTest):
+    """Discovery answers late, or accepts calls and answers none of them."""
 
-    CROWDED = 1.7  # seconds behind a call's wait that a crowded service may answer
-    HANGS = 3  # calls in turn that it answers nothing to
-    ANSWERED_IN = 0.5  # seconds that the call after these may take
-    LONGEST_PAUSES = (
+    OVERLOAD_DELAY = 1.7  # seconds after a call's wait, within which an overloaded service may answer
+    HANGING_CALLS = 3  # consecutive calls without any answer
+    ANSWER_TIME = 0.5  # seconds that the call after these may take
+    LONGEST_BACKOFFS = (
         "from gorsethread.scheduling.random_draws import RandomDraws; RandomDraws.next = lambda self: 0.999"
     )
 
@@ -235,47 +241,53 @@
         finally:
             peer.socket.settimeout(STEP_TIMEOUT)
 
-    def test_an_answer_that_comes_late_is_waited_for_and_believed(self) -> None:
+    def test_a_late_answer_is_waited_for_and_applied(self) -> None:
         self.begin()
-        self.watch.send(self.said(7, True, *self.known))
+        self.watch.send(self.list_response(7, True, *self.known))
         for generation in (8, 9):
             target = self.watch.message().target
             wait = int(target.rpartition("=")[2]) / 1000
-            self.assertTrue(self.stays_open(self.watch, wait + self.CROWDED), "given up too early")
-            self.watch.send(self.said(generation, False, self.instance(0, self.backends[0], "draining")))
+            self.assertTrue(
+                self.stays_open(self.watch, wait + self.OVERLOAD_DELAY), "the call ended too early"
+            )
+            self.watch.send(
+                self.list_response(generation, False, self.instance(0, self.backends[0], "draining"))
+            )
             self.gateway.wait_for_log('"endpoint list"', f'"generation": {generation}')
 
-    def test_a_whole_list_that_comes_late_is_waited_for_and_believed(self) -> None:
+    def test_a_late_complete_list_is_waited_for_and_applied(self) -> None:
         self.begin()
-        self.watch.send(self.said(7, True, *self.known))
+        self.watch.send(self.list_response(7, True, *self.known))
         self.watch.message()
-        self.watch.send(self.said(3, False))  # older than what is known: the whole list is asked for
+        self.watch.send(
+            self.list_response(3, False)
+        )  # older than the current list, so the complete list is requested
         self.assertTrue(self.watch.wait_for_end())
         again = self.service.accept()
         self.assertEqual("/v1/servers", again.message().target)
-        self.assertTrue(self.stays_open(again, self.CROWDED), "given up too early")
-        again.send(self.said(3, True, self.known[1]))
+        self.assertTrue(self.stays_open(again, self.OVERLOAD_DELAY), "the call ended too early")
+        again.send(self.list_response(3, True, self.known[1]))
         self.gateway.wait_for_log('"endpoint list"', '"generation": 3')
 
-    def test_however_many_calls_hang_the_next_is_answered_before_what_it_brings_counts_as_told(self) -> None:
-        self.begin(self.LONGEST_PAUSES)
-        self.watch.send(self.said(7, True, *self.known))
+    def test_after_hanging_calls_the_next_call_is_made_before_the_gateway_counts_as_notified(self) -> None:
+        self.begin(self.LONGEST_BACKOFFS)
+        self.watch.send(self.list_response(7, True, *self.known))
         self.watch.message()
         reachable_at = time.monotonic()
-        for _ in range(self.HANGS):
-            # From now on it could be reached; the call that is out has hung already.
+        for _ in range(self.HANGING_CALLS):
+            # Discovery is reachable from now on; the call in flight already hangs.
             self.assertTrue(self.watch.wait_for_end())
             self.watch = self.service.accept()
             self.watch.message()
             waited = time.monotonic() - reachable_at
-            self.assertLess(waited, TOLD_AFTER - self.ANSWERED_IN)
+            self.assertLess(waited, NOTIFIED_AFTER - self.ANSWER_TIME)
             reachable_at = time.monotonic()
 
 
-class OldAddressInTheTurnOfTheMove(DiscoveryTest):
-    """In this process, whose loop lets a test choose what is done in one turn, and in which order."""
+class AnswerDuringAMove(DiscoveryTest):
+    """Runs the gateway in the test's process, so that the test controls one iteration of the event loop."""
 
-    def test_an_answer_that_was_read_in_that_turn_is_not_believed(self) -> None:
+    def test_an_answer_read_in_the_same_loop_iteration_as_the_move_is_not_applied(self) -> None:
         old, new = Server(self), Server(self)
         self.backends = [Server(self), Server(self)]
         self.known = [self.instance(n, backend) for n, backend in enumerate(self.backends)]
@@ -285,79 +297,82 @@
 
         async def work() -> None:
             transport = RealTransport()
-            order = read_configuration(path.read_bytes(), str(path))
-            head = Gateway(transport, order, str(path), log_for())
-            head.discovery.start(order.known_endpoints)
+            configuration = read_configuration(path.read_bytes(), str(path))
+            gateway = Gateway(transport, configuration, str(path), log_for())
+            gateway.discovery.start(configuration.known_endpoints)
             await transport.sleep(0.1)
             watch = old.accept()
             watch.message()
-            # The loop reads what has come before it calls what is due, and wakes the reader in the next turn.
-            watch.send(self.said(50, False, self.instance(0, self.backends[0], "gone")))
-            transport.at(transport.now(), lambda: head.discovery.move_to((HOST, new.port)))
+            # The event loop reads sockets before it runs due callbacks, and resumes the reader one iteration
+            # later.
+            watch.send(self.list_response(50, False, self.instance(0, self.backends[0], "gone")))
+            transport.at(transport.now(), lambda: gateway.discovery.move_to((HOST, new.port)))
             await transport.sleep(0.1)
-            self.assertEqual(1, head.discovery.version)
-            self.assertEqual(2, len(head.discovery.updates.known))
+            self.assertEqual(1, gateway.discovery.version)
+            self.assertEqual(2, len(gateway.discovery.updates.known))
             self.assertIn("since=1&", new.accept().message().target)
             await transport.end()
 
         asyncio.run(work())
 
 
-class Refusals(unittest.TestCase):
-    """The decisions alone: when is discovery asked again?"""
+class PollBackoff(unittest.TestCase):
+    """The scheduler alone: when it polls discovery again after failures."""
 
-    def scheduler(self, ask_within: float, heads: int, seed: int) -> tuple[Scheduler, PrintingHost]:
+    def scheduler(self, poll_within: float, gateways: int, seed: int) -> tuple[Scheduler, PrintingHost]:
         host = PrintingHost()
-        facts = SchedulerSettings(
+        settings = SchedulerSettings(
             **{
                 **FACTS,
-                "gateways": heads,
+                "gateways": gateways,
                 "polls_endpoints": True,
-                "poll_within": ask_within,
+                "poll_within": poll_within,
                 "slow_start": SlowStartRule(8.0, 2.0, 10.0, 0.25),
             }
         )
-        return Scheduler(host, facts, seed), host
-
-    def test_however_often_it_refused_it_is_asked_in_time_once_it_can_be_reached(self) -> None:
-        for ask_within in (2.0, 10.0, 60.0, 600.0):
-            for heads in (1, 6, 200):
-                for refused in range(1, 40):
-                    scheduler, host = self.scheduler(ask_within, heads, 7 * refused + heads)
-                    for _ in range(refused):
+        return Scheduler(host, settings, seed), host
+
+    def test_the_backoff_is_bounded_after_any_number_of_failures(self) -> None:
+        for poll_within in (2.0, 10.0, 60.0, 600.0):
+            for gateways in (1, 6, 200):
+                for failures in range(1, 40):
+                    scheduler, host = self.scheduler(poll_within, gateways, 7 * failures + gateways)
+                    for _ in range(failures):
                         scheduler.endpoint_poll_failed()
                     pause = scheduler.polling.next_poll_at - host.now
-                    self.assertLessEqual(pause, TOLD_AFTER - 2.0, (ask_within, heads, refused))
+                    self.assertLessEqual(pause, NOTIFIED_AFTER - 2.0, (poll_within, gateways, failures))
 
-    def test_the_longer_a_call_hung_the_sooner_the_next(self) -> None:
-        for ask_within in (2.0, 10.0, 60.0, 600.0):
-            for refused in range(1, 40):
+    def test_the_longer_a_call_hung_the_shorter_the_backoff(self) -> None:
+        for poll_within in (2.0, 10.0, 60.0, 600.0):
+            for failures in range(1, 40):
                 for waited in (0.0, 1.0, 2.5, 3.9, 4.2):
-                    scheduler, host = self.scheduler(ask_within, 200, refused)
-                    for _ in range(refused):
+                    scheduler, host = self.scheduler(poll_within, 200, failures)
+                    for _ in range(failures):
                         scheduler.endpoint_poll_failed(waited)
                     pause = scheduler.polling.next_poll_at - host.now
-                    self.assertLessEqual(waited + pause, TOLD_AFTER - 1.0, (ask_within, refused, waited))
+                    self.assertLessEqual(
+                        waited + pause, NOTIFIED_AFTER - 1.0, (poll_within, failures, waited)
+                    )
 
-    def test_a_new_process_asks_in_time_however_long_a_list_may_stand(self) -> None:
-        for ask_within in (2.0, 10.0, 60.0, 600.0):
+    def test_a_new_process_polls_within_two_seconds_whatever_the_poll_interval(self) -> None:
+        for poll_within in (2.0, 10.0, 60.0, 600.0):
             for seed in range(50):
-                scheduler, host = self.scheduler(ask_within, 200, seed)
+                scheduler, host = self.scheduler(poll_within, 200, seed)
                 self.assertLessEqual(scheduler.polling.next_poll_at - host.now, 2.0)
 
-    def test_a_first_refusal_leaves_time_for_the_answer_of_a_watch_that_fell_silent(self) -> None:
-        """A silence shows after 4 s; what it hides counts as told after 6."""
-        for ask_within in (2.0, 10.0, 60.0, 600.0):
+    def test_the_backoff_after_a_first_failure_is_at_most_one_second(self) -> None:
+        """A silent watch is detected after 4 s; what it missed counts as notified after 6 s."""
+        for poll_within in (2.0, 10.0, 60.0, 600.0):
             for seed in range(50):
-                scheduler, host = self.scheduler(ask_within, 200, seed)
+                scheduler, host = self.scheduler(poll_within, 200, seed)
                 scheduler.endpoint_list_begins(False, False)
                 scheduler.endpoint_list_ended()
                 scheduler.endpoint_poll_failed()
                 self.assertLessEqual(scheduler.polling.next_poll_at - host.now, 1.0)
 
 
-class RefusalsBeforeAMove(GatewayTest):
-    def test_they_lengthen_no_pause_of_the_new_address(self) -> None:
+class FailuresBeforeAMove(GatewayTest):
+    def test_failures_at_the_old_address_do_not_lengthen_the_backoff_at_the_new_one(self) -> None:
         async def work() -> None:
             gateway = self.start()
             self.discovery.unavailable = True
@@ -369,6 +384,6 @@
             self.transport.reload()
             await self.wait(0.1)
             self.assertEqual(1, len(new.targets))
-            self.assertEqual(1, gateway.driver.scheduler.polling.failures, "as after a first refusal")
+            self.assertEqual(1, gateway.driver.scheduler.polling.failures, "as after a first failure")
 
         self.run_scenario(work)
