--- a/gorsethread/gateway/interfaces.py
+++ b/gorsethread/gateway/interfaces.py
@@ -105,7 +105,7 @@
         self,
         id: int,
         attempt: int,
-        outcome: AttemptOutcome,
+        attempt_outcome: AttemptOutcome,
         service_seconds: float,
         now: float,
         answer: RequestOutcome | None = None,
--- a/tests/scheduling/test_same_decisions.py
+++ b/tests/scheduling/test_same_decisions.py
@@ -213,8 +213,8 @@
             for link in links.values():
                 while link.held and chance.random() < 0.45:
                     f = link.held.pop(0)
-                    if not f.over:
-                        f.over = True
+                    if not f.ended:
+                        f.ended = True
                         how = chance.choice(
                             [AttemptOutcome.SUCCEEDED] * 6
                             + [
--- a/tests/test_idle_shelves.py
+++ b/tests/test_idle_shelves.py
@@ -64,7 +64,7 @@
                 )
                 clock.move(clock.time + 0.001)
                 f = links[n % 2].held.pop()
-                f.over = True
+                f.ended = True
                 driver._ended(f, AttemptOutcome.SUCCEEDED, EMPTY_RESULT)
                 clock.move(clock.time + 0.001)
         finally:
