--- a/gorsethread/faults/recordsmutants.py
+++ b/gorsethread/faults/recordsmutants.py
@@ -116,8 +116,8 @@
 def _older(head: Head) -> None:
     def change(r: RecoveryStages) -> None:
         honest = r.on_answer
-        r.on_answer = lambda other, last, incarnation, now: honest(  # type: ignore[method-assign]
-            other, min(last, r.own_last), incarnation, now
+        r.on_answer = lambda gateway, last, incarnation, now: honest(  # type: ignore[method-assign]
+            gateway, min(last, r.own_last), incarnation, now
         )
 
     _returning(head, change)
@@ -170,11 +170,11 @@
     promises = _promises(head)
     honest = promises._on_records_fetched
 
-    def given(other: int, records: RecordTable) -> None:
+    def given(peer: int, records: RecordTable) -> None:
         kept = sorted(records.records.values())[:-3]
         less = RecordTable(kept)
         less.last = records.last
-        honest(other, less)
+        honest(peer, less)
 
     promises._on_records_fetched = given  # type: ignore[method-assign]
 
