--- a/gorsethread/gateway/accounting.py
+++ b/gorsethread/gateway/accounting.py
@@ -63,5 +63,5 @@
     def _report_hold_reasons(self, accounts: RequestAccounting, unsent: list[int], now: float) -> None:
         for request in unsent:
             reason, backend = self._why_held(request)
-            if reason is not HoldReason.NOT:  # NOT: the scheduler has not seen the request yet
+            if reason is not HoldReason.NOT_HELD:  # NOT_HELD: the scheduler has not seen the request yet
                 accounts.held(request, reason, backend, now)
--- a/gorsethread/gateway/driver.py
+++ b/gorsethread/gateway/driver.py
@@ -27,7 +27,7 @@
     AttemptEnded,
     AttemptOutcome,
     RequestOutcome,
-    RequestTaken,
+    RequestReceived,
     SchedulerSettings,
 )
 from gorsethread.scheduling.scheduler import Scheduler
@@ -130,7 +130,7 @@
         admitted_at = self.transport.now() if data_followed else arrived
         arrival = Arrival(volume, request_class, int(units), shard, key is not None, arrived, admitted_at)
         self.accounting.request_admitted(request.id, arrival)
-        taken = RequestTaken(
+        received = RequestReceived(
             request.id,
             request_class,
             service_tier,
@@ -142,7 +142,7 @@
             gateways,
             is_retry,
         )
-        self.queue_event("request_taken", taken)
+        self.queue_event("request_received", received)
         return request
 
     def _next_id(self) -> int:
@@ -259,7 +259,7 @@
         assert request.extent is not None
         released = self.first_writes.ended(request.extent, outcome)
         if released and self.placement_log is not None:
-            self.placement_log.freed(request.extent)
+            self.placement_log.released(request.extent)
 
     def _close(self, request: OpenRequest) -> None:
         if request.answered and not request.in_flight:
@@ -339,16 +339,16 @@
                 link.cancel(attempt)
             self._ended(attempt, AttemptOutcome.CANCELLED, EMPTY_RESULT)
 
-    def reject(self, request: int, return_after: float) -> None:
+    def reject(self, request: int, retry_after: float) -> None:
         """Rejects a request; its client may retry, best after so many seconds (0: no advice)."""
         if self.recorder:
-            self.recorder(("act", "reject", request, return_after))
+            self.recorder(("act", "reject", request, retry_after))
         found = self.open_requests.get(request)
         if found is not None and not found.answered:
             found.answered = True
             self.accounting.request_ended(found.id, RequestOutcome.REJECTED, self.transport.now())
             self.counts["rejected"] += 1
-            found.client.rejected(return_after)
+            found.client.rejected(retry_after)
             self._close(found)
 
     def fail(self, request: int) -> None:
--- a/gorsethread/gateway/interfaces.py
+++ b/gorsethread/gateway/interfaces.py
@@ -40,7 +40,7 @@
     def succeeded(self, shard: int, data: bytes) -> None:
         """The request ran, at a backend of that shard; data is what it read."""
 
-    def rejected(self, return_after: float) -> None:
+    def rejected(self, retry_after: float) -> None:
         """The request may safely be retried, best after so many seconds (0: no advice)."""
 
     def failed(self) -> None:
@@ -77,7 +77,7 @@
     def placed(self, place: tuple[int, int], shard: int, done: Callable[[bool], None]) -> None:
         """Stores a place, then calls done once, from the event loop, with whether the place is durable."""
 
-    def freed(self, place: tuple[int, int]) -> None:
+    def released(self, place: tuple[int, int]) -> None:
         """Removes the place of an extent of which no first write has run."""
 
     def retry_after(self) -> float:
--- a/gorsethread/http_gateway/client_connection.py
+++ b/gorsethread/http_gateway/client_connection.py
@@ -90,10 +90,10 @@
         self.open_request = None
         self.answer(200, [], data)
 
-    def rejected(self, return_after: float) -> None:
+    def rejected(self, retry_after: float) -> None:
         """Answers that the request did not run and may be retried after so many seconds."""
         self.open_request = None
-        headers = [(b"retry-after", b"%.3f" % return_after)] if return_after > 0 else []
+        headers = [(b"retry-after", b"%.3f" % retry_after)] if retry_after > 0 else []
         self.answer(503, headers, b"")
 
     def failed(self) -> None:
--- a/gorsethread/nvme_gateway/offline/standby_replication.py
+++ b/gorsethread/nvme_gateway/offline/standby_replication.py
@@ -1,8 +1,8 @@
-"""The branch's other gateway: what its records that this gateway holds show, and replay in its place."""
+"""Follows the replicated records of the branch's other gateway, and replays its queue while it is dead."""
 
 from collections.abc import Callable
 
-from gorsethread.durable_log.records import QUEUED, Record, Tombstone, WriteProgress, WriteQueued
+from gorsethread.durable_log.records import QUEUED_WRITE, Record, Tombstone, WriteProgress, WriteQueued
 from gorsethread.nvme_gateway.offline.block_view import BlockView
 from gorsethread.nvme_gateway.offline.branch_settings import BranchSettings
 from gorsethread.nvme_gateway.offline.change_history import ChangeHistory
@@ -19,20 +19,20 @@
 
 
 class StandbyReplication:
-    """Follows the other gateway's records, and takes over its queue while it is away.
+    """Follows the other gateway's records, and takes over its queue while it is dead.
 
-    The writes are in `StandbyWrites`, the queue that was taken over in `ReplaySources`.
+    `StandbyWrites` owns the writes, `ReplaySources` the queue that was taken over.
 
     Args:
-        settings: Of this branch.
-        queue: This gateway's own.
-        writes: The other gateway's.
+        settings: Settings of this gateway.
+        queue: This gateway's own queue.
+        writes: Writes of the other gateway.
         sources: The queues that this gateway replays.
-        block_view: Shows the other gateway's writes too.
-        dead_letters: Told what is dead-lettered and released by its writes.
-        history: For people.
-        write_finished: Called as a write of the other gateway is finished.
-        announce_progress: Tells the main site how far the replay has come.
+        block_view: Shows the other gateway's writes to reads too.
+        dead_letters: Notified of own writes that are dead-lettered or released with the other gateway's.
+        history: Records changes for operators.
+        write_finished: Called when a write of the other gateway is finished.
+        announce_progress: Sends the replay progress to the main site.
     """
 
     def __init__(
@@ -58,24 +58,30 @@
         self._announce_progress = announce_progress
         self._takeover = StandbyTakeover()
 
-    # ---- Its records
+    # ---- The other gateway's records
 
-    def records_stored(self, records: list[Record], begins_anew: bool, last: Position) -> None:
-        """Records of the other gateway are on this one's disk, and all that holds up to the last."""
-        if begins_anew:
-            self._writes.records_begin_anew()
+    def records_stored(self, records: list[Record], replaces_all: bool, last: Position) -> None:
+        """Handles records of the other gateway that are now on this one's disk.
+
+        Args:
+            records: The records.
+            replaces_all: Whether the other gateway starts to send all of its records again.
+            last: The position up to which this gateway now has all of its records.
+        """
+        if replaces_all:
+            self._writes.begin_resync()
         for record in records:
             if isinstance(record.fact, WriteQueued):
                 self._add(record.fact)
-        # Tombstones are dropped in time: a gateway that begins anew does not name what is finished any more.
-        for number in self._writes.take_unnamed(last):
-            self._finished(number)
+        # Tombstones expire, so a gateway that sends all its records again omits finished writes.
+        for number in self._writes.pop_not_resent(last):
+            self._finish(number)
         for record in records:
-            if isinstance(record.fact, Tombstone) and record.fact.subject[0] == QUEUED:
+            if isinstance(record.fact, Tombstone) and record.fact.subject[0] == QUEUED_WRITE:
                 _, incarnation, sequence = record.fact.subject
-                self._finished(self._number((incarnation, sequence)))
+                self._finish(self._number((incarnation, sequence)))
             elif isinstance(record.fact, WriteProgress):
-                self._progressed(
+                self._apply_progress(
                     self._number((record.fact.incarnation, record.fact.position)), record.fact.stage
                 )
 
@@ -88,7 +94,7 @@
         if self._writes.add(number, record):
             self._block_view.show(number, record)
 
-    def _progressed(self, number: WriteNumber, stage: str) -> None:
+    def _apply_progress(self, number: WriteNumber, stage: str) -> None:
         record = self._writes.get(number)
         if record is None:
             return
@@ -103,26 +109,26 @@
             self._block_view.show(number, record)
             self._release_dependents_of(number)
 
-    def _finished(self, number: WriteNumber) -> None:
+    def _finish(self, number: WriteNumber) -> None:
         self._writes.remove(number)
         self._block_view.remove(number)
         taken_over = self._sources.taken_over
         if taken_over is not None:
-            taken_over.applied(number)
+            taken_over.mark_applied(number)
         self._release_dependents_of(number)
         self._write_finished()
 
     def _release_dependents_of(self, number: WriteNumber) -> None:
         released = self._queue.release_dependents_of(number, self._writes.is_dead_lettered)
-        self._dead_letters.released_with_dependency(released)
+        self._dead_letters.record_dependency_releases(released)
 
-    # ---- Replay in its place
+    # ---- Replay for the other gateway
 
     def check_takeover(self, is_alive: bool, now: float) -> None:
         """Takes over the other gateway's queue, or gives it back; call it several times a second.
 
         Args:
-            is_alive: Whether the membership does not hold the other gateway dead.
+            is_alive: Whether membership considers the other gateway not dead.
             now: Seconds of the transport's clock.
         """
         if not self._takeover.should_replay(is_alive, now):
--- a/tests/crossing/test_discovery.py
+++ b/tests/crossing/test_discovery.py
@@ -26,7 +26,7 @@
     Server,
     response_bytes,
 )
-from tests.harness import FACTS, PrintingHost
+from tests.harness import SCHEDULER_SETTINGS, RecordingActions
 from tests.live import SETTINGS, FakeDiscovery, GatewayTest, request_bytes
 
 READY_WITHIN = 3.0  # seconds from a process's first call; nine in ten restarts have to take at most 10 s
@@ -319,11 +319,11 @@
 class PollBackoff(unittest.TestCase):
     """The scheduler alone: when it polls discovery again after failures."""
 
-    def scheduler(self, poll_within: float, gateways: int, seed: int) -> tuple[Scheduler, PrintingHost]:
-        host = PrintingHost()
+    def scheduler(self, poll_within: float, gateways: int, seed: int) -> tuple[Scheduler, RecordingActions]:
+        host = RecordingActions()
         settings = SchedulerSettings(
             **{
-                **FACTS,
+                **SCHEDULER_SETTINGS,
                 "gateways": gateways,
                 "polls_endpoints": True,
                 "poll_within": poll_within,
--- a/tests/http_gateway/test_clients.py
+++ b/tests/http_gateway/test_clients.py
@@ -122,7 +122,7 @@
             gateway.driver.recorder = events.append
             await self.call(request_bytes("e9"))
             await self.call(request_bytes("ea", headers="Req-Retry: 1\r\n"))
-            marks = [entry[-1].is_retry for entry in events if entry[2:3] == ("request_taken",)]
+            marks = [entry[-1].is_retry for entry in events if entry[2:3] == ("request_received",)]
             self.assertEqual([False, True], marks)
 
         self.run_scenario(work)
