--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -567,7 +567,7 @@
         )
 
 
-class GatewayTest(LiveRig):
+class PeerPortTest(LiveRig):
     def test_a_running_gateway_answers_lease_requests_on_its_peer_port(self) -> None:
         holder = int.from_bytes(blake2b(b"1", digest_size=8).digest()) % 60
         peers = [f"head{n}:7946" for n in range(60)]
