--- a/gorsethread/http_gateway/request_parsing.py
+++ b/gorsethread/http_gateway/request_parsing.py
@@ -1,4 +1,4 @@
-"""A client's request as the operators' protocol has it; anything missing or invalid is an error."""
+"""Parses a client's request by the operators' protocol; anything missing or invalid is an error."""
 
 import re
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 from gorsethread.http1.server_codec import Request
 from gorsethread.http_gateway.configuration import RequestNames
 
-# Headers and the parts of io-info, by the operators' names.
+# The operators' names of headers and of the fields of io-info.
 ID_HEADER = b"req-id"
 TIER_HEADER = b"tier"
 TIMEOUT_HEADER = b"req-deadline-ms"
@@ -24,12 +24,12 @@
 TIMEOUT = re.compile(rb"[0-9]{1,7}")
 INFO = re.compile(rb"[0-9A-Za-z_]+=[^=,]*(?:,[0-9A-Za-z_]+=[^=,]*)*")
 INTEGER = re.compile(rb"-?[0-9]{1,9}")
-GATEWAYS_MOST = 100_000
-QUOTED_MOST = 20  # bytes of a wrong value that an error quotes
+MAX_GATEWAYS = 100_000
+MAX_QUOTED_BYTES = 20  # bytes of an invalid value that an error quotes
 
 
 class RequestFields(NamedTuple):
-    """What a request says; timeout is in seconds from when the client sent it."""
+    """The fields of a request; timeout is in seconds from when the client sent it."""
 
     id: bytes
     request_class: int
@@ -40,13 +40,13 @@
     units: float
     shard: int
     gateways: int
-    repeat: bool
+    is_retry: bool
 
 
 def parse_request(request: Request, names: RequestNames) -> RequestFields:
-    """What a valid request says.
+    """Returns the fields of a valid request.
 
-    Raises InvalidRequestError, with the status to answer, for anything missing, doubled, unknown or out of
+    Raises InvalidRequestError, with the status to answer, for anything missing, duplicated, unknown or out of
     bounds.
     """
     request_class, key = _parse_target(request, names)
@@ -70,15 +70,15 @@
         key,
         int(timeout) * 0.001,
         volume.decode(),
-        float(_integer(info, INFO_UNITS, 1, names.units_most)),
+        float(_integer(info, INFO_UNITS, 1, names.max_units)),
         _integer(info, INFO_SHARD, -1, names.shards - 1),
-        _integer(info, INFO_GATEWAYS, 1, GATEWAYS_MOST),
+        _integer(info, INFO_GATEWAYS, 1, MAX_GATEWAYS),
         request.header(RETRY_HEADER) == b"1",
     )
 
 
 def _parse_target(request: Request, names: RequestNames) -> tuple[int, str]:
-    """The request class and the idempotency key, by method and path."""
+    """Returns the request class and the idempotency key from the method and the path."""
     if request.method not in (b"GET", b"PUT"):
         raise InvalidRequestError(405, "neither GET nor PUT")
     target = TARGET.fullmatch(request.target)
@@ -109,8 +109,8 @@
     return info
 
 
-def _integer(info: dict[bytes, bytes], name: bytes, least: float, most: float) -> int:
+def _integer(info: dict[bytes, bytes], name: bytes, minimum: float, maximum: float) -> int:
     value = info.get(name, b"")
-    if not INTEGER.fullmatch(value) or not least <= int(value) <= most:
-        raise InvalidRequestError(400, f"{name.decode()} is {value[:QUOTED_MOST]!r}")
+    if not INTEGER.fullmatch(value) or not minimum <= int(value) <= maximum:
+        raise InvalidRequestError(400, f"{name.decode()} is {value[:MAX_QUOTED_BYTES]!r}")
     return int(value)
--- a/tests/scheduling/test_same_decisions.py
+++ b/tests/scheduling/test_same_decisions.py
@@ -181,7 +181,7 @@
                 self.assertGreater(self.reasons_asked, 300)
 
     def ask_why_held(self, driver: Driver) -> None:
-        for id in driver.open:
+        for id in driver.open_requests:
             why_held(driver.scheduler, id)
             self.reasons_asked += 1
 
@@ -210,8 +210,8 @@
             draw = generator.random()
             if draw < 0.5:
                 self.admit_request(driver, generator)
-            elif draw < 0.53 and driver.open:
-                driver.client_left(generator.choice(list(driver.open.values())))
+            elif draw < 0.53 and driver.open_requests:
+                driver.client_left(generator.choice(list(driver.open_requests.values())))
             elif draw < 0.54:
                 driver.endpoint_poll_failed()
             if step in (200, 400):
@@ -219,8 +219,8 @@
             for link in links.values():
                 while link.attempts and generator.random() < 0.45:
                     attempt = link.attempts.pop(0)
-                    if not attempt.over:
-                        attempt.over = True
+                    if not attempt.ended:
+                        attempt.ended = True
                         outcome = generator.choice(
                             [AttemptOutcome.SUCCEEDED] * 6
                             + [
@@ -237,7 +237,7 @@
                         )
                         driver._ended(attempt, outcome, result)
         clock.move(clock.time + 3.0)
-        self.assertEqual({}, driver.open, "every request has ended")
+        self.assertEqual({}, driver.open_requests, "every request has ended")
         self.assertEqual({}, driver.first_writes.pending)
         if driver.accounting.accounts:
             self.assertEqual(0, driver.accounting.accounts.open)
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -19,7 +19,7 @@
 from minicheck import Protocol, check_safety
 
 from gorsethread.faults.coldpart import Falls
-from gorsethread.gateway.peer_messages import SENT_MOST, PeerMessages
+from gorsethread.gateway.peer_messages import MAX_MESSAGES_PER_SECOND, PeerMessages
 from gorsethread.harness.processes import Processes
 from gorsethread.http_gateway.addresses import UnusableConfigurationError
 from gorsethread.http_gateway.configuration import Configuration, read_configuration
@@ -47,7 +47,7 @@
 from gorsethread.transport.real import RealTransport
 from gorsethread.transport.virtual import Disk, Network, VirtualLoop, VirtualTransport, Weather
 from tests.harness import SCHEDULER_SETTINGS, RecordingActions, SchedulerTestCase
-from tests.live import SETTINGS, LiveRig, order
+from tests.live import SETTINGS, GatewayTest, make_config
 from tests.scheduling.test_same_decisions import simulator_setup
 
 RULE = SlowStartRule(9.0, 3.0, 13.0, 0.19)
@@ -542,12 +542,12 @@
         self.assertEqual(
             {"heard": 1, "from no peer": 2, "another fleet": 1, "malformed": 1}, dict(gateways[1].counts)
         )
-        for _ in range(3 * SENT_MOST):
+        for _ in range(3 * MAX_MESSAGES_PER_SECOND):
             gateways[0].send(1, "ask")
         gateways[0].send(3, "ask")
         gateways[0].send(1, "a" * 300)
         self.assertEqual(
-            (SENT_MOST, 2 * SENT_MOST + 2),
+            (MAX_MESSAGES_PER_SECOND, 2 * MAX_MESSAGES_PER_SECOND + 2),
             (gateways[0].counts["sent"] - 1, gateways[0].counts["not carried"]),
         )
 
@@ -567,7 +567,7 @@
         )
 
 
-class GatewayTest(LiveRig):
+class PeerPortTest(GatewayTest):
     def test_a_running_gateway_answers_lease_requests_on_its_peer_port(self) -> None:
         holder = int.from_bytes(blake2b(b"1", digest_size=8).digest()) % 60
         peers = [f"head{n}:7946" for n in range(60)]
@@ -593,7 +593,7 @@
             requester.send(holder, "ask 1 7/1.5 2 0.5")
             await self.wait(0.5)
 
-        self.play(work)
+        self.run_scenario(work)
         self.assertEqual([(holder, "lent 1 7/1.5 2 0.5")], received)
 
 
@@ -604,7 +604,7 @@
             "index": index,
             "permissions": {**SETTINGS["permissions"], "peerMessages": permitted},
         }
-        return read_configuration(json.dumps(order(settings=settings, **changed)).encode(), "the/place")
+        return read_configuration(json.dumps(make_config(settings=settings, **changed)).encode(), "the/place")
 
     def test_messages_are_enabled_only_if_permitted_and_with_addresses(self) -> None:
         addresses = {"peer_listen": "127.0.0.1:7946", "peers": ["127.0.0.1:7946"]}
