--- a/gorsethread/faults/world.py
+++ b/gorsethread/faults/world.py
@@ -25,7 +25,7 @@
 from gorsethread.standins.record import Fault, Recorder
 from gorsethread.standins.shelf import Shelf
 from gorsethread.transport.base import StreamClosed, Unreachable
-from gorsethread.transport.virtual import RESEND, Disk, Network, VirtualLoop, VirtualTransport
+from gorsethread.transport.virtual import MAX_RESEND_DELAY, Disk, Network, VirtualLoop, VirtualTransport
 from gorsethread.witness.judge import Break, Verdict, Witness
 from gorsethread.witness.online import OnlineWitness
 
@@ -427,7 +427,7 @@
         elif kind == "cut":
             for one, other in self._pairs(act):
                 self.network.cut(one, other)
-                self._apart(one, other, act.seconds + RESEND)  # what was held comes by then
+                self._apart(one, other, act.seconds + MAX_RESEND_DELAY)  # what was held comes by then
                 self.loop.call_later(act.seconds, self.network.heal, one, other)
         elif kind == "reset":
             for one, other in self._pairs(act):
--- a/gorsethread/http_gateway/client_connection.py
+++ b/gorsethread/http_gateway/client_connection.py
@@ -11,12 +11,12 @@
 from gorsethread.gateway.open_requests import OpenRequest
 from gorsethread.http1.framing import READ_AHEAD_BYTES_MAX, Headers, InvalidRequestError
 from gorsethread.http1.server_codec import Request, ServerCodec, closing_response
-from gorsethread.transport.base import READ_MOST, Stream, StreamClosed, Transport
+from gorsethread.transport.base import MAX_READ_BYTES, Stream, StreamClosed, Transport
 
 PAUSE_SECONDS = 0.25  # until a client whose request was invalid has its next one read
 RECHECK_SECONDS = 0.02  # until a client that was too far ahead, or reads no answers, is looked at again
 # Bytes behind an open request, beyond which no more is read for now.
-AHEAD_MOST = READ_AHEAD_BYTES_MAX - READ_MOST
+AHEAD_MOST = READ_AHEAD_BYTES_MAX - MAX_READ_BYTES
 UNSENT_MOST = 262_144  # bytes of answers that a client has not read, beyond which it gets no further one
 DROPPED_MOST = 262_144  # bytes that are read and dropped behind the end of this side
 REASON_LENGTH_MOST = 40  # characters of a reason that is counted
--- a/gorsethread/transport/base.py
+++ b/gorsethread/transport/base.py
@@ -5,8 +5,8 @@
 
 from gorsethread.errors import GorsethreadError
 
-READ_MOST = 65_536  # bytes that one read of a stream brings at the most
-MOST_DATAGRAM = 256  # bytes; the operators' platform carries no longer ones between heads
+MAX_READ_BYTES = 65_536  # bytes that one read of a stream brings at the most
+MAX_DATAGRAM_BYTES = 256  # bytes; the operators' platform carries no longer ones between heads
 
 
 class StreamClosed(GorsethreadError):
@@ -49,7 +49,7 @@
     def unsent(self) -> int: ...
 
     async def read(self) -> bytes:
-        """Some bytes, at least one and at most READ_MOST; StreamEnded at the end that the peer made in
+        """Some bytes, at least one and at most MAX_READ_BYTES; StreamEnded at the end that the peer made in
         order, StreamClosed at any other, such as a reset."""
         ...
 
@@ -92,7 +92,7 @@
     port: int
 
     def send(self, to: tuple[str, int], data: bytes) -> None:
-        """ValueError over MOST_DATAGRAM; nothing is said of one that does not arrive."""
+        """ValueError over MAX_DATAGRAM_BYTES; nothing is said of one that does not arrive."""
         ...
 
     def close(self) -> None: ...
--- a/gorsethread/transport/real.py
+++ b/gorsethread/transport/real.py
@@ -19,8 +19,8 @@
 from tornado.netutil import bind_sockets
 
 from gorsethread.transport.base import (
-    MOST_DATAGRAM,
-    READ_MOST,
+    MAX_DATAGRAM_BYTES,
+    MAX_READ_BYTES,
     Chance,
     Stream,
     StreamClosed,
@@ -55,7 +55,7 @@
 
     async def read(self) -> bytes:
         try:
-            return await self._stream.read_bytes(READ_MOST, partial=True)
+            return await self._stream.read_bytes(MAX_READ_BYTES, partial=True)
         except StreamClosedError as error:
             if error.real_error is None and not self._closed_here:
                 raise StreamEnded("closed by peer") from None
@@ -171,7 +171,7 @@
             if self._admits is not None and not self._admits():
                 accepted.close()
                 continue
-            stream = IOStream(accepted, read_chunk_size=READ_MOST, max_buffer_size=4 * READ_MOST)
+            stream = IOStream(accepted, read_chunk_size=MAX_READ_BYTES, max_buffer_size=4 * MAX_READ_BYTES)
             self._transport.spawn(self._serve(RealStream(stream, f"{address[0]}:{address[1]}")))
 
     async def _serve(self, stream: Stream) -> None:
@@ -202,7 +202,7 @@
         for _ in range(DATAGRAMS):
             try:
                 # One byte more than any may have: what is longer is seen as such.
-                data, source = self._socket.recvfrom(MOST_DATAGRAM + 1)
+                data, source = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError:
@@ -212,7 +212,7 @@
                 return
 
     def send(self, to: tuple[str, int], data: bytes) -> None:
-        if len(data) > MOST_DATAGRAM:
+        if len(data) > MAX_DATAGRAM_BYTES:
             raise ValueError(f"a datagram of {len(data)} bytes")
         with contextlib.suppress(OSError):  # the system is full, or knows no way there: it is lost
             self._socket.sendto(data, to)
@@ -355,8 +355,8 @@
         try:
             stream = IOStream(
                 socket.socket(socket.AF_INET, socket.SOCK_STREAM),
-                read_chunk_size=READ_MOST,
-                max_buffer_size=4 * READ_MOST,
+                read_chunk_size=MAX_READ_BYTES,
+                max_buffer_size=4 * MAX_READ_BYTES,
             )
         except OSError as error:
             raise Unreachable(f"{host}:{port}: {error}") from None
--- a/gorsethread/transport/virtual/__init__.py
+++ b/gorsethread/transport/virtual/__init__.py
@@ -10,6 +10,6 @@
 from gorsethread.transport.virtual.loop import Stuck, VirtualLoop
 from gorsethread.transport.virtual.network import Network, Weather
 from gorsethread.transport.virtual.process import VirtualTransport
-from gorsethread.transport.virtual.streams import RESEND
+from gorsethread.transport.virtual.streams import MAX_RESEND_DELAY
 
-__all__ = ["RESEND", "Disk", "Network", "Stuck", "VirtualLoop", "VirtualTransport", "Weather"]
+__all__ = ["MAX_RESEND_DELAY", "Disk", "Network", "Stuck", "VirtualLoop", "VirtualTransport", "Weather"]
--- a/gorsethread/transport/virtual/datagrams.py
+++ b/gorsethread/transport/virtual/datagrams.py
@@ -5,7 +5,7 @@
 
 import xxhash
 
-from gorsethread.transport.base import MOST_DATAGRAM
+from gorsethread.transport.base import MAX_DATAGRAM_BYTES
 
 if TYPE_CHECKING:
     from gorsethread.transport.virtual.process import VirtualTransport
@@ -28,7 +28,7 @@
         transport.network.ports[self._address] = self
 
     def send(self, to: tuple[str, int], data: bytes) -> None:
-        if len(data) > MOST_DATAGRAM:
+        if len(data) > MAX_DATAGRAM_BYTES:
             raise ValueError(f"a datagram of {len(data)} bytes")
         network, w, mine = self.transport.network, self.transport.network.weather, self.transport.name
         other = network.ports.get(to)
--- a/gorsethread/transport/virtual/streams.py
+++ b/gorsethread/transport/virtual/streams.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from gorsethread.transport.virtual.process import VirtualTransport
 
-RESEND = 0.2  # seconds until data lost in a cut is sent again after it has healed, at most
+MAX_RESEND_DELAY = 0.2  # seconds until data lost in a cut is sent again after it has healed, at most
 
 
 class Pipe:
@@ -73,7 +73,7 @@
         if self._waiting or not self.on_the_way:
             return
         chance = self.network.chance(f"way {self.sender.owner.name} {self.taker.owner.name}")
-        again = self.network.loop.time() + chance.uniform(0.01, RESEND)
+        again = self.network.loop.time() + chance.uniform(0.01, MAX_RESEND_DELAY)
         self.on_the_way = deque((max(again, at), left, data) for at, left, data in self.on_the_way)
         self._last = max(self._last, again)
         self._await()
