--- a/gorsethread/durable_log/log_store.py
+++ b/gorsethread/durable_log/log_store.py
@@ -301,7 +301,7 @@
             again_in=round(retry_after, 2),
         )
         self._close_segment()
-        self.transport.at(now + retry_after, self._wake_writer)
+        self.transport.call_at(now + retry_after, self._wake_writer)
 
     def _close_segment(self) -> None:
         if self._active is not None:
--- a/gorsethread/durable_log/segment_files.py
+++ b/gorsethread/durable_log/segment_files.py
@@ -47,7 +47,7 @@
         await transport.sleep(0.0)
     data = b"".join(parts)
     path = f"{folder}/{segment_file_name(header.incarnation, header.segment)}"
-    await transport.keep(path, data)
+    await transport.save_durably(path, data)
     return WrittenSegment(path, header.segment, seed, len(data))
 
 
@@ -77,7 +77,7 @@
 
 def remove_old_segments(transport: Transport, folder: str) -> None:
     """Remove all but the newest segments."""
-    identified = [(parse_segment_file_name(name), name) for name in transport.names(folder)]
+    identified = [(parse_segment_file_name(name), name) for name in transport.list_files(folder)]
     ordered = sorted((segment_id, name) for segment_id, name in identified if segment_id is not None)
     for _, name in ordered[:-SEGMENTS_KEPT]:
         transport.remove(f"{folder}/{name}")
@@ -86,7 +86,7 @@
 def load_segments(transport: Transport, folder: str) -> dict[str, bytes]:
     """Return the segments of a folder by their file names."""
     found: dict[str, bytes] = {}
-    for name in transport.names(folder):
+    for name in transport.list_files(folder):
         if parse_segment_file_name(name) is None:
             continue
         data = transport.load(f"{folder}/{name}")
--- a/gorsethread/faults/branchmutants.py
+++ b/gorsethread/faults/branchmutants.py
@@ -59,8 +59,8 @@
     def changed(promises: ReplicatedLog, honest: Any) -> Any:
         def keep(fact: Any, done: Any = None, here: bool = False) -> None:
             if isinstance(fact, WriteQueued):
-                promises.transport.soon(lambda: done(True))
-                promises.transport.at(promises.transport.now() + 0.5, lambda: honest(fact))
+                promises.transport.call_soon(lambda: done(True))
+                promises.transport.call_at(promises.transport.now() + 0.5, lambda: honest(fact))
             else:
                 honest(fact, done, here)
 
@@ -98,7 +98,7 @@
                 and done is not None
                 and getattr(done, "__name__", "") == "withdrawn"
             ):
-                promises.transport.soon(lambda: done(True))
+                promises.transport.call_soon(lambda: done(True))
             else:
                 honest(fact, done, here)
 
@@ -194,7 +194,7 @@
     def changed(promises: ReplicatedLog, honest: Any) -> Any:
         def keep(fact: Any, done: Any = None, here: bool = False) -> None:
             if isinstance(fact, WriteApplied) and not fact.ran:
-                promises.transport.soon(lambda: done(True))
+                promises.transport.call_soon(lambda: done(True))
             else:
                 honest(fact, done, here)
 
--- a/gorsethread/faults/recordsmutants.py
+++ b/gorsethread/faults/recordsmutants.py
@@ -40,7 +40,7 @@
 @mutant("records: nothing is kept of what is placed")
 def _nothing(head: Head) -> None:
     promises = _promises(head)
-    promises.placed = lambda extent, shard, on_durable: promises.transport.soon(  # type: ignore[method-assign]
+    promises.placed = lambda extent, shard, on_durable: promises.transport.call_soon(  # type: ignore[method-assign]
         lambda: on_durable(True)
     )
 
@@ -183,8 +183,8 @@
     honest = promises.placed
 
     def placed(extent: Any, shard: int, on_durable: Callable[[bool], None]) -> None:
-        promises.transport.soon(lambda: on_durable(True))
-        promises.transport.at(
+        promises.transport.call_soon(lambda: on_durable(True))
+        promises.transport.call_at(
             promises.transport.now() + 0.5, lambda: honest(extent, shard, lambda kept: None)
         )
 
--- a/gorsethread/faults/webmutants.py
+++ b/gorsethread/faults/webmutants.py
@@ -247,7 +247,7 @@
             for connection in set(head.clients.connections) - before:
                 on(connection)
 
-        head.transport.soon(soon)
+        head.transport.call_soon(soon)
         await honest(stream)
 
     head.clients.on_stream = on_stream  # type: ignore[method-assign]
--- a/gorsethread/faults/world.py
+++ b/gorsethread/faults/world.py
@@ -423,7 +423,7 @@
                 for tenant in self.clients:
                     self._apart(f"client {tenant}", name, act.seconds)
             process.pause()
-            self.loop.call_later(act.seconds, process.go_on)
+            self.loop.call_later(act.seconds, process.resume)
         elif kind == "cut":
             for one, other in self._pairs(act):
                 self.network.cut(one, other)
@@ -621,7 +621,7 @@
 
     def _check_accounts(self) -> None:
         """Every window that a head kept can be read, and each life in it is the sum of its stages."""
-        for name in self.day.names(ACCOUNTS):
+        for name in self.day.list_files(ACCOUNTS):
             raw = self.day.load(f"{ACCOUNTS}/{name}")
             window = decode(raw or b"", self.site.name)
             if window.remainders or window.disorders:
--- a/gorsethread/gateway/deadlines.py
+++ b/gorsethread/gateway/deadlines.py
@@ -40,7 +40,7 @@
         if self._timer is not None:
             self._timer.cancel()
         self._timer_at = when
-        self._timer = self._transport.at(when, self._fired)
+        self._timer = self._transport.call_at(when, self._fired)
 
     def _fired(self) -> None:
         now = self._transport.now()
--- a/gorsethread/gateway/driver.py
+++ b/gorsethread/gateway/driver.py
@@ -79,7 +79,7 @@
         self.scheduler = Scheduler(self, settings, seed)
         # The first batch is empty: the scheduler polls the list in it.
         self._batch_is_due = True
-        transport.soon(self._run_batch)
+        transport.call_soon(self._run_batch)
 
     @property
     def placement(self) -> Placement:
@@ -93,7 +93,7 @@
         self._events.append((method, arguments))
         if not self._batch_is_due:
             self._batch_is_due = True
-            self.transport.soon(self._run_batch)
+            self.transport.call_soon(self._run_batch)
 
     def admit(
         self,
@@ -278,7 +278,7 @@
             return
         self.counts["attempts"] += 1
         if wait > 0 and self._now + wait < found.deadline:
-            self.transport.at(self._now + wait, lambda: self._time_out(attempt))
+            self.transport.call_at(self._now + wait, lambda: self._time_out(attempt))
         self.accounting.sent(attempt, self.transport.now())
         if attempt.first_write and self.placement_log is not None and found.extent is not None:
             self.awaiting_placement[attempt] = None
@@ -358,7 +358,7 @@
         """Calls the scheduler's timer_fired(name) after so many seconds."""
         if self.recorder:
             self.recorder(("act", "set_timer", delay, name))
-        self.transport.at(self._now + delay, lambda: self.happened("timer_fired", name))
+        self.transport.call_at(self._now + delay, lambda: self.happened("timer_fired", name))
 
     def send_peer_message(self, gateway: int, words: str) -> None:
         """Sends a message to another gateway's scheduler, where the front has a way to it."""
--- a/gorsethread/harness/branches.py
+++ b/gorsethread/harness/branches.py
@@ -58,7 +58,7 @@
 
     def _begun(self) -> None:
         for when, head in self.copies_at:
-            self.transport.at(self.zero + when, lambda head=head: self._copy(head))  # type: ignore[misc]
+            self.transport.call_at(self.zero + when, lambda head=head: self._copy(head))  # type: ignore[misc]
 
     def _disks(self) -> tuple[set[int], set[int]]:
         folders = []
--- a/gorsethread/harness/cast.py
+++ b/gorsethread/harness/cast.py
@@ -122,7 +122,7 @@
         return now + act.seconds
 
     def _after(self, seconds: float, act: Callable[[], Any]) -> None:
-        self.transport.at(self.transport.now() + seconds, act)
+        self.transport.call_at(self.transport.now() + seconds, act)
 
     def goes_on(self, name: str) -> None:
         self.stopped.discard(name)
--- a/gorsethread/harness/kept.py
+++ b/gorsethread/harness/kept.py
@@ -78,7 +78,7 @@
             assert isinstance(client, Forgetful)
             client.denied = self._denied
         for when, head in self.copies_at:
-            self.transport.at(self.zero + when, lambda head=head: self._copy(head))  # type: ignore[misc]
+            self.transport.call_at(self.zero + when, lambda head=head: self._copy(head))  # type: ignore[misc]
 
     def _denied(self, volume: int, extent: int) -> None:
         self.result.denied += 1
--- a/gorsethread/harness/relay.py
+++ b/gorsethread/harness/relay.py
@@ -80,7 +80,7 @@
             wait = c.uniform(0.0, LATE_MOST) if c.random() < LATE_PART else 0.0
             wait += faults.slow.get((one, other), 0.0)
             # It seems to come from the sender's own port here, as its peers know it.
-            self.transport.at(
+            self.transport.call_at(
                 self.transport.now() + wait,
                 lambda: self._ports[one].send(("127.0.0.1", self.private[other]), data),
             )
@@ -179,7 +179,7 @@
                 while self.faults.cuts[one, other] or self.faults.cuts[other, one]:
                     held = True
                     await self.transport.sleep(self.look)
-                if held and loses or not near.quiet():
+                if held and loses or not near.is_idle():
                     raise StreamClosed("given up meanwhile")
                 far = await self.transport.connect(*behind, CONNECT_WITHIN)
             except (Unreachable, StreamClosed):
--- a/gorsethread/head/accounting.py
+++ b/gorsethread/head/accounting.py
@@ -30,14 +30,14 @@
         self.transport, self.driver, self.log = transport, driver, log
         self.site_name, self.head, self.folder, self.seconds = site.name, head, folder, seconds
         self.accounts = Accounts([p.promised for p in site.profile], transport.now())
-        self.start = transport.wall()
+        self.start = transport.wall_time()
         self.life = int(self.start * 1e6)
         self.most = KEPT_MOST
         self.ended = False
         mine = f"head-{head}-"
         # By the time in their names; emptied as newer ones come.
         self._kept = sorted(
-            name for name in transport.names(folder) if name.startswith(mine) and name.endswith(SUFFIX)
+            name for name in transport.list_files(folder) if name.startswith(mine) and name.endswith(SUFFIX)
         )
         driver.accounting.accounts = self.accounts
         self._look()
@@ -55,12 +55,12 @@
         if self.accounts.lanes:
             for id in self.accounts.looks():
                 self.accounts.held(id, *why_held(self.driver.scheduler, id), now)
-        self.transport.at(now + LOOK_EVERY, self._look)
+        self.transport.call_at(now + LOOK_EVERY, self._look)
 
     def _next(self) -> None:
-        wall = self.transport.wall()
+        wall = self.transport.wall_time()
         due = (int(wall / self.seconds) + 1) * self.seconds
-        self.transport.at(self.transport.now() + due - wall, self._turn)
+        self.transport.call_at(self.transport.now() + due - wall, self._turn)
 
     def _turn(self) -> None:
         if not self.ended:
@@ -68,7 +68,7 @@
             self._next()
 
     def _close(self, last: bool) -> None:
-        end = self.transport.wall()
+        end = self.transport.wall_time()
         window = self.accounts.close_window(self.transport.now())
         # A clock set back must not make a span end before it began.
         window.spans.add(Span(self.head, self.life, self.start, max(self.start, end), last))
--- a/gorsethread/head/clients.py
+++ b/gorsethread/head/clients.py
@@ -126,7 +126,7 @@
         waiting = Awaiting(self, io, profile, io.arrived + max(MILLISECOND, patience - self._slack))
         io.owned = waiting
         if command.opcode == Opcode.WRITE and command.sgl_type != SGL_IN_CAPSULE:
-            waiting.timer = self.transport.at(waiting.deadline, lambda: self._never_came(waiting))
+            waiting.timer = self.transport.call_at(waiting.deadline, lambda: self._never_came(waiting))
 
     def _never_came(self, waiting: Awaiting) -> None:
         """The data of a write did not come in its time: it was not taken, and nothing of it ran."""
--- a/gorsethread/head/fleet.py
+++ b/gorsethread/head/fleet.py
@@ -44,7 +44,7 @@
         self.pace = pace
         # Milliseconds of the wall clock name a start; one whose clock was set back hears it from the others.
         me = me._replace(
-            incarnation=int(transport.wall() * 1000),
+            incarnation=int(transport.wall_time() * 1000),
             refutation=0,
             state=MemberState.ALIVE,
             reported_by=me.member,
@@ -84,7 +84,7 @@
         self.view.tick(self.transport.now())
         self._flush()
         self._shown = max(0, self._shown - SHOWN_MOST // TICKS)
-        self.transport.at(self.transport.now() + self.pace.period / TICKS, self._tick)
+        self.transport.call_at(self.transport.now() + self.pace.period / TICKS, self._tick)
 
     def _came(self, data: bytes, source: Address) -> None:
         try:
--- a/gorsethread/head/listing.py
+++ b/gorsethread/head/listing.py
@@ -138,7 +138,7 @@
         if self.transport.now() - self._heard > SILENCE_MOST:
             stream.close()
             return
-        self.transport.at(self.transport.now() + 1.0, lambda: self._watch(stream))
+        self.transport.call_at(self.transport.now() + 1.0, lambda: self._watch(stream))
 
     def _take(self, line: bytes) -> None:
         told: Told = msgspec.json.decode(line, type=Told)
--- a/gorsethread/head/peers.py
+++ b/gorsethread/head/peers.py
@@ -114,7 +114,7 @@
             self._begin = self._begin % len(news) if len(news) > PIECE * PIECES_MOST else 0
             self._tell((news[self._begin :] + news[: self._begin])[: PIECE * PIECES_MOST], False)
             self._begin += PIECE * PIECES_MOST
-        self.transport.at(now + RESEND_INTERVAL, self._round)
+        self.transport.call_at(now + RESEND_INTERVAL, self._round)
 
     def _tell(self, news: list[BackendNews], fresh: bool) -> None:
         if self.stopped or self.side is None:
--- a/gorsethread/head/program.py
+++ b/gorsethread/head/program.py
@@ -67,7 +67,7 @@
                 known.queue_size,
                 known.digests,
                 log,
-                opens=lambda: opens.reserve(transport.wall()),
+                opens=lambda: opens.reserve(transport.wall_time()),
                 signs=self.branch,
             )
         )
--- a/gorsethread/http_gateway/backend_link.py
+++ b/gorsethread/http_gateway/backend_link.py
@@ -188,7 +188,7 @@
         if connection.end_timer is not None:
             connection.end_timer.cancel()
         when = self.transport.now() + END_TIMEOUT_SECONDS
-        connection.end_timer = self.transport.at(when, lambda: self._end_overdue(connection))
+        connection.end_timer = self.transport.call_at(when, lambda: self._end_overdue(connection))
 
     def _end_overdue(self, connection: BackendConnection) -> None:
         if not connection.over and connection.codec.ends_with_connection:
@@ -240,7 +240,7 @@
         now = self.transport.now()
         before = now - REST_SECONDS if self.pool.trust.holds(now) else -1.0
         for connection in reversed(list(self.idle_connections)):
-            if not connection.stream.quiet():
+            if not connection.stream.is_idle():
                 self.lose(connection)
             elif connection.idle_since <= before or self.pool.held >= self.pool.most:
                 self._forget_idle(connection)
--- a/gorsethread/http_gateway/client_connection.py
+++ b/gorsethread/http_gateway/client_connection.py
@@ -113,13 +113,13 @@
         if not goes_on:
             self.end()
         elif self.codec.partial:
-            self.side.transport.soon(self.proceed)
+            self.side.transport.call_soon(self.proceed)
 
     def _is_last(self) -> bool:
         """What has been read behind the request is owed an answer of its own, while there is time for it."""
         if not self.side.ending:
             return False
-        return self.side.late() or (not self.codec.bytes_ahead and self.stream.quiet())
+        return self.side.late() or (not self.codec.bytes_ahead and self.stream.is_idle())
 
     def refuse(self, error: InvalidRequestError) -> None:
         """Answers what can't be read as a request, or not any more, and ends the connection."""
@@ -192,7 +192,7 @@
         if not self._recheck_due:
             self._recheck_due = True
             transport = self.side.transport
-            transport.at(transport.now() + RECHECK_SECONDS, self._recheck)
+            transport.call_at(transport.now() + RECHECK_SECONDS, self._recheck)
         return True
 
     def _recheck(self) -> None:
--- a/gorsethread/http_gateway/client_side.py
+++ b/gorsethread/http_gateway/client_side.py
@@ -82,12 +82,12 @@
         if ended is not None:
             return ended
         free = [one for one in self.connections if not one.codec.open and not one.codec.partial]
-        silent = next((one for one in free if not one.served and one.stream.quiet()), None)
+        silent = next((one for one in free if not one.served and one.stream.is_idle()), None)
         if silent is not None:
             return silent
         before = self.transport.now() - MAY_CLOSE_SECONDS
         idle = sorted((one for one in free if one.served and one.since <= before), key=lambda one: one.since)
-        return next((one for one in idle if one.stream.quiet()), None)
+        return next((one for one in idle if one.stream.is_idle()), None)
 
     async def on_stream(self, stream: Stream) -> None:
         """Serves an admitted connection to its end."""
@@ -176,7 +176,7 @@
                     one.refuse(InvalidRequestError(408, "a request that does not become complete"))
             elif (
                 one.since <= now - (idle_most if one.served else COMPLETE_WITHIN_SECONDS)
-                and one.stream.quiet()
+                and one.stream.is_idle()
             ):
                 one.end()
 
@@ -202,7 +202,7 @@
             elif one.codec.partial:
                 if late:
                     one.refuse(InvalidRequestError(503, "a request not complete before the end"))
-            elif late or (one.stream.quiet() and (one.served or one.since <= now - NEW_WITHIN_SECONDS)):
+            elif late or (one.stream.is_idle() and (one.served or one.since <= now - NEW_WITHIN_SECONDS)):
                 one.end()
 
     def holds_any(self) -> bool:
--- a/gorsethread/http_gateway/discovery.py
+++ b/gorsethread/http_gateway/discovery.py
@@ -162,7 +162,7 @@
         host = f"{address[0]}:{address[1]}".encode()
         stream.write(codec.request(b"GET", self._target(), [(b"host", host)], b""))
         # A machine that vanished sends no end: the gateway would hear of no drain.
-        timer = self.transport.at(self._call_began + CALL_TIMEOUT_SECONDS, stream.close)
+        timer = self.transport.call_at(self._call_began + CALL_TIMEOUT_SECONDS, stream.close)
         try:
             return await read_answer(stream, codec)
         finally:
--- a/gorsethread/http_gateway/endpoint_updates.py
+++ b/gorsethread/http_gateway/endpoint_updates.py
@@ -29,7 +29,7 @@
         self.known: dict[int, Instance] = {}
         # From the gateway's clock to the Unix clock, by which discovery dates starts. Fixed, so that one
         # start that is listed twice stays one start.
-        self._unix_offset = transport.wall() - transport.now()
+        self._unix_offset = transport.wall_time() - transport.now()
 
     def apply(self, instances: list[Instance], complete: bool, remembered: bool) -> None:
         """Applies a complete list, or changes of the one that is known.
--- a/gorsethread/http_gateway/gateway.py
+++ b/gorsethread/http_gateway/gateway.py
@@ -131,7 +131,7 @@
         if self.configuration.pushed:
             # By an old list, requests could go to backends that the agent knows as draining or gone.
             self.discovery.first_call_over = self._serve_late
-            self.transport.at(self.transport.now() + FIRST_LIST_SECONDS, self._serve_late)
+            self.transport.call_at(self.transport.now() + FIRST_LIST_SECONDS, self._serve_late)
         self.discovery.start(self.configuration.known)
         if not self.configuration.pushed:
             self._serve()
@@ -207,12 +207,12 @@
         if not self.ended:
             self.clients.sweep()
             self.pool.sweep()
-            self.transport.at(self.transport.now() + SWEEP_INTERVAL_SECONDS, self._sweep)
+            self.transport.call_at(self.transport.now() + SWEEP_INTERVAL_SECONDS, self._sweep)
 
     def _report(self) -> None:
         if not self.ended:
             self._log_counts("counts")
-            self.transport.at(self.transport.now() + REPORT_INTERVAL_SECONDS, self._report)
+            self.transport.call_at(self.transport.now() + REPORT_INTERVAL_SECONDS, self._report)
 
     def _log_counts(self, event: str) -> None:
         counts = {name.replace(" ", "_"): count for name, count in sorted(self.driver.counts.items())}
--- a/gorsethread/lab/alternate.py
+++ b/gorsethread/lab/alternate.py
@@ -23,7 +23,7 @@
 
     def _begin(self) -> None:
         self.started, self.honoured = self.transport.now(), self.head.driver.counts["succeeded"]
-        self.transport.at(self.started + STRETCH, self._turn)
+        self.transport.call_at(self.started + STRETCH, self._turn)
 
     def _turn(self) -> None:
         honoured = self.head.driver.counts["succeeded"] - self.honoured
--- a/gorsethread/lab/asking.py
+++ b/gorsethread/lab/asking.py
@@ -81,7 +81,7 @@
         stream = await transport.connect(*head, within)
     except Unreachable as error:
         raise NoAnswer(f"{where}: {error}") from None
-    guard = transport.at(transport.now() + within, stream.close)
+    guard = transport.call_at(transport.now() + within, stream.close)
     reader = MessageReader(offline_messages.DECODER)
     try:
         stream.write(encode(offline_messages.OperatorQuery(fleet, what, number)))
--- a/gorsethread/nvme_gateway/offline/change_history.py
+++ b/gorsethread/nvme_gateway/offline/change_history.py
@@ -25,7 +25,7 @@
             self._logger.info("branch", what=what, text=text)
         self._changes.append(
             {
-                "at": round(self._transport.wall(), WALL_CLOCK_DIGITS),
+                "at": round(self._transport.wall_time(), WALL_CLOCK_DIGITS),
                 "what": what,
                 "number": list(number) if number is not None else None,
                 "text": text,
--- a/gorsethread/nvme_gateway/offline/operator_queries.py
+++ b/gorsethread/nvme_gateway/offline/operator_queries.py
@@ -117,11 +117,11 @@
             "waits_for": [list(number) for number in write.dependencies if not self._is_finished(number)],
             "stage": queued.stage.value,
             "reason": queued.reason,
-            "age": round(self._transport.wall() - write.accepted_at, SECONDS_DIGITS),
+            "age": round(self._transport.wall_time() - write.accepted_at, SECONDS_DIGITS),
         }
 
     def _state(self) -> JsonObject:
-        wall = self._transport.wall()
+        wall = self._transport.wall_time()
         now = self._transport.now()
         taken_over = self._sources.taken_over
         oldest = max((wall - queued.write.accepted_at for queued in self._queue), default=0.0)
--- a/gorsethread/nvme_gateway/offline/queue_persistence.py
+++ b/gorsethread/nvme_gateway/offline/queue_persistence.py
@@ -176,7 +176,7 @@
                 number.sequence,
                 record.volume,
                 record.block,
-                self._transport.wall(),
+                self._transport.wall_time(),
                 reason,
             )
         )
@@ -212,6 +212,6 @@
         self._log.append(record, stored_or_retry, True)
 
     def _retry(self, record_source: RecordSource) -> None:
-        self._transport.at(
+        self._transport.call_at(
             self._transport.now() + RETRY_DELAY, lambda: self._persist_until_stored(record_source)
         )
--- a/gorsethread/nvme_gateway/offline/write_admission.py
+++ b/gorsethread/nvme_gateway/offline/write_admission.py
@@ -245,7 +245,7 @@
             self._history.note("repeat", duplicate)
             request.client.accepted()
             return
-        accepted_at = self._transport.wall()
+        accepted_at = self._transport.wall_time()
         gateway = self._settings.gateway
         dependencies = collect_dependencies(gateway, known_dependencies, self._uncertain_dependencies)
         rejection = self._rejection(request, accepted_at, dependencies)
@@ -287,7 +287,7 @@
         self._queue.persisting(write_of(number, record, self._settings))
         pending = PendingAdmission(record, request.client)
         self._pending[number] = pending
-        pending.timer = self._transport.at(request.deadline, lambda: self._deadline_passed(number))
+        pending.timer = self._transport.call_at(request.deadline, lambda: self._deadline_passed(number))
         self._persistence.persist(record, lambda stored: self._stored(number, stored))
 
     def _record(
--- a/gorsethread/nvme_gateway/recovery_client.py
+++ b/gorsethread/nvme_gateway/recovery_client.py
@@ -89,7 +89,7 @@
         self.stream = stream
         self.ended = False
         self._received = RecordTable()  # bounded as the table of the gateway that sends it
-        self.timeout = client.transport.at(client.transport.now() + ANSWER_TIMEOUT, stream.close)
+        self.timeout = client.transport.call_at(client.transport.now() + ANSWER_TIMEOUT, stream.close)
 
     def greet(self) -> None:
         topology = self.client.topology
@@ -109,7 +109,7 @@
     def _on_records(self, message: replication_messages.Give) -> None:
         transport = self.client.transport
         self.timeout.cancel()
-        self.timeout = transport.at(transport.now() + ANSWER_TIMEOUT, self.stream.close)
+        self.timeout = transport.call_at(transport.now() + ANSWER_TIMEOUT, self.stream.close)
         for record in replication_messages.to_records(message.entries):
             self._received.apply(record)
         if not message.more:
--- a/gorsethread/nvme_gateway/replica_server.py
+++ b/gorsethread/nvme_gateway/replica_server.py
@@ -144,7 +144,7 @@
         self._streams.add(stream)
         reader = replication_messages.MessageReader(offline_messages.DECODER)
         # Who connects and sends nothing would take up a stream that a gateway needs.
-        timeout = self.transport.at(self.transport.now() + GREETING_TIMEOUT, stream.close)
+        timeout = self.transport.call_at(self.transport.now() + GREETING_TIMEOUT, stream.close)
         session = _Session(stream, timeout)
         try:
             while True:
--- a/gorsethread/nvme_gateway/replicated_log.py
+++ b/gorsethread/nvme_gateway/replicated_log.py
@@ -157,7 +157,7 @@
 
     async def _start_incarnation(self) -> None:
         stage = self.recovery.stage
-        self.incarnation = self.recovery.next_incarnation(self.transport.wall() * MS_PER_SECOND)
+        self.incarnation = self.recovery.next_incarnation(self.transport.wall_time() * MS_PER_SECOND)
         self.store.incomplete = stage is not Stage.COMPLETE
         await self.store.start_incarnation(self.incarnation)
         self.log.info("serves by its records", stage=self.recovery.stage.value, incarnation=self.incarnation)
@@ -216,7 +216,7 @@
             self._placing[extent].append(on_durable)
             return
         if self.retry_after() > 0.0:
-            self.transport.soon(partial(on_durable, False))
+            self.transport.call_soon(partial(on_durable, False))
             return
         self._placing[extent] = [on_durable]
         self.append(ExtentPlaced(*extent, shard), lambda durable: self._on_placed(extent, durable))
@@ -258,4 +258,4 @@
 
     def _on_placed(self, extent: ExtentKey, durable: bool) -> None:
         for on_durable in self._placing.pop(extent, ()):
-            self.transport.soon(partial(on_durable, durable))
+            self.transport.call_soon(partial(on_durable, durable))
--- a/gorsethread/nvme_gateway/replication_client.py
+++ b/gorsethread/nvme_gateway/replication_client.py
@@ -76,7 +76,7 @@
     def when_replicated(self, number: SequenceNumber, on_replicated: OnReplicated) -> None:
         """Report once whether enough replicas have the record within REPLICATION_TIMEOUT; numbers grow."""
         self._unreplicated.append((number, on_replicated))
-        self.transport.at(
+        self.transport.call_at(
             self.transport.now() + REPLICATION_TIMEOUT, lambda: self._report_until(number, False)
         )
 
@@ -102,7 +102,7 @@
             self.transport.spawn(self._keep_connected(gateway))
         if added or removed:
             self.log.info("replicas chosen", gateways=sorted(self.sender.replicas))
-        self.transport.at(self.transport.now() + CHOICE_INTERVAL, self._choose_replicas)
+        self.transport.call_at(self.transport.now() + CHOICE_INTERVAL, self._choose_replicas)
 
     async def _keep_connected(self, other: int) -> None:
         delay = MIN_RECONNECT_DELAY
@@ -166,7 +166,7 @@
         behind = self.sender.confirmed(other, last)
         self._report_until(self.sender.replicated, True)
         if behind:
-            self.transport.at(self.transport.now() + CATCH_UP_PAUSE, lambda: self._send_next(other))
+            self.transport.call_at(self.transport.now() + CATCH_UP_PAUSE, lambda: self._send_next(other))
         else:
             self._send_next(other)
 
@@ -210,4 +210,4 @@
         answer_due = replica is None or replica.in_flight or replica.confirmed is None
         if answer_due and now - self._heard_at > ANSWER_TIMEOUT:
             self._stream.close()
-        client.transport.at(now + WATCH_INTERVAL, self.look)
+        client.transport.call_at(now + WATCH_INTERVAL, self.look)
--- a/gorsethread/queues/dial.py
+++ b/gorsethread/queues/dial.py
@@ -168,7 +168,7 @@
         for dialed in open_queues:
             dialed.close("not set up in time")
 
-    limit = transport.at(by, give_up)
+    limit = transport.call_at(by, give_up)
     try:
         admin = await queue()
         data = connect_data(names.host_id, 0xFFFF, names.subsystem, names.host)
--- a/gorsethread/queues/serve.py
+++ b/gorsethread/queues/serve.py
@@ -59,7 +59,7 @@
         )
 
     async def serve(self) -> None:
-        limit = self.server.transport.at(self.heard + CONNECT_WITHIN, self._not_connected)
+        limit = self.server.transport.call_at(self.heard + CONNECT_WITHIN, self._not_connected)
         try:
             while not self.queue.over:
                 data = await self.stream.read()
@@ -223,7 +223,7 @@
         if due <= self.transport.now():
             queues[0].stop("keep-alive time ran out")
         else:
-            self.transport.at(due, lambda: self._watch(controller))
+            self.transport.call_at(due, lambda: self._watch(controller))
 
     def stop(self, reason: str) -> None:
         self.closing = True
--- a/gorsethread/standins/client.py
+++ b/gorsethread/standins/client.py
@@ -171,7 +171,7 @@
             self.written = [(t.volume.number, block) in client.acknowledged for block in blocks]
         self.cid = association.io.queue.submit(command, self._done, data, read)
         self.link.open[self.cid] = self
-        self.timer = client.transport.at(t.by, self._time_is_up)
+        self.timer = client.transport.call_at(t.by, self._time_is_up)
         return True
 
     def misread(self, data: bytes) -> int:
@@ -185,7 +185,7 @@
         return wrong
 
     def leave_after(self, seconds: float) -> None:
-        self.client.transport.at(self.client.transport.now() + seconds, self._leave)
+        self.client.transport.call_at(self.client.transport.now() + seconds, self._leave)
 
     def _leave(self) -> None:
         if not self.over and self.link.association is not None:
@@ -204,7 +204,7 @@
     def _time_is_up(self, turns: int = 3) -> None:
         # What had come in time may still lie unread where this process itself stood still for a moment.
         if turns and not self.over:
-            self.client.transport.soon(lambda: self._time_is_up(turns - 1))
+            self.client.transport.call_soon(lambda: self._time_is_up(turns - 1))
         elif not self.over:
             self.ended("unanswered", None, b"")
             self._take_back()
@@ -397,7 +397,7 @@
             wait = max(wait, completion.dw1 / 1000)
         if now + wait < t.by - 0.1:
             self.unfinished += 1  # else this client would end with a repeat still to come
-            self.transport.at(now + wait, lambda: self._repeat(t, one.link))
+            self.transport.call_at(now + wait, lambda: self._repeat(t, one.link))
 
     def _repeat(self, t: Transaction, link: Any) -> None:
         self.unfinished -= 1
--- a/gorsethread/standins/nodelist.py
+++ b/gorsethread/standins/nodelist.py
@@ -53,7 +53,7 @@
         self.script = script
         self.chance = transport.chance("list")
         self.version = 1
-        self.life = int(transport.wall() * 1e6)  # versions of another life of the list don't compare
+        self.life = int(transport.wall_time() * 1e6)  # versions of another life of the list don't compare
         self.entries: dict[int, tuple[Register, str, float]] = {}  # shelf: what it said, its state, since
         self.changes: deque[tuple[int, int]] = deque(maxlen=CHANGES_KEPT)  # version, shelf
         self.followers: dict[Follower, None] = {}  # emptied as heads' streams end
@@ -64,7 +64,7 @@
         self._listener = self.transport.listen(host, port, self._on_stream)
         self.port = self._listener.port
         for fault in self.script:
-            self.transport.at(fault.at, lambda fault=fault: self._fault(fault))  # type: ignore[misc]
+            self.transport.call_at(fault.at, lambda fault=fault: self._fault(fault))  # type: ignore[misc]
         self._say_alive()
         self.log.info("list serves", address=f"{host}:{self.port}")
 
@@ -157,7 +157,7 @@
         follower.last = max(follower.last + IN_ORDER, now + wait)
         version = self.version
         entries = [self.entries[n] for n in shelves]
-        self.transport.at(follower.last, lambda: self._tell(follower, entries, kind, version))
+        self.transport.call_at(follower.last, lambda: self._tell(follower, entries, kind, version))
 
     def _tell(
         self, follower: Follower, entries: list[tuple[Register, str, float]], kind: str, version: int
@@ -184,4 +184,4 @@
     def _say_alive(self) -> None:
         for follower in self.followers:
             follower.stream.write(msgspec.json.encode(Told("alive")) + b"\n")
-        self.transport.at(self.transport.now() + 1.0, self._say_alive)
+        self.transport.call_at(self.transport.now() + 1.0, self._say_alive)
--- a/gorsethread/standins/shelf.py
+++ b/gorsethread/standins/shelf.py
@@ -76,7 +76,7 @@
         self._listen(host, port)
         self.transport.spawn(self._register())
         for fault in self.script:
-            self.transport.at(fault.at, lambda fault=fault: self._fault(fault))  # type: ignore[misc]
+            self.transport.call_at(fault.at, lambda fault=fault: self._fault(fault))  # type: ignore[misc]
         if self.site.machine.put_off:
             self._pay()
         self.recorder.saw(
@@ -105,12 +105,12 @@
         self.recorder.saw("fault", kind=fault.kind, seconds=fault.seconds)
         if fault.kind == "still":
             self.machine.stand_still(now, fault.seconds)
-            self.transport.at(self.machine.still_until, self._move_again)
+            self.transport.call_at(self.machine.still_until, self._move_again)
         elif fault.kind == "errors":
             self.error_part, self.errors_until = fault.part, now + fault.seconds
         elif fault.kind == "slow":
             self.machine.slow = fault.part
-            self.transport.at(now + fault.seconds, lambda: setattr(self.machine, "slow", 1.0))
+            self.transport.call_at(now + fault.seconds, lambda: setattr(self.machine, "slow", 1.0))
 
     def _move_again(self) -> None:
         if self.machine.is_still(self.transport.now()):
@@ -123,7 +123,7 @@
     def _pay(self) -> None:
         self.machine.pay(self.transport.now())
         self._look()
-        self.transport.at(self.transport.now() + self.site.machine.put_off_every, self._pay)
+        self.transport.call_at(self.transport.now() + self.site.machine.put_off_every, self._pay)
 
     # ---- I/O commands
 
@@ -225,7 +225,7 @@
             if self._timer:
                 self._timer.cancel()
             self._timer_at = due
-            self._timer = self.transport.at(due, self._timer_came) if due < float("inf") else None
+            self._timer = self.transport.call_at(due, self._timer_came) if due < float("inf") else None
 
     def _timer_came(self) -> None:
         self._timer, self._timer_at = None, float("inf")
--- a/gorsethread/standins/web/backend.py
+++ b/gorsethread/standins/web/backend.py
@@ -65,7 +65,7 @@
         if not goes_on:
             self.stream.close()
         elif self.codec.partial:
-            self.shelf.transport.soon(self.proceed)
+            self.shelf.transport.call_soon(self.proceed)
 
     def answer(self, io: WebIo, completion: Completion) -> None:
         self.io = None
--- a/gorsethread/standins/web/bad_clients.py
+++ b/gorsethread/standins/web/bad_clients.py
@@ -51,7 +51,7 @@
         except Unreachable:
             return
         stream.write(words)
-        timer = self.transport.at(self.transport.now() + OWED_WITHIN, stream.close)
+        timer = self.transport.call_at(self.transport.now() + OWED_WITHIN, stream.close)
         began = self.transport.now()
         got = b""
         try:
--- a/gorsethread/standins/web/clients.py
+++ b/gorsethread/standins/web/clients.py
@@ -161,7 +161,7 @@
                 by=t.by,
                 due=t.due,
             )
-            self.timer = client.transport.at(t.by + ANSWER_SLACK, self._time_is_up)
+            self.timer = client.transport.call_at(t.by + ANSWER_SLACK, self._time_is_up)
         else:
             client.recorder.saw("sent anew", label=t.label, attempt=self.attempt)
 
--- a/gorsethread/standins/web/discovery.py
+++ b/gorsethread/standins/web/discovery.py
@@ -30,7 +30,7 @@
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
         # Above all versions of an earlier life, which had one each change at the most.
-        self.version = self.least = int(self.transport.wall() * 1000)
+        self.version = self.least = int(self.transport.wall_time() * 1000)
         self.news: deque[Change] = deque(maxlen=CHANGES_KEPT)
         self._last: dict[int, float] = {}
         self._watches: dict[int, Stream] = {}  # emptied as they end
@@ -90,7 +90,7 @@
 
     def shelf_for(self, head: int, c: Change) -> dict[str, Any]:
         now = self.transport.now()
-        started = self.transport.wall() - max(0.001, now - c.since) if c.since else 0.0
+        started = self.transport.wall_time() - max(0.001, now - c.since) if c.since else 0.0
         return instance(c.said.number, c.said.address, c.said.shard, c.said.zone, c.state, started, head)
 
     async def _answer(self, target: str, head: int) -> tuple[int, bytes, list[Change]]:
--- a/gorsethread/transport/base.py
+++ b/gorsethread/transport/base.py
@@ -53,7 +53,7 @@
         order, StreamClosed at any other, such as a reset."""
         ...
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Nothing unread has come and the peer has not ended it, as far as this machine knows now."""
         ...
 
@@ -124,16 +124,16 @@
         """Seconds on a clock that never goes back; one for all processes of a machine."""
         ...
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         """Seconds since the epoch, by this machine's clock, which others' may differ from and which may be
         set; only to name times to people and to other machines."""
         ...
 
-    def at(self, when: float, act: Callable[[], None]) -> Timer:
-        """An exception in act is a defect, as in spawn(); so with soon()."""
+    def call_at(self, when: float, act: Callable[[], None]) -> Timer:
+        """An exception in act is a defect, as in spawn(); so with call_soon()."""
         ...
 
-    def soon(self, act: Callable[[], None]) -> None:
+    def call_soon(self, act: Callable[[], None]) -> None:
         """Calls act after what is going on now, before anything new is read."""
         ...
 
@@ -183,7 +183,7 @@
         """Whole or not at all; OSError where it can't be written."""
         ...
 
-    async def keep(self, path: str, data: bytes) -> None:
+    async def save_durably(self, path: str, data: bytes) -> None:
         """As save(), and returns once it lasts through a loss of power. The folder is made where there is
         none."""
         ...
@@ -197,7 +197,7 @@
         that ends, however it does, holds it no more. OSError where it can't be made."""
         ...
 
-    def names(self, folder: str) -> list[str]:
+    def list_files(self, folder: str) -> list[str]:
         """The files in it, in order; none where it can't be read."""
         ...
 
--- a/gorsethread/transport/real.py
+++ b/gorsethread/transport/real.py
@@ -61,7 +61,7 @@
                 raise StreamEnded("closed by peer") from None
             raise StreamClosed(str(error.real_error or "closed")) from None
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         if self._stream.closed() or self._stream._read_buffer_size:
             return False
         try:
@@ -317,13 +317,13 @@
 
     now = staticmethod(time.monotonic)  # asked several times a transaction: no call of ours in between
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         return time.time()
 
-    def at(self, when: float, act: Callable[[], None]) -> Timer:
+    def call_at(self, when: float, act: Callable[[], None]) -> Timer:
         return self._loop.call_at(when, act)
 
-    def soon(self, act: Callable[[], None]) -> None:
+    def call_soon(self, act: Callable[[], None]) -> None:
         self._loop.call_soon(act)
 
     async def sleep(self, seconds: float) -> None:
@@ -418,7 +418,7 @@
             self._disk = ThreadPoolExecutor(1, "disk")
         return self._disk
 
-    async def keep(self, path: str, data: bytes) -> None:
+    async def save_durably(self, path: str, data: bytes) -> None:
         await self._loop.run_in_executor(self._writer(), _keep, path, data)
 
     def journal(self, path: str) -> RealJournal:
@@ -434,7 +434,7 @@
             return None
         return lambda: os.close(file)
 
-    def names(self, folder: str) -> list[str]:
+    def list_files(self, folder: str) -> list[str]:
         try:
             return sorted(entry.name for entry in Path(folder).iterdir())
         except OSError:
--- a/gorsethread/transport/virtual/process.py
+++ b/gorsethread/transport/virtual/process.py
@@ -54,7 +54,7 @@
     def pause(self) -> None:
         self.paused = True
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         self.paused = False
         held, self._held = self._held, []
         for act in held:
@@ -91,10 +91,10 @@
     def now(self) -> float:
         return self.network.loop.time() * (1.0 + self.drift) + self.offset
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         return EPOCH + self.network.loop.time() - BEGINS + self.wall_offset
 
-    def at(self, when: float, act: Callable[[], None]) -> VirtualTimer:
+    def call_at(self, when: float, act: Callable[[], None]) -> VirtualTimer:
         timer = VirtualTimer()
 
         def due() -> None:
@@ -106,12 +106,12 @@
         timer.handle = self.network.loop.call_at(true, self.gate, due)
         return timer
 
-    def soon(self, act: Callable[[], None]) -> None:
+    def call_soon(self, act: Callable[[], None]) -> None:
         self.network.loop.call_soon(self.gate, act)
 
     async def sleep(self, seconds: float) -> None:
         waiting = self.network.loop.create_future()
-        self.at(self.now() + seconds, lambda: settle(waiting))
+        self.call_at(self.now() + seconds, lambda: settle(waiting))
         await waiting
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
@@ -216,7 +216,7 @@
         """As long as a flush to this process's disk takes."""
         await self.sleep(chance.uniform(*FLUSH) + self.disk.slow.get(self.name, 0.0))
 
-    async def keep(self, path: str, data: bytes) -> None:
+    async def save_durably(self, path: str, data: bytes) -> None:
         await self.flush(self.chance(f"keep {path}"))
         self.save(path, data)
 
@@ -238,7 +238,7 @@
 
         return give_up
 
-    def names(self, folder: str) -> list[str]:
+    def list_files(self, folder: str) -> list[str]:
         inside = folder.rstrip("/") + "/"
         return sorted(path[len(inside) :] for path in self.disk.files if path.startswith(inside))
 
--- a/gorsethread/transport/virtual/streams.py
+++ b/gorsethread/transport/virtual/streams.py
@@ -129,7 +129,7 @@
         self.other._push()
         return data[:size]
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         return not (self.closed or self._got or self._ended)
 
     def peer_ended(self) -> bool:
--- a/tests/crossing/test_discovery.py
+++ b/tests/crossing/test_discovery.py
@@ -282,7 +282,7 @@
             watch.message()
             # The loop reads what has come before it calls what is due, and wakes the reader in the next turn.
             watch.send(self.said(50, False, self.instance(0, self.backends[0], "gone")))
-            transport.at(transport.now(), lambda: head.discovery.moved((HOST, new.port)))
+            transport.call_at(transport.now(), lambda: head.discovery.moved((HOST, new.port)))
             await transport.sleep(0.1)
             self.assertEqual(1, head.discovery.version)
             self.assertEqual(2, len(head.discovery.updates.known))
--- a/tests/http_gateway/test_discovery.py
+++ b/tests/http_gateway/test_discovery.py
@@ -89,7 +89,7 @@
         async def work() -> None:
             head = self.start()
             await self.wait(0.2)
-            started, now = self.user.wall() * 1000, self.transport.now()
+            started, now = self.user.wall_time() * 1000, self.transport.now()
             for _ in range(2):
                 self.list.tell(instance(0, started=started))
                 await self.wait(0.7)
--- a/tests/live.py
+++ b/tests/live.py
@@ -267,7 +267,7 @@
 
     def age(self, seconds: float) -> float:
         """Since the scene began, in a Unix time's milliseconds from now."""
-        return (self.user.wall() - seconds) * 1000
+        return (self.user.wall_time() - seconds) * 1000
 
 
 async def _pass(loop: VirtualLoop, seconds: float) -> None:
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -82,6 +82,6 @@
     def test_a_paused_process_finds_a_bounded_number(self) -> None:
         def stop(network: Network, both: dict[str, VirtualTransport]) -> None:
             both["b"].pause()
-            network.loop.call_later(6.5, both["b"].go_on)
+            network.loop.call_later(6.5, both["b"].resume)
 
         self.assertEqual(256, len(self.play(Weather(), stop, 600)))
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -243,7 +243,7 @@
         """The accounts' windows bear the wall's time: none is lost or overwritten, all add up."""
         world = self.kept("2 wall head-0 by -30\n4 wall head-0 by 60\n5 wall head-1 by -0.5")
         counted = 0
-        for name in world.day.names(ACCOUNTS):
+        for name in world.day.list_files(ACCOUNTS):
             counted += sum(
                 row.lives
                 for row in decode(world.day.load(f"{ACCOUNTS}/{name}") or b"", world.site.name).all_rows()
@@ -271,6 +271,6 @@
 class Blind(unittest.TestCase):
     def test_an_exception_in_a_callback_is_a_defect(self) -> None:
         def change(head: Head) -> None:
-            head.transport.at(head.transport.now() + 3.0, lambda: [].pop())
+            head.transport.call_at(head.transport.now() + 3.0, lambda: [].pop())
 
         self.assertIn("raised", play(SITE, read_script("seed 1\nseconds 3\n"), change).reasons)
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -134,13 +134,13 @@
         async def work() -> None:
             stream = await self.a.connect(*ADDRESS, 1.0)
             await self.wait(0.1)
-            self.b.at(self.b.now() + 1.0, lambda: fired.append(self.b.now()))
+            self.b.call_at(self.b.now() + 1.0, lambda: fired.append(self.b.now()))
             self.b.pause()
             stream.write(b"while it stood still")
             await self.wait(5.0)
             self.assertEqual(([], b""), (fired, self.got))
             now = self.loop.time()
-            self.b.go_on()
+            self.b.resume()
             await self.wait(0.001)
             self.assertEqual(([now], b"while it stood still"), (fired, self.got))
 
@@ -156,7 +156,7 @@
             stream.write(bytes(50_000))
             await self.wait(1.0)
             self.assertEqual(40_000, stream.unsent)
-            self.b.go_on()
+            self.b.resume()
             await stream.drained()
             await self.wait(0.1)
             self.assertEqual(50_000, len(self.got))
@@ -189,7 +189,7 @@
 
         async def work() -> None:
             due = self.a.now() + seconds
-            self.a.at(due, lambda: came.append(self.a.now() - due))
+            self.a.call_at(due, lambda: came.append(self.a.now() - due))
             await self.wait(200.0)
 
         self.play(work)
@@ -201,7 +201,7 @@
         logging.getLogger("asyncio").setLevel(logging.CRITICAL)
         self.addCleanup(logging.getLogger("asyncio").setLevel, logging.NOTSET)
         transport = RealTransport()
-        transport.at(transport.now(), lambda: [][0])
+        transport.call_at(transport.now(), lambda: [][0])
         with self.assertRaises(IndexError):
             await transport.until_finished()
 
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -16,7 +16,7 @@
     def now(self) -> float:
         return self.time
 
-    def at(self, when: float, act: Callable[[], None]) -> Any:
+    def call_at(self, when: float, act: Callable[[], None]) -> Any:
         self._count += 1
         alive = [True]
         self._due.append((when, self._count, act, alive))
@@ -27,7 +27,7 @@
 
         return Timer()
 
-    def soon(self, act: Callable[[], None]) -> None:
+    def call_soon(self, act: Callable[[], None]) -> None:
         self._soon.append(act)
 
     def settle(self) -> None:
