--- a/gorsethread/faults/world.py
+++ b/gorsethread/faults/world.py
@@ -201,8 +201,8 @@
         if script.seed % 2:
             # So little that one head lends it, over a network that loses, doubles and delays its messages.
             cold.units = LENT_UNITS * script.heads
-            self.network.weather = replace(
-                self.network.weather, lost=0.05, doubled=0.05, late=0.05, late_most=1.0
+            self.network.conditions = replace(
+                self.network.conditions, lost=0.05, doubled=0.05, late=0.05, max_late_delay=1.0
             )
         self.cold_part = ColdPart(
             SlowStartRule(cold.units, cold.span, cold.warm_after, cold.first_part), self._defect
--- a/gorsethread/transport/virtual/__init__.py
+++ b/gorsethread/transport/virtual/__init__.py
@@ -7,9 +7,17 @@
 """
 
 from gorsethread.transport.virtual.disk import Disk
-from gorsethread.transport.virtual.loop import Stuck, VirtualLoop
-from gorsethread.transport.virtual.network import Network, Weather
+from gorsethread.transport.virtual.loop import SimulationStuck, VirtualLoop
+from gorsethread.transport.virtual.network import Network, NetworkConditions
 from gorsethread.transport.virtual.process import VirtualTransport
 from gorsethread.transport.virtual.streams import MAX_RESEND_DELAY
 
-__all__ = ["MAX_RESEND_DELAY", "Disk", "Network", "Stuck", "VirtualLoop", "VirtualTransport", "Weather"]
+__all__ = [
+    "MAX_RESEND_DELAY",
+    "Disk",
+    "Network",
+    "NetworkConditions",
+    "SimulationStuck",
+    "VirtualLoop",
+    "VirtualTransport",
+]
--- a/gorsethread/transport/virtual/datagrams.py
+++ b/gorsethread/transport/virtual/datagrams.py
@@ -30,16 +30,18 @@
     def send(self, to: tuple[str, int], data: bytes) -> None:
         if len(data) > MAX_DATAGRAM_BYTES:
             raise ValueError(f"a datagram of {len(data)} bytes")
-        network, w, mine = self.transport.network, self.transport.network.weather, self.transport.name
+        network, mine = self.transport.network, self.transport.name
+        conditions = network.conditions
         other = network.ports.get(to)
         if other is None or not self.transport.alive:
             return
         chance = network.chance(f"datagrams {mine} {other.transport.name}")
-        for _ in range(2 if chance.random() < w.doubled else 1):
-            if chance.random() < w.lost or not network.reaches(mine, other.transport.name):
+        for _ in range(2 if chance.random() < conditions.doubled else 1):
+            if chance.random() < conditions.lost or not network.reaches(mine, other.transport.name):
                 continue
-            delay = chance.uniform(w.least_delay, w.most_delay)
-            delay += chance.uniform(0.0, w.late_most) if chance.random() < w.late else 0.0
+            delay = chance.uniform(conditions.min_delay, conditions.max_delay)
+            late = chance.random() < conditions.late
+            delay += chance.uniform(0.0, conditions.max_late_delay) if late else 0.0
             network.loop.call_later(delay, self._arrive, to, data)
 
     def _arrive(self, to: tuple[str, int], data: bytes) -> None:
--- a/gorsethread/transport/virtual/loop.py
+++ b/gorsethread/transport/virtual/loop.py
@@ -8,7 +8,7 @@
 BEGINS = 1000.0  # seconds on every machine's clock when a world begins
 
 
-class Stuck(GorsethreadError):
+class SimulationStuck(GorsethreadError):
     """Nothing is due and nothing can become due: the world waits for ever."""
 
     action = "Report the seed: a part of the program waits for what nobody will do."
@@ -29,7 +29,7 @@
 
     def select(self, timeout: float | None) -> list[Any]:
         if timeout is None:
-            raise Stuck("nothing is due any more")
+            raise SimulationStuck("nothing is due any more")
         if timeout > 0:
             self._virtual = max(self._virtual, self._scheduled[0]._when)  # type: ignore[attr-defined]
         return []
--- a/gorsethread/transport/virtual/network.py
+++ b/gorsethread/transport/virtual/network.py
@@ -17,11 +17,11 @@
 
 
 @dataclass(frozen=True)
-class Weather:
+class NetworkConditions:
     """How the network is where nothing is wrong. Seconds, bytes, parts of one."""
 
-    least_delay: float = 0.0002
-    most_delay: float = 0.002
+    min_delay: float = 0.0002
+    max_delay: float = 0.002
     bandwidth: float = 50e6  # bytes a second, each way of each connection
     window: int = 262_144  # bytes on the way and unread before the sender has to keep them
     segment: int = 16_384  # the most that arrives at once
@@ -29,14 +29,19 @@
     lost: float = 0.0  # parts of the datagrams that are lost, doubled, late
     doubled: float = 0.0
     late: float = 0.0
-    late_most: float = 0.5  # seconds
+    max_late_delay: float = 0.5  # seconds
 
 
 class Network:
     """All links between the processes of a world. cuts: who does not reach whom, one way each."""
 
-    def __init__(self, loop: VirtualLoop, seed: int, weather: Weather = Weather()) -> None:  # noqa: B008
-        self.loop, self.seed, self.weather = loop, seed, weather
+    def __init__(
+        self,
+        loop: VirtualLoop,
+        seed: int,
+        conditions: NetworkConditions = NetworkConditions(),  # noqa: B008
+    ) -> None:
+        self.loop, self.seed, self.conditions = loop, seed, conditions
         self.listeners: dict[tuple[str, int], VirtualListener] = {}  # emptied as they close
         self.machines: dict[tuple[str, int], str] = {}  # who last listened there
         self.vanished: set[str] = set()  # whose machine is gone without a word
--- a/gorsethread/transport/virtual/process.py
+++ b/gorsethread/transport/virtual/process.py
@@ -135,7 +135,7 @@
         chance = network.chance(f"connects {self.name}")
         while True:
             owner = network.machines.get(address, "")
-            delay = chance.uniform(network.weather.least_delay, network.weather.most_delay)
+            delay = chance.uniform(network.conditions.min_delay, network.conditions.max_delay)
             delay += network.slow_connects.get(owner, 0.0)
             reached = network.reaches(self.name, owner) and network.reaches(owner, self.name)
             wait = 2 * delay if reached else again
--- a/gorsethread/transport/virtual/streams.py
+++ b/gorsethread/transport/virtual/streams.py
@@ -30,9 +30,9 @@
         self._waiting = False
 
     def send(self, data: bytes) -> None:
-        w, now = self.network.weather, self.network.loop.time()
+        conditions, now = self.network.conditions, self.network.loop.time()
         chance = self.network.chance(f"way {self.sender.owner.name} {self.taker.owner.name}")
-        delay = chance.uniform(w.least_delay, w.most_delay) + len(data) / w.bandwidth
+        delay = chance.uniform(conditions.min_delay, conditions.max_delay) + len(data) / conditions.bandwidth
         self._last = max(self._last, now + delay)
         self.on_the_way.append((self._last, now, data))
         self.size += len(data)
@@ -121,7 +121,7 @@
         left, data = self._got.popleft()
         size = len(data)
         chance = self.network.chance(f"reads {self.owner.name}")
-        if size > 1 and chance.random() < self.network.weather.split:
+        if size > 1 and chance.random() < self.network.conditions.split:
             size = 1 + chance.randrange(size - 1)
             self._got.appendleft((left, data[size:]))
         self.unread -= size
@@ -150,12 +150,12 @@
         self._push()
 
     def _push(self) -> None:
-        w = self.network.weather
+        conditions = self.network.conditions
         while self._unsent and not self.closed and not self._broken:
-            room = w.window - self.out.size - self.other.unread
+            room = conditions.window - self.out.size - self.other.unread
             if room <= 0:
                 break
-            size = min(len(self._unsent), w.segment, room)
+            size = min(len(self._unsent), conditions.segment, room)
             self.out.send(bytes(self._unsent[:size]))
             del self._unsent[:size]
         if not self._unsent:
@@ -197,7 +197,7 @@
             # As TCP does it: the peer learns at once that not all was read, and what it has not read is lost.
             self.out.lose()
             self.network.loop.call_later(
-                self.network.weather.least_delay, self.other.broke, "connection reset"
+                self.network.conditions.min_delay, self.other.broke, "connection reset"
             )
         elif not self._end_sent:
             self.out.send(b"")
@@ -217,7 +217,7 @@
                 self.network.on_lost(self.other.owner.name, self.owner.name)
             if data and not self.other.closed:
                 self.network.loop.call_later(
-                    self.network.weather.least_delay, self.other.broke, "connection reset"
+                    self.network.conditions.min_delay, self.other.broke, "connection reset"
                 )
             return
         if data:
--- a/tests/http_gateway/test_backends.py
+++ b/tests/http_gateway/test_backends.py
@@ -2,7 +2,7 @@
 
 from gorsethread.http1.server_codec import Request
 from gorsethread.transport.base import Stream
-from gorsethread.transport.virtual import Weather
+from gorsethread.transport.virtual import NetworkConditions
 from tests.live import LiveRig as Rig
 from tests.live import Shelf, instance, whole, wish
 
@@ -179,7 +179,7 @@
     def test_a_connection_that_ends_before_the_last_byte_is_written_never_ran(self) -> None:
         async def work() -> None:
             head = self.start()
-            self.network.weather = Weather(window=1000, split=0.0)
+            self.network.conditions = NetworkConditions(window=1000, split=0.0)
             shelf, honest = self.shelves[0], self.shelves[0].on_stream
 
             async def deaf(stream: Stream) -> None:
--- a/tests/live.py
+++ b/tests/live.py
@@ -10,7 +10,7 @@
 from gorsethread.http_gateway.gateway import Gateway
 from gorsethread.logs import log_for, start_logs
 from gorsethread.transport.base import Stream, StreamClosed
-from gorsethread.transport.virtual import Disk, Network, VirtualLoop, VirtualTransport, Weather
+from gorsethread.transport.virtual import Disk, Network, NetworkConditions, VirtualLoop, VirtualTransport
 
 HEAD, LIST = ("head", 1), ("list", 1)
 PATH = "config.json"
@@ -220,7 +220,7 @@
         start_logs(True, "critical")
         self.loop = VirtualLoop()
         self.addCleanup(self.loop.close)
-        self.network = Network(self.loop, 3, Weather(split=0.0))
+        self.network = Network(self.loop, 3, NetworkConditions(split=0.0))
         self.disk = Disk()
         self.processes: list[VirtualTransport] = []
         self.user = self.process("user")
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from gorsethread.transport.real import RealTransport
-from gorsethread.transport.virtual import Disk, Network, VirtualLoop, VirtualTransport, Weather
+from gorsethread.transport.virtual import Disk, Network, NetworkConditions, VirtualLoop, VirtualTransport
 
 Got = list[tuple[bytes, tuple[str, int]]]
 
@@ -38,13 +38,13 @@
 class Virtual(unittest.TestCase):
     def play(
         self,
-        weather: Weather,
+        conditions: NetworkConditions,
         fault: Callable[[Network, dict[str, VirtualTransport]], None],
         number: int = 200,
     ) -> Got:
         loop = VirtualLoop()
         self.addCleanup(loop.close)
-        network, got = Network(loop, 5, weather), Got()
+        network, got = Network(loop, 5, conditions), Got()
         both = {name: VirtualTransport(network, Disk(), name) for name in ("a", "b")}
         sender = both["a"].datagrams("a", 1, into([]))
         both["b"].datagrams("b", 1, into(got))
@@ -57,22 +57,24 @@
         return got
 
     def test_where_nothing_is_wrong_all_come_once_in_order(self) -> None:
-        got = self.play(Weather(), lambda network, both: None)
+        got = self.play(NetworkConditions(), lambda network, both: None)
         self.assertEqual([(b"%d" % n, ("a", 1)) for n in range(200)], got)
 
     def test_loss_doubles_and_delays(self) -> None:
-        bad = Weather(lost=0.3, doubled=0.2, late=0.2)
+        bad = NetworkConditions(lost=0.3, doubled=0.2, late=0.2)
         got = [int(data) for data, _ in self.play(bad, lambda network, both: None)]
         self.assertTrue(90 < len(set(got)) < 175, len(set(got)))
         self.assertGreater(len(got), len(set(got)))
         self.assertNotEqual(sorted(got), got)
 
     def test_a_cut_one_way_and_a_machine_that_is_gone(self) -> None:
-        self.assertEqual(200, len(self.play(Weather(), lambda network, both: network.cut("b", "a"))))
-        self.assertEqual(0, len(self.play(Weather(), lambda network, both: network.cut("a", "b"))))
+        self.assertEqual(
+            200, len(self.play(NetworkConditions(), lambda network, both: network.cut("b", "a")))
+        )
+        self.assertEqual(0, len(self.play(NetworkConditions(), lambda network, both: network.cut("a", "b"))))
         for how in ("kill", "vanish"):
             got = self.play(
-                Weather(),
+                NetworkConditions(),
                 lambda network, both, how=how: network.loop.call_later(  # type: ignore
                     1.0, getattr(both["b"], how)
                 ),
@@ -84,4 +86,4 @@
             both["b"].pause()
             network.loop.call_later(6.5, both["b"].resume)
 
-        self.assertEqual(256, len(self.play(Weather(), stop, 600)))
+        self.assertEqual(256, len(self.play(NetworkConditions(), stop, 600)))
--- a/tests/test_harness.py
+++ b/tests/test_harness.py
@@ -22,7 +22,7 @@
 from gorsethread.sitefile.reading import read_site
 from gorsethread.transport.base import Stream, StreamClosed, Unreachable
 from gorsethread.transport.real import RealTransport
-from gorsethread.transport.virtual import Disk, Network, VirtualLoop, VirtualTransport, Weather
+from gorsethread.transport.virtual import Disk, Network, NetworkConditions, VirtualLoop, VirtualTransport
 
 # The list is away as nine of twelve heads are killed; then all of them hear nothing more of it on
 # connections that stay open, and two shelves drain meanwhile.
@@ -187,7 +187,7 @@
     def setUp(self) -> None:
         self.loop = VirtualLoop()
         self.addCleanup(self.loop.close)
-        network = Network(self.loop, 5, Weather(split=0.0))
+        network = Network(self.loop, 5, NetworkConditions(split=0.0))
         self.user, self.far, self.mid = (VirtualTransport(network, Disk(), n) for n in ("user", "far", "mid"))
         self.faults = Faults()
         self.relay = StreamRelay(self.mid, self.faults)
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -42,7 +42,7 @@
 from gorsethread.simulator_adapter.instances import Instances
 from gorsethread.sitefile.reading import read_site
 from gorsethread.transport.real import RealTransport
-from gorsethread.transport.virtual import Disk, Network, VirtualLoop, VirtualTransport, Weather
+from gorsethread.transport.virtual import Disk, Network, NetworkConditions, VirtualLoop, VirtualTransport
 from tests.harness import FACTS, PrintingHost
 from tests.harness import Scene as Bench
 from tests.live import SETTINGS, LiveRig, order
@@ -479,7 +479,7 @@
     def test_only_peers_of_this_fleet_are_heard_and_a_flood_is_not_carried(self) -> None:
         loop = VirtualLoop()
         self.addCleanup(loop.close)
-        network = Network(loop, 5, Weather())
+        network = Network(loop, 5, NetworkConditions())
         addresses = tuple((f"head{n}", 7946) for n in range(3))
         heard: list[tuple[int, str]] = []
         made = [
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -11,7 +11,7 @@
 
 from gorsethread.transport.base import Stream, StreamClosed, Unreachable
 from gorsethread.transport.real import RealTransport
-from gorsethread.transport.virtual import Disk, Network, VirtualLoop, VirtualTransport, Weather
+from gorsethread.transport.virtual import Disk, Network, NetworkConditions, VirtualLoop, VirtualTransport
 
 ADDRESS = ("b", 1)
 
@@ -19,10 +19,12 @@
 class Pair(unittest.TestCase):
     """Process a dials process b; what b's side of the connection is comes into served."""
 
-    def begin(self, weather: Weather | None = None, offset: float = 0.0, drift: float = 0.0) -> None:
+    def begin(
+        self, conditions: NetworkConditions | None = None, offset: float = 0.0, drift: float = 0.0
+    ) -> None:
         self.loop = VirtualLoop()
         self.addCleanup(self.loop.close)
-        self.network = Network(self.loop, 1, weather or Weather())
+        self.network = Network(self.loop, 1, conditions or NetworkConditions())
         disk = Disk()
         self.a = VirtualTransport(self.network, disk, "a", offset, drift)
         self.b = VirtualTransport(self.network, disk, "b")
@@ -147,7 +149,7 @@
         self.play(work)
 
     def test_a_reader_that_stops_holds_the_writer_back(self) -> None:
-        self.begin(Weather(window=10_000))
+        self.begin(NetworkConditions(window=10_000))
 
         async def work() -> None:
             stream = await self.a.connect(*ADDRESS, 1.0)
@@ -165,7 +167,7 @@
 
     @given(st.lists(st.binary(min_size=1, max_size=300), max_size=20), st.integers(0, 1000))
     def test_bytes_come_whole_and_in_order(self, pieces: list[bytes], seed: int) -> None:
-        self.begin(Weather(window=700, segment=64, split=0.6))
+        self.begin(NetworkConditions(window=700, segment=64, split=0.6))
         self.network.seed = seed
 
         async def work() -> None:
