--- a/gorsethread/faults/draw.py
+++ b/gorsethread/faults/draw.py
@@ -6,7 +6,7 @@
 
 from gorsethread.faults.script import KEPT_POINTS, POINTS, Act, Clock, Script
 from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.transport.program import Draws
+from gorsethread.transport.program import SeededRandom
 
 LAST = 0.55  # part of the time after which nothing new strikes
 CLEAR = 0.72  # part of the time at which every fault has ended
@@ -27,7 +27,7 @@
         web: bool = False,
         kept: bool = False,
     ) -> None:
-        self.chance = Draws(f"{'web ' if web else 'kept ' if kept else ''}script {seed}")
+        self.chance = SeededRandom(f"{'web ' if web else 'kept ' if kept else ''}script {seed}")
         self.troubles = WEB_TROUBLES if web else KEPT_TROUBLES if kept else TROUBLES
         self.seed, self.volumes, self.tenants, self.seconds = seed, volumes, tenants, seconds
         c = self.chance
@@ -315,7 +315,7 @@
         super().__init__(
             seed, [v.number for v in site.volume], [t.name for t in site.tenant], seconds, kept=True
         )
-        self.chance = Draws(f"branch script {seed}")
+        self.chance = SeededRandom(f"branch script {seed}")
         self.troubles = BRANCH_TROUBLES
         self.heads, self.shelves = len(site.head), self.chance.choice((4, 6))
         self.branches = [list(b.head) for b in site.branch]
--- a/gorsethread/faults/fleet.py
+++ b/gorsethread/faults/fleet.py
@@ -15,7 +15,7 @@
 from gorsethread.membership.failure_detector import ProbeTiming
 from gorsethread.membership.gossip_messages import Address, MemberRecord, MemberState, decode, encode
 from gorsethread.membership.membership_view import MembershipView
-from gorsethread.transport.program import Draws
+from gorsethread.transport.program import SeededRandom
 
 FLEET = 4711
 TICK = 0.1  # seconds
@@ -80,7 +80,7 @@
         self.script, self.plant, self.make = script, plant, make
         self.over_at: dict[tuple[int, int], list[float]] = {}  # by name and life: when each head held it over
         self._sent_before = 0
-        self.chance = Draws(f"fleet {script.seed}")
+        self.chance = SeededRandom(f"fleet {script.seed}")
         self.now, self._order = 0.0, 0
         self._agenda: list[tuple[float, int, Callable[[], None]]] = []
         self.nodes: dict[int, Node] = {}
@@ -300,7 +300,7 @@
 
 def drawn(seed: int, heads: int = 0) -> Script:
     """A script from a seed: the hard cases of a fleet, some of them at once."""
-    c = Draws(f"fleet script {seed}")
+    c = SeededRandom(f"fleet script {seed}")
     size = heads or c.choice((4, 5, 8, 12, 20, 33, 60))
     acts: list[Act] = []
     away: set[int] = set()
--- a/gorsethread/faults/webworld.py
+++ b/gorsethread/faults/webworld.py
@@ -69,14 +69,16 @@
             self.cold_part.shelf_started(backend_number(f"s-{facts['shelf']}"), self.loop.time())
         super().saw(who, event, facts)
         if event in ("sent", "sent anew"):
-            self._coming[self.network.wrote] = facts["label"], facts["attempt"]
+            self._coming[self.network.last_written_pipe] = facts["label"], facts["attempt"]
 
     def _arrived(self, one: str, other: str, count: int, left: float, way: int) -> None:
         super()._arrived(one, other, count, left, way)
         # Requests of one client come on several connections: a head takes them in the order they are there.
         if way in self._coming and other.startswith("head"):
             label, attempt = self._coming.pop(way)
-            self.processes[other].gate(lambda: self.saw("day", "came", {"label": label, "attempt": attempt}))
+            self.processes[other].deliver(
+                lambda: self.saw("day", "came", {"label": label, "attempt": attempt})
+            )
 
     def _start_client(self, tenant: str) -> None:
         super()._start_client(tenant)
--- a/gorsethread/faults/world.py
+++ b/gorsethread/faults/world.py
@@ -138,7 +138,7 @@
             self._world.telling(facts)
             return
         if event == "arrived":
-            facts["left"] = self._world.network.left_at
+            facts["left"] = self._world.network.last_read_sent_at
         self._world.saw(self._name, event, facts)
 
 
@@ -224,12 +224,12 @@
         record = {"t": self.loop.time(), "who": who, "e": event, **facts}
         self.records.append(record)
         self.online.take(record)
-        self.network.saw(who, event, *facts.values())
+        self.network.add_to_digest(who, event, *facts.values())
 
     def telling(self, facts: dict[str, Any]) -> None:
         """News left the list; a head is told when it has come."""
-        if self.network.wrote:
-            self._news.setdefault(self.network.wrote, []).append((self.loop.time(), facts))
+        if self.network.last_written_pipe:
+            self._news.setdefault(self.network.last_written_pipe, []).append((self.loop.time(), facts))
 
     def _arrived(self, one: str, other: str, count: int, left: float, way: int) -> None:
         if one == "list" and way in self._news:
@@ -238,7 +238,7 @@
             if later := [entry for entry in news if entry[0] > left]:
                 self._news[way] = later
             if come:
-                self.processes[other].gate(lambda: self._told(come))
+                self.processes[other].deliver(lambda: self._told(come))
         for crash in [c for c in self._crashes if c[:2] == (other, one) and c[2] <= count]:
             self._crashes.remove(crash)
             # The message is there, and what the process makes of it at once; then it is gone.
@@ -444,8 +444,8 @@
             self.day.spawn(self._order(int(name.split(" ")[1]), "draining"))
             self.loop.call_later(act.seconds, self._undrain, int(name.split(" ")[1]))
         elif kind == "connects":
-            self.network.slow_connects[name] = act.by
-            self.loop.call_later(act.seconds, self.network.slow_connects.pop, name, None)
+            self.network.extra_connect_delay[name] = act.by
+            self.loop.call_later(act.seconds, self.network.extra_connect_delay.pop, name, None)
         elif kind == "disk":
             self.disk.broken.add(name)
             self.loop.call_later(act.seconds, self.disk.broken.discard, name)
--- a/gorsethread/lab/accounts.py
+++ b/gorsethread/lab/accounts.py
@@ -18,7 +18,7 @@
 from gorsethread.scheduling.model import RequestOutcome
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.standins.client import Surge
-from gorsethread.transport.program import Draws
+from gorsethread.transport.program import SeededRandom
 from gorsethread.transport.real import RealTransport
 
 SCENARIOS = ("neither", "slow", "flood", "both")
@@ -124,7 +124,7 @@
 def footprint() -> dict[str, float]:
     """Bytes that the accounts hold: for an open transaction, a volume with a row, and 100,000 volumes."""
     # Durations like those of a quick shelf and a slow one, drawn once, as drawing is dear under tracemalloc.
-    chance = Draws(1)
+    chance = SeededRandom(1)
     passing = (Stage.HEAD, Stage.SLOTS, Stage.WAY_THERE, Stage.AT_SHELF, Stage.WORK, Stage.WAY_BACK)
     drawn = []
     for _ in range(1000):
--- a/gorsethread/lab/branch.py
+++ b/gorsethread/lab/branch.py
@@ -2,7 +2,7 @@
 end, once, in causal order, or waits for a person."""
 
 from gorsethread.faults.script import Act, Script
-from gorsethread.transport.program import Draws
+from gorsethread.transport.program import SeededRandom
 
 CYCLE = 20.0  # seconds from one cut to the next
 FIRST = 4.0  # seconds before the first
@@ -12,7 +12,7 @@
     """Each cycle the link goes, one way now and then; beside that, in turn: nothing, a head of the branch
     dies while it is cut off, one of the main site just as replay begins, a disk at the branch is lost, the
     link goes again soon, a way breaks in the middle of replay."""
-    c = Draws(f"lab branch {seed}")
+    c = SeededRandom(f"lab branch {seed}")
     main = [n for n in range(heads) if n not in branch]
     acts: list[Act] = []
     for n in range(cycles):
--- a/gorsethread/lab/crowd/day.py
+++ b/gorsethread/lab/crowd/day.py
@@ -13,8 +13,8 @@
     ServiceTier,
     SlowStartRule,
 )
-from gorsethread.transport.base import Chance
-from gorsethread.transport.program import Draws
+from gorsethread.transport.base import RandomStream
+from gorsethread.transport.program import SeededRandom
 
 UNIT_WORK = 0.14  # seconds of one core for a unit, at a shelf of speed 1
 MIX = (0.55, 0.3, 0.15)
@@ -76,7 +76,7 @@
 
 
 def draw(scene: Scene) -> Day:
-    c = Draws(f"{scene.seed}/crowd")
+    c = SeededRandom(f"{scene.seed}/crowd")
     speeds = [c.uniform(0.7, 1.2) for _ in range(scene.shelves)]
     power = sum(speeds) * 2 / UNIT_WORK  # units a second
     number = max(1, round(scene.shelves * c.uniform(4.7, 8.7)))
@@ -121,11 +121,11 @@
     return Day(scene, facts, speeds, stores, asks)
 
 
-def _pick(c: Chance, parts: list[float]) -> int:
+def _pick(c: RandomStream, parts: list[float]) -> int:
     return min(len(parts) - 1, bisect_right(list(accumulate(parts)), c.random() * sum(parts)))
 
 
-def _some(c: Chance, most: int, of: int) -> tuple[int, ...]:
+def _some(c: RandomStream, most: int, of: int) -> tuple[int, ...]:
     chosen: list[int] = []
     for _ in range(min(of, 1 + c.randrange(most))):
         n = c.randrange(of)
@@ -134,7 +134,7 @@
     return tuple(chosen)
 
 
-def _store(scene: Scene, c: Chance) -> Store:
+def _store(scene: Scene, c: RandomStream) -> Store:
     plan = _pick(c, list(PLAN_PARTS))
     heads = _some(c, 3, scene.heads)
     leads, at = [(0.0, c.randrange(len(heads)))], 0.0
@@ -144,7 +144,7 @@
     return Store(plan, usual, _some(c, 3, scene.shelves), heads, leads, (0.0, 0.0, 1.0))
 
 
-def _asks(scene: Scene, number: int, s: Store, c: Chance) -> list[Ask]:
+def _asks(scene: Scene, number: int, s: Store, c: RandomStream) -> list[Ask]:
     most = s.usual * max(1.0, s.surge[2]) * scene.burst / 2.0  # asks a second; two units are the mean
     found, at = [], 0.0
     sizes, chances = [size for size, _ in SIZES], [part for _, part in SIZES]
--- a/gorsethread/lab/crowd/world.py
+++ b/gorsethread/lab/crowd/world.py
@@ -12,8 +12,8 @@
 from gorsethread.lab.crowd.machine import ModelBackend
 from gorsethread.lab.crowd.score import Score, score
 from gorsethread.scheduling.scheduler import Scheduler
-from gorsethread.transport.base import Chance
-from gorsethread.transport.program import Draws
+from gorsethread.transport.base import RandomStream
+from gorsethread.transport.program import SeededRandom
 
 RENEWED_WITHIN = 7.0  # seconds, from the first third of the day on
 TOLD_AFTER = (0.4, 2.1)  # seconds until a head's list tells of a change
@@ -39,7 +39,7 @@
         self.messages = 0
         self.over_part = 0  # sends to a cold shelf beyond what all heads may together
         self._cold: dict[int, deque[tuple[float, int]]] = defaultdict(deque)  # units of the span, by shelf
-        self._chance = Draws(f"{day.scene.seed}/messages")
+        self._chance = SeededRandom(f"{day.scene.seed}/messages")
         self.machines = [ModelBackend(self, n, speed) for n, speed in enumerate(day.speeds)]
         self.heads = [ModelGateway(self, n, scheduler) for n in range(day.scene.heads)]
         for id, ask in enumerate(day.asks):
@@ -49,7 +49,7 @@
             self._tell(told, every)
 
     def _draw_troubles(self) -> None:
-        scene, c = self.day.scene, Draws(f"{self.day.scene.seed}/troubles")
+        scene, c = self.day.scene, SeededRandom(f"{self.day.scene.seed}/troubles")
         begins = scene.seconds / 3.0
         shards = sorted(range(scene.shelves), key=lambda n: c.random())[
             : round(scene.renewed * scene.shelves)
@@ -60,7 +60,7 @@
         for n in heads:
             self.at(begins + c.uniform(0.0, 10.0), self.heads[n].killed)
 
-    def _renew(self, shard: int, c: Chance) -> None:
+    def _renew(self, shard: int, c: RandomStream) -> None:
         """The old one ends once no head sends there any more."""
         new = len(self.machines)
         self.machines.append(ModelBackend(self, new, self.day.speeds[shard], self.now))
--- a/gorsethread/lab/day.py
+++ b/gorsethread/lab/day.py
@@ -21,7 +21,7 @@
 from gorsethread.standins.client import Surge
 from gorsethread.standins.nodelist import Order
 from gorsethread.standins.record import Fault, Recorder
-from gorsethread.transport.base import Chance, Unreachable
+from gorsethread.transport.base import RandomStream, Unreachable
 from gorsethread.transport.real import RealTransport
 from gorsethread.witness.judge import Verdict, Witness
 
@@ -97,7 +97,7 @@
         self.site = resized(site, plan.heads, plan.shelves)
         self.processes = Processes(folder, self.site)
         self.recorder = Recorder(transport, "day", str(self.processes.record("day")))
-        self.chance: Chance = transport.chance("day")
+        self.chance: RandomStream = transport.chance("day")
         self.happened: list[str] = []
         self.zero = 0.0
         self.scripts: dict[str, list[Fault]] = {}
--- a/gorsethread/standins/web/bad_clients.py
+++ b/gorsethread/standins/web/bad_clients.py
@@ -3,7 +3,7 @@
 from gorsethread.sitefile import site_pb2 as pb
 from gorsethread.sitefile.reading import split_address
 from gorsethread.standins.record import Recorder
-from gorsethread.transport.base import Chance, StreamClosed, Transport, Unreachable
+from gorsethread.transport.base import RandomStream, StreamClosed, Transport, Unreachable
 
 OWED_WITHIN = 3.5  # seconds from connecting in which a bad client is owed an error or a close
 
@@ -13,7 +13,7 @@
 
     def __init__(self, transport: Transport, site: pb.Site, recorder: Recorder) -> None:
         self.transport, self.site, self.recorder = transport, site, recorder
-        self.chance: Chance = transport.chance("rude")
+        self.chance: RandomStream = transport.chance("rude")
         profile, plan = site.profile[0].name, site.plan[0].name
         good = (
             f"GET /{profile}/0000000100000001 HTTP/1.1\r\nHost: a\r\n"
--- a/gorsethread/transport/base.py
+++ b/gorsethread/transport/base.py
@@ -27,7 +27,7 @@
     action = "See that the other side listens at that address and that the network between lets it through."
 
 
-class Chance(Protocol):
+class RandomStream(Protocol):
     """One stream of draws; the same name and seed give the same draws."""
 
     def random(self) -> float: ...
@@ -173,7 +173,7 @@
         """Calls act each time the program is asked to read its configuration again."""
         ...
 
-    def chance(self, name: str) -> Chance: ...
+    def chance(self, name: str) -> RandomStream: ...
 
     def load(self, path: str) -> bytes | None:
         """What was last saved there; None where there is nothing to read."""
--- a/gorsethread/transport/program.py
+++ b/gorsethread/transport/program.py
@@ -4,7 +4,7 @@
 import random
 
 
-class Draws(random.Random):
+class SeededRandom(random.Random):
     """A stream of chance; the same seed gives the same draws."""
 
     def randrange(self, stop: int) -> int:  # type: ignore[override]
@@ -19,12 +19,12 @@
         self.failed: BaseException | None = None
         self._over: asyncio.Future[None] = loop.create_future()
 
-    def ended(self, task: "asyncio.Task[None]") -> None:
+    def task_ended(self, task: "asyncio.Task[None]") -> None:
         """A spawned piece of work is done, well or not."""
         if not task.cancelled() and (error := task.exception()):
-            self.fails(error)
+            self.fail(error)
 
-    def fails(self, error: BaseException) -> None:
+    def fail(self, error: BaseException) -> None:
         if self.failed is None:
             self.failed = error
             self.finish()
--- a/gorsethread/transport/real.py
+++ b/gorsethread/transport/real.py
@@ -21,14 +21,14 @@
 from gorsethread.transport.base import (
     MAX_DATAGRAM_BYTES,
     MAX_READ_BYTES,
-    Chance,
+    RandomStream,
     Stream,
     StreamClosed,
     StreamEnded,
     Timer,
     Unreachable,
 )
-from gorsethread.transport.program import Draws, Program
+from gorsethread.transport.program import Program, SeededRandom
 
 TCP_STATE_PEER_ENDED = (7, 8, 9, 11)  # CLOSE, CLOSE_WAIT, LAST_ACK, CLOSING in the system's own numbers
 BACKLOG = 512  # connections the system accepts ahead of us
@@ -345,11 +345,11 @@
         """What a timer or another callback raised, which a loop would only log."""
         loop.default_exception_handler(context)
         if "handle" in context and isinstance(error := context.get("exception"), Exception):
-            self.fails(error)
+            self.fail(error)
 
     def _ended(self, task: "asyncio.Task[None]") -> None:
         self._tasks.discard(task)
-        self.ended(task)
+        self.task_ended(task)
 
     async def connect(self, host: str, port: int, within: float) -> Stream:
         try:
@@ -396,8 +396,8 @@
             raise
         return RealDatagrams(self._loop, bound, on_datagram)
 
-    def chance(self, name: str) -> Chance:
-        return Draws(f"{self._seed}/{name}")
+    def chance(self, name: str) -> RandomStream:
+        return SeededRandom(f"{self._seed}/{name}")
 
     def load(self, path: str) -> bytes | None:
         try:
--- a/gorsethread/transport/virtual/datagrams.py
+++ b/gorsethread/transport/virtual/datagrams.py
@@ -49,10 +49,12 @@
         other = network.ports.get(to)
         if other is None or not network.reaches(mine, other.transport.name):
             return
-        network.saw(mine, other.transport.name, "datagram", len(data), xxhash.xxh3_64_intdigest(data))
+        network.add_to_digest(
+            mine, other.transport.name, "datagram", len(data), xxhash.xxh3_64_intdigest(data)
+        )
         held = other.transport
         if not held.paused or len(held._held) < HELD_MOST:  # else the system drops it
-            held.gate(lambda: other.on_datagram(data, self._address))
+            held.deliver(lambda: other.on_datagram(data, self._address))
 
     def close(self) -> None:
         if self.transport.network.ports.get(self._address) is self:
--- a/gorsethread/transport/virtual/network.py
+++ b/gorsethread/transport/virtual/network.py
@@ -6,7 +6,7 @@
 
 import xxhash
 
-from gorsethread.transport.program import Draws
+from gorsethread.transport.program import SeededRandom
 from gorsethread.transport.virtual.loop import VirtualLoop
 
 if TYPE_CHECKING:
@@ -47,10 +47,12 @@
         self.vanished: set[str] = set()  # whose machine is gone without a word
         self.cuts: dict[tuple[str, str], int] = {}  # how many cuts lie on that way; emptied as they heal
         self.ports: dict[tuple[str, int], VirtualDatagrams] = {}  # emptied as they close
-        self.slow_connects: dict[str, float] = {}  # seconds more to connect to it; emptied with the fault
+        self.extra_connect_delay: dict[
+            str, float
+        ] = {}  # seconds more to connect to it; emptied with the fault
         self.pipes: dict[int, Pipe] = {}  # every way of every connection, by number; emptied as they end
         self._stalled: dict[tuple[str, str], dict[int, Pipe]] = {}
-        self._draws: dict[str, Draws] = {}
+        self._draws: dict[str, SeededRandom] = {}
         self._ports = FIRST_PORT
         self._made = 0
         self.digest = xxhash.xxh3_64(seed=0)
@@ -61,12 +63,12 @@
         # Told of data that came for a connection whose taker had ended it, or an earlier life of it had.
         self.on_lost: Callable[[str, str], None] | None = None
         self.arrivals: dict[tuple[str, str], int] = {}  # by pair of processes
-        self.left_at = 0.0  # when what was read last left its sender
-        self.wrote = 0  # the way that what was written last will go; 0: nowhere
+        self.last_read_sent_at = 0.0  # when what was read last left its sender
+        self.last_written_pipe = 0  # the way that what was written last will go; 0: nowhere
 
-    def chance(self, name: str) -> Draws:
+    def chance(self, name: str) -> SeededRandom:
         if name not in self._draws:
-            self._draws[name] = Draws(f"{self.seed}/{name}")
+            self._draws[name] = SeededRandom(f"{self.seed}/{name}")
         return self._draws[name]
 
     def number(self) -> int:
@@ -77,7 +79,7 @@
         self._ports += 1
         return self._ports
 
-    def saw(self, *what: Any) -> None:
+    def add_to_digest(self, *what: Any) -> None:
         """Adds to the digest of the whole history."""
         self.digest.update(repr((round(self.loop.time(), 9), *what)).encode())
 
--- a/gorsethread/transport/virtual/process.py
+++ b/gorsethread/transport/virtual/process.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from gorsethread.transport.base import Stream, Unreachable
-from gorsethread.transport.program import Draws, Program
+from gorsethread.transport.program import Program, SeededRandom
 from gorsethread.transport.virtual.datagrams import VirtualDatagrams
 from gorsethread.transport.virtual.disk import Disk, VirtualBlocks, VirtualJournal
 from gorsethread.transport.virtual.loop import BEGINS, VirtualTimer, settle
@@ -42,7 +42,7 @@
 
     # ---- the gate
 
-    def gate(self, act: Callable[[], None]) -> None:
+    def deliver(self, act: Callable[[], None]) -> None:
         """Does now what comes from outside, or later, or never."""
         if not self.alive:
             return
@@ -58,7 +58,7 @@
         self.paused = False
         held, self._held = self._held, []
         for act in held:
-            self.network.loop.call_soon(self.gate, act)
+            self.network.loop.call_soon(self.deliver, act)
 
     def kill(self) -> None:
         """As SIGKILL: nothing of it runs any more, its connections end, its files stay."""
@@ -103,11 +103,11 @@
 
         # Never early, else whoever waits for that moment looks again and again while no time passes.
         true = (when - self.offset) / (1.0 + self.drift) + NEVER_EARLY
-        timer.handle = self.network.loop.call_at(true, self.gate, due)
+        timer.handle = self.network.loop.call_at(true, self.deliver, due)
         return timer
 
     def call_soon(self, act: Callable[[], None]) -> None:
-        self.network.loop.call_soon(self.gate, act)
+        self.network.loop.call_soon(self.deliver, act)
 
     async def sleep(self, seconds: float) -> None:
         waiting = self.network.loop.create_future()
@@ -127,7 +127,7 @@
     def _task_ended(self, number: int, task: "asyncio.Task[None]") -> None:
         self._tasks.pop(number, None)
         if self.alive:
-            self.ended(task)
+            self.task_ended(task)
 
     async def connect(self, host: str, port: int, within: float) -> Stream:
         network, address = self.network, (host, port)
@@ -136,7 +136,7 @@
         while True:
             owner = network.machines.get(address, "")
             delay = chance.uniform(network.conditions.min_delay, network.conditions.max_delay)
-            delay += network.slow_connects.get(owner, 0.0)
+            delay += network.extra_connect_delay.get(owner, 0.0)
             reached = network.reaches(self.name, owner) and network.reaches(owner, self.name)
             wait = 2 * delay if reached else again
             if network.loop.time() + wait > by:
@@ -157,7 +157,7 @@
         theirs = VirtualStream(network, server, f"127.0.0.1:{network.port()}")
         mine.other, theirs.other = theirs, mine
         mine.out, theirs.out = Pipe(network, mine, theirs), Pipe(network, theirs, mine)
-        server.gate(lambda: _accept(listener, theirs))
+        server.deliver(lambda: _accept(listener, theirs))
         return mine
 
     def listen(
@@ -193,13 +193,13 @@
 
     def terminate(self) -> None:
         """As SIGTERM."""
-        self.gate(self._on_terminate)
+        self.deliver(self._on_terminate)
 
     def reload(self) -> None:
         """As SIGHUP."""
-        self.gate(self._on_reload)
+        self.deliver(self._on_reload)
 
-    def chance(self, name: str) -> Draws:
+    def chance(self, name: str) -> SeededRandom:
         return self.network.chance(f"{self.name}: {name}")
 
     def load(self, path: str) -> bytes | None:
@@ -212,7 +212,7 @@
         if self.alive:
             self.disk.files[path] = bytearray(data)
 
-    async def flush(self, chance: Draws) -> None:
+    async def flush(self, chance: SeededRandom) -> None:
         """As long as a flush to this process's disk takes."""
         await self.sleep(chance.uniform(*FLUSH) + self.disk.slow.get(self.name, 0.0))
 
--- a/gorsethread/transport/virtual/streams.py
+++ b/gorsethread/transport/virtual/streams.py
@@ -57,7 +57,7 @@
         _, left, data = self.on_the_way.popleft()
         self.size -= len(data)
         self.network.delivered += 1
-        self.network.saw(one, other, len(data), xxhash.xxh3_64_intdigest(data))
+        self.network.add_to_digest(one, other, len(data), xxhash.xxh3_64_intdigest(data))
         pair = (one, other)
         self.network.arrivals[pair] = self.network.arrivals.get(pair, 0) + 1
         taken = not self.taker.closed
@@ -125,7 +125,7 @@
             size = 1 + chance.randrange(size - 1)
             self._got.appendleft((left, data[size:]))
         self.unread -= size
-        self.network.left_at = left
+        self.network.last_read_sent_at = left
         self.other._push()
         return data[:size]
 
@@ -136,10 +136,10 @@
         return self.closed or bool(self._ended)
 
     def write(self, data: bytes) -> None:
-        self.network.wrote = 0
+        self.network.last_written_pipe = 0
         if self.closed or self._ended or self._sending_ended or not self.owner.alive:
             return
-        self.network.wrote = self.out.number
+        self.network.last_written_pipe = self.out.number
         self._unsent += data
         if not self._corked:
             self._corked = True
@@ -164,7 +164,7 @@
                 self.out.send(b"")
             drain, self._drain = self._drain, []
             for waiting in drain:
-                self.owner.gate(lambda waiting=waiting: settle(waiting))  # type: ignore[misc]
+                self.owner.deliver(lambda waiting=waiting: settle(waiting))  # type: ignore[misc]
 
     async def drained(self) -> None:
         if self.closed or self._ended:
@@ -242,7 +242,7 @@
         reader, self._reader = self._reader, None
         drain, self._drain = (self._drain, []) if self._ended or self.closed else ([], self._drain)
         for waiting in ([reader] if reader else []) + drain:
-            self.owner.gate(lambda waiting=waiting: settle(waiting))  # type: ignore[misc]
+            self.owner.deliver(lambda waiting=waiting: settle(waiting))  # type: ignore[misc]
 
 
 class VirtualListener:
--- a/tests/http_gateway/test_backends.py
+++ b/tests/http_gateway/test_backends.py
@@ -203,7 +203,7 @@
     def test_what_is_over_before_its_connection_stands_is_not_sent(self) -> None:
         async def work() -> None:
             self.start()
-            self.network.slow_connects["shelf0"] = 0.05
+            self.network.extra_connect_delay["shelf0"] = 0.05
             caller = await self.call(wish("153", "post", body=b"x"), 0.05)
             caller.stream.close()
             await self.wait(0.5)
