--- a/gorsethread/transport/__init__.py
+++ b/gorsethread/transport/__init__.py
@@ -1,1 +1,5 @@
-"""The only place that opens sockets, reads a clock, sets timers or draws chance; one interface, real here."""
+"""Sockets, clocks, timers, files and random numbers, behind one interface.
+
+No other package opens a socket, reads a clock, sets a timer or draws a random number. base.py defines the
+interface, real.py implements it on the operating system and virtual/ implements it for simulations.
+"""
--- a/gorsethread/transport/base.py
+++ b/gorsethread/transport/base.py
@@ -1,34 +1,38 @@
-"""What the rest of the program may ask of the world. A virtual clock and network can stand behind it."""
+"""The interface through which the program uses the clock, the network, files and random numbers.
+
+There are two implementations: RealTransport on the operating system, and VirtualTransport on a simulated
+clock and network.
+"""
 
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any, Protocol
 
 from gorsethread.errors import GorsethreadError
 
-MAX_READ_BYTES = 65_536  # bytes that one read of a stream brings at the most
-MAX_DATAGRAM_BYTES = 256  # bytes; the operators' platform carries no longer ones between heads
+MAX_READ_BYTES = 65_536  # returned by one read of a stream
+MAX_DATAGRAM_BYTES = 256  # the operators' platform carries no longer datagrams between gateways
 
 
 class StreamClosed(GorsethreadError):
-    """The stream has ended; the text says how."""
+    """Raised when a stream is closed; the text says why."""
 
-    action = "Nothing at once: connections end; if one party's end again and again, look at that party."
+    action = "No immediate action: connections end. If those of one peer keep ending, check that peer."
 
 
 class StreamEnded(StreamClosed):
-    """The peer has ended its sending in order: all that it sent before has been read."""
+    """Raised when the peer has ended its sending normally and everything that it sent has been read."""
 
-    action = "Nothing: the other side is done with this connection; a new one is made when it is needed."
+    action = "None: the peer has finished with this connection; a new one is opened when it is needed."
 
 
 class Unreachable(GorsethreadError):
-    """No connection was established in time; nothing was sent."""
+    """Raised when no connection was established in time; nothing was sent."""
 
-    action = "See that the other side listens at that address and that the network between lets it through."
+    action = "Check that the peer listens at that address and that the network lets the connection through."
 
 
 class RandomStream(Protocol):
-    """One stream of draws; the same name and seed give the same draws."""
+    """A stream of random numbers; the same seed and the same name give the same numbers."""
 
     def random(self) -> float: ...
     def uniform(self, a: float, b: float) -> float: ...
@@ -37,11 +41,18 @@
 
 
 class Timer(Protocol):
+    """A pending call of Transport.call_at()."""
+
     def cancel(self) -> None: ...
 
 
 class Stream(Protocol):
-    """Ordered bytes both ways. unsent: bytes written that the network has not taken yet."""
+    """A connection that carries ordered bytes both ways.
+
+    Attributes:
+        peer: The peer's address, as host:port.
+        unsent: Bytes written that have not been handed to the network yet.
+    """
 
     peer: str
 
@@ -49,102 +60,136 @@
     def unsent(self) -> int: ...
 
     async def read(self) -> bytes:
-        """Some bytes, at least one and at most MAX_READ_BYTES; StreamEnded at the end that the peer made in
-        order, StreamClosed at any other, such as a reset."""
+        """Returns between 1 and MAX_READ_BYTES bytes.
+
+        Raises:
+            StreamEnded: The peer ended its sending normally.
+            StreamClosed: The stream ended in another way, such as a reset.
+        """
         ...
 
     def is_idle(self) -> bool:
-        """Nothing unread has come and the peer has not ended it, as far as this machine knows now."""
+        """Returns whether no bytes are unread and, as far as this machine knows, the peer has not ended."""
         ...
 
     def peer_ended(self) -> bool:
-        """The peer has ended its sending, also where bytes it sent before are still unread here."""
+        """Returns whether the peer has ended its sending, even if bytes that it sent earlier are unread."""
         ...
 
     def write(self, data: bytes) -> None:
-        """Queues bytes; after the end they are dropped, and the next read raises."""
+        """Queues bytes to send; once the stream has ended they are dropped, and the next read raises."""
         ...
 
     def end_sending(self) -> None:
-        """Sends what was written, then the end of this side (a half-close); the peer can still be read.
+        """Sends what was written and then half-closes the stream; the peer's bytes can still be read.
 
-        Guards against a close over unread bytes: the system answers these with a reset, which takes from the
-        peer what it has not read yet.
+        Closing a socket that has unread bytes makes the system send a reset, and the peer then loses what it
+        has not read yet. A half-close avoids that.
         """
         ...
 
     async def drained(self) -> None:
-        """Returns once nothing written is unsent; StreamClosed if that can't come."""
+        """Waits until nothing written is unsent.
+
+        Raises:
+            StreamClosed: The stream ended first.
+        """
         ...
 
     def close(self) -> None: ...
 
 
 class Listener(Protocol):
+    """A port on which connections are accepted."""
+
     port: int
 
     def close(self) -> None: ...
 
 
 class Datagrams(Protocol):
-    """A port for single messages, which may be lost, late, doubled or out of order."""
+    """A port for datagrams, which may be lost, delayed, duplicated or reordered."""
 
     port: int
 
     def send(self, to: tuple[str, int], data: bytes) -> None:
-        """ValueError over MAX_DATAGRAM_BYTES; nothing is said of one that does not arrive."""
+        """Sends a datagram; a loss is not reported.
+
+        Raises:
+            ValueError: The datagram is longer than MAX_DATAGRAM_BYTES.
+        """
         ...
 
     def close(self) -> None: ...
 
 
 class Blocks(Protocol):
-    """A file of bytes that outlives the process, also one that is killed."""
+    """A file for random access, whose contents survive the process even when it is killed."""
 
     def read(self, offset: int, length: int) -> bytes:
-        """Zeros where nothing was written."""
+        """Returns the bytes at an offset, with zeros where nothing was written."""
         ...
 
     def write(self, offset: int, data: bytes) -> None: ...
 
 
 class Journal(Protocol):
-    """A file that only grows. After an OSError nobody knows how much of it is there: it takes no more."""
+    """An append-only file.
+
+    After an OSError it is unknown how much of the data is in the file, so later calls of add() fail too.
+    """
 
     async def add(self, data: bytes) -> None:
-        """Returns once all of it lasts, also through a loss of power. One at a time; OSError where the disk
-        does not take it."""
+        """Appends data and returns once it would survive a loss of power.
+
+        Only one call may be in progress.
+
+        Raises:
+            OSError: The data could not be written or flushed.
+        """
         ...
 
     def close(self) -> None: ...
 
 
 class Transport(Protocol):
+    """The clock, network, files and random numbers of one process."""
+
     def now(self) -> float:
-        """Seconds on a clock that never goes back; one for all processes of a machine."""
+        """Returns the seconds of a monotonic clock, which all processes of a machine share."""
         ...
 
     def wall_time(self) -> float:
-        """Seconds since the epoch, by this machine's clock, which others' may differ from and which may be
-        set; only to name times to people and to other machines."""
+        """Returns the seconds since the epoch by this machine's wall clock.
+
+        The clock may be set, and may differ from other machines' clocks. It is only for times that are shown
+        to people or sent to other machines.
+        """
         ...
 
     def call_at(self, when: float, act: Callable[[], None]) -> Timer:
-        """An exception in act is a defect, as in spawn(); so with call_soon()."""
+        """Calls act at a time of now().
+
+        An exception in act ends the program, as with spawn(). The same holds for call_soon().
+        """
         ...
 
     def call_soon(self, act: Callable[[], None]) -> None:
-        """Calls act after what is going on now, before anything new is read."""
+        """Calls act after the present callback returns and before anything new is read."""
         ...
 
     async def sleep(self, seconds: float) -> None: ...
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Runs on its own; an exception in it is a defect: it is reported and ends the program."""
+        """Runs a coroutine as a task; an exception in it is a defect, is reported and ends the program."""
         ...
 
     async def connect(self, host: str, port: int, within: float) -> Stream:
-        """Unreachable where none is established within that many seconds."""
+        """Opens a connection.
+
+        Raises:
+            Unreachable: No connection was established within that many seconds.
+        """
         ...
 
     def listen(
@@ -154,59 +199,103 @@
         on_stream: Callable[[Stream], Awaitable[None]],
         admits: Callable[[], bool] | None = None,
     ) -> Listener:
-        """port 0 takes a free one. admits() is asked as each connection is accepted, before anything else of
-        it; False closes it. OSError where the address can't be had."""
+        """Listens for connections.
+
+        Args:
+            host: The address to listen at.
+            port: The port; 0 chooses a free one.
+            on_stream: Serves one connection.
+            admits: Called as each connection is accepted, before any of its bytes are read; if it returns
+                False the connection is closed.
+
+        Raises:
+            OSError: The address can't be bound.
+        """
         ...
 
     def datagrams(
         self, host: str, port: int, on_datagram: Callable[[bytes, tuple[str, int]], None]
     ) -> Datagrams:
-        """Calls on_datagram with each message and where it came from. port 0 takes a free one. OSError where
-        the address can't be had."""
+        """Calls on_datagram with each datagram and its source address.
+
+        Args:
+            host: The address to bind.
+            port: The port; 0 chooses a free one.
+            on_datagram: Called with the bytes and the source.
+
+        Raises:
+            OSError: The address can't be bound.
+        """
         ...
 
     def on_terminate(self, act: Callable[[], None]) -> None:
-        """Calls act each time the program is asked to end."""
+        """Calls act each time the process is asked to terminate (SIGTERM or SIGINT)."""
         ...
 
     def on_reload(self, act: Callable[[], None]) -> None:
-        """Calls act each time the program is asked to read its configuration again."""
+        """Calls act each time the process is asked to reload its configuration (SIGHUP)."""
         ...
 
-    def chance(self, name: str) -> RandomStream: ...
+    def chance(self, name: str) -> RandomStream:
+        """Returns the stream of random numbers of that name."""
+        ...
 
     def load(self, path: str) -> bytes | None:
-        """What was last saved there; None where there is nothing to read."""
+        """Returns the contents of a file, or None if it can't be read."""
         ...
 
     def save(self, path: str, data: bytes) -> None:
-        """Whole or not at all; OSError where it can't be written."""
+        """Replaces a file's contents atomically.
+
+        Raises:
+            OSError: The file can't be written.
+        """
         ...
 
     async def save_durably(self, path: str, data: bytes) -> None:
-        """As save(), and returns once it lasts through a loss of power. The folder is made where there is
-        none."""
+        """Replaces a file's contents as save() does, and returns once they would survive a loss of power.
+
+        A missing folder is created.
+        """
         ...
 
     def journal(self, path: str) -> Journal:
-        """Goes on at the file's end; OSError where it is not there or can't be written."""
+        """Opens an existing file to append to it.
+
+        Raises:
+            OSError: The file does not exist or can't be written.
+        """
         ...
 
     def lock(self, path: str) -> Callable[[], None] | None:
-        """What gives it up; None where another holds it. Makes folder and file where there is none. A process
-        that ends, however it does, holds it no more. OSError where it can't be made."""
+        """Takes an exclusive lock on a file.
+
+        A missing folder or file is created. The lock of a process is released however the process ends.
+
+        Returns:
+            A function that releases the lock, or None if another process holds it.
+
+        Raises:
+            OSError: The file can't be created.
+        """
         ...
 
     def list_files(self, folder: str) -> list[str]:
-        """The files in it, in order; none where it can't be read."""
+        """Returns the sorted names of the files in a folder; none if the folder can't be read."""
         ...
 
     def remove(self, path: str) -> None:
-        """Does nothing where it is not there."""
+        """Removes a file, if it exists."""
         ...
 
-    def blocks(self, path: str) -> Blocks: ...
+    def blocks(self, path: str) -> Blocks:
+        """Opens a file for random access, and creates it if it is missing."""
+        ...
 
     def append(self, path: str) -> Callable[[bytes], None]:
-        """Adds to a file's end, each call at once and whole, so that a kill loses nothing said before."""
+        """Opens a file for appending and returns the function that appends to it.
+
+        Each call writes all of its data before it returns, so killing the process loses nothing written
+        earlier.
+        """
         ...
--- a/gorsethread/transport/real.py
+++ b/gorsethread/transport/real.py
@@ -1,4 +1,4 @@
-"""The real side: Tornado's streams on the loop of asyncio, the machine's monotonic clock."""
+"""The transport of a real process: Tornado streams on the asyncio event loop, and the machine's clocks."""
 
 import asyncio
 import contextlib
@@ -30,19 +30,21 @@
 )
 from gorsethread.transport.program import Program, SeededRandom
 
-TCP_STATE_PEER_ENDED = (7, 8, 9, 11)  # CLOSE, CLOSE_WAIT, LAST_ACK, CLOSING in the system's own numbers
-BACKLOG = 512  # connections the system accepts ahead of us
-ACCEPTS = 32  # a turn of the loop, so that a flood of connections leaves room for those that are open
-ACCEPT_AGAIN = 0.05  # seconds
-DATAGRAMS = 32  # read a turn of the loop
+TCP_STATES_PEER_ENDED = (7, 8, 9, 11)  # Linux numbers of CLOSE, CLOSE_WAIT, LAST_ACK, CLOSING
+LISTEN_BACKLOG = 512  # connections that the system completes before the program accepts them
+ACCEPTS_PER_EVENT = 32  # per loop iteration, so that a flood of connections does not starve open ones
+ACCEPT_RETRY_DELAY = 0.05  # seconds, after accept() failed
+DATAGRAMS_PER_EVENT = 32  # read per loop iteration, so that a flood does not starve other work
 
 
 class RealStream:
+    """A TCP connection, on a Tornado stream."""
+
     def __init__(self, stream: IOStream, peer: str) -> None:
         self._stream = stream
         self.peer = peer
         self._flushed: asyncio.Future[None] | None = None
-        self._corked: list[bytes] = []  # what was written in this turn of the loop; emptied at its end
+        self._corked: list[bytes] = []  # written in this iteration of the loop; emptied at its end
         self._corked_size = 0
         self._sending_ended = False
         self._closed_here = False
@@ -50,8 +52,8 @@
 
     @property
     def unsent(self) -> int:
-        sent = self._stream._total_write_index - self._stream._total_write_done_index
-        return self._corked_size + sent
+        buffered = self._stream._total_write_index - self._stream._total_write_done_index
+        return self._corked_size + buffered
 
     async def read(self) -> bytes:
         try:
@@ -65,7 +67,7 @@
         if self._stream.closed() or self._stream._read_buffer_size:
             return False
         try:
-            # What the system has, and the loop has not come to yet; an end is there as no bytes.
+            # Looks for bytes or an end that the system has received and the loop has not read yet.
             self._stream.socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
             return True
@@ -79,13 +81,13 @@
         try:
             state = self._stream.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0]
         except OSError:
-            return False  # a system that does not tell: the end shows when it is read
-        return state in TCP_STATE_PEER_ENDED
+            return False  # TCP_INFO is not supported: the end is noticed when the stream is read
+        return state in TCP_STATES_PEER_ENDED
 
     def write(self, data: bytes) -> None:
         if self._stream.closed() or self._sending_ended:
             return
-        # One call of the system for all that a turn of the loop has to say to this peer.
+        # All writes of one iteration of the loop are sent with a single system call.
         if not self._corked:
             asyncio.get_running_loop().call_soon(self._flush)
         self._corked.append(data)
@@ -93,11 +95,11 @@
 
     def _flush(self) -> None:
         if self._stream.closed():
-            return  # what was never handed on stays unsent
+            return  # the corked bytes stay counted as unsent
         corked, self._corked, self._corked_size = self._corked, [], 0
         if corked:
             self._flushed = self._stream.write(b"".join(corked))
-            self._flushed.add_done_callback(_seen)
+            self._flushed.add_done_callback(_retrieve_exception)
 
     def end_sending(self) -> None:
         if self._sending_ended or self._stream.closed():
@@ -111,7 +113,7 @@
 
     def _shut_down(self) -> None:
         if not self._stream.closed():
-            with contextlib.suppress(OSError):  # the peer has reset it: the next read says so
+            with contextlib.suppress(OSError):  # reset by the peer: the next read raises
                 self._stream.socket.shutdown(socket.SHUT_WR)
 
     async def drained(self) -> None:
@@ -131,14 +133,18 @@
         self._stream.close()
 
 
-def _seen(future: "asyncio.Future[None]") -> None:
+def _retrieve_exception(future: "asyncio.Future[None]") -> None:
+    """Keeps asyncio from logging the exception of a failed write, which the next read raises."""
     if not future.cancelled():
-        future.exception()  # a write's failure shows at the next read
+        future.exception()
 
 
 class RealListener:
-    """Accepts by itself and not by Tornado's server, which takes 128 connections a turn before anyone can say
-    no to one, and whose loop raises, ending the program, where no descriptor is left."""
+    """A listening port that accepts connections itself instead of through Tornado's server.
+
+    Tornado's server accepts up to 128 connections per loop iteration before any can be refused, and its
+    accept loop raises, which ends the program, when the process is out of file descriptors.
+    """
 
     def __init__(
         self,
@@ -151,22 +157,22 @@
         self._on_stream, self._admits = on_stream, admits
         self.port: int = sockets[0].getsockname()[1]
         for listening in sockets:
-            self._read(listening)
+            self._start_accepting(listening)
 
-    def _read(self, listening: socket.socket) -> None:
+    def _start_accepting(self, listening: socket.socket) -> None:
         if self._sockets:
-            self._transport._loop.add_reader(listening.fileno(), self._accept, listening, ACCEPTS)
+            self._transport._loop.add_reader(listening.fileno(), self._accept, listening, ACCEPTS_PER_EVENT)
 
-    def _accept(self, listening: socket.socket, most: int) -> None:
-        for _ in range(most):
+    def _accept(self, listening: socket.socket, limit: int) -> None:
+        for _ in range(limit):
             try:
                 accepted, address = listening.accept()
             except (BlockingIOError, ConnectionAbortedError):
                 return
             except OSError:
-                # Out of descriptors: the loop would come back at once, again and again.
+                # Out of file descriptors: the loop would call this again at once, without end.
                 self._transport._loop.remove_reader(listening.fileno())
-                self._transport._loop.call_later(ACCEPT_AGAIN, self._read, listening)
+                self._transport._loop.call_later(ACCEPT_RETRY_DELAY, self._start_accepting, listening)
                 return
             if self._admits is not None and not self._admits():
                 accepted.close()
@@ -180,13 +186,15 @@
     def close(self) -> None:
         sockets, self._sockets = self._sockets, []
         for listening in sockets:
-            # What the system has accepted already is served.
-            self._accept(listening, BACKLOG)
+            # Connections that the system has completed already are still served.
+            self._accept(listening, LISTEN_BACKLOG)
             self._transport._loop.remove_reader(listening.fileno())
             listening.close()
 
 
 class RealDatagrams:
+    """A UDP port."""
+
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
@@ -198,23 +206,22 @@
         loop.add_reader(bound.fileno(), self._read)
 
     def _read(self) -> None:
-        # So many a turn of the loop, that a flood leaves room for all else.
-        for _ in range(DATAGRAMS):
+        for _ in range(DATAGRAMS_PER_EVENT):
             try:
-                # One byte more than any may have: what is longer is seen as such.
+                # One byte over the limit, so that the callback can tell a datagram that is too long.
                 data, source = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError:
-                continue  # an earlier one found nobody there; that is no news of this port
+                continue  # reports that an earlier datagram was refused by its destination, not a fault here
             self._on_datagram(data, source)
             if self._socket.fileno() < 0:
                 return
 
     def send(self, to: tuple[str, int], data: bytes) -> None:
         if len(data) > MAX_DATAGRAM_BYTES:
-            raise ValueError(f"a datagram of {len(data)} bytes")
-        with contextlib.suppress(OSError):  # the system is full, or knows no way there: it is lost
+            raise ValueError(f"datagram of {len(data)} bytes is over the limit of {MAX_DATAGRAM_BYTES}")
+        with contextlib.suppress(OSError):  # no buffer or no route: the datagram is lost
             self._socket.sendto(data, to)
 
     def close(self) -> None:
@@ -224,6 +231,8 @@
 
 
 class FileBlocks:
+    """A file for random access."""
+
     def __init__(self, path: str) -> None:
         self._file = os.open(path, os.O_RDWR | os.O_CREAT, 0o644)
 
@@ -234,8 +243,8 @@
         os.pwrite(self._file, data, offset)
 
 
-FIRST_PORT, PORTS = 10_000, 20_000  # under those that the system hands to outgoing connections
-_next_port = itertools.count(os.getpid() * 97)
+FIRST_PORT, PORTS = 10_000, 20_000  # below the range that the system uses for outgoing connections
+_next_port = itertools.count(os.getpid() * 97)  # differs by process, so that searches start far apart
 
 
 def _write_all(file: int, data: bytes) -> None:
@@ -245,7 +254,7 @@
 
 
 class RealJournal:
-    """Written and flushed on a thread, so that a slow disk holds up nothing but who waits for it."""
+    """An append-only file, written and flushed on a thread so that a slow disk does not block the loop."""
 
     def __init__(self, disk: Executor, path: str) -> None:
         self._disk = disk
@@ -258,7 +267,7 @@
         try:
             await asyncio.get_running_loop().run_in_executor(self._disk, self._add, data)
         except OSError:
-            # Guards against a second flush that says all is well of pages the system dropped at the first.
+            # After a failed flush the system may drop the dirty pages, and the next flush would then succeed.
             self._broken = True
             raise
 
@@ -272,31 +281,31 @@
             self._file = -1
 
 
-def _keep(path: str, data: bytes) -> None:
+def _save_durably(path: str, data: bytes) -> None:
     folder = Path(path).parent
     folder.mkdir(parents=True, exist_ok=True)
-    fresh = f"{path}.new"
-    file = os.open(fresh, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o644)
+    temporary = f"{path}.new"
+    file = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o644)
     try:
         _write_all(file, data)
         os.fsync(file)
     finally:
         os.close(file)
-    os.replace(fresh, path)
-    inside = os.open(folder, os.O_RDONLY)
+    os.replace(temporary, path)
+    folder_file = os.open(folder, os.O_RDONLY)
     try:
-        os.fsync(inside)  # else the name may be gone after a loss of power
+        os.fsync(folder_file)  # otherwise a loss of power may undo the rename
     finally:
-        os.close(inside)
+        os.close(folder_file)
 
 
 def free_ports(number: int) -> list[int]:
-    """Different loopback ports that nothing listens on now; processes begin their search far apart."""
+    """Returns that many different loopback ports on which nothing listens now."""
     found: list[int] = []
-    for tried in _next_port:
+    for candidate in _next_port:
         if len(found) == number:
             break
-        port = FIRST_PORT + tried % PORTS
+        port = FIRST_PORT + candidate % PORTS
         with socket.socket() as probe, contextlib.suppress(OSError):
             probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             probe.bind(("127.0.0.1", port))
@@ -305,17 +314,17 @@
 
 
 class RealTransport(Program):
-    """seed: every stream of chance comes from it and from the stream's own name."""
+    """The transport of a real process; each of its random streams depends on the seed and its own name."""
 
     def __init__(self, seed: int = 0) -> None:
         self._seed = seed
         self._loop = asyncio.get_event_loop()
         super().__init__(self._loop)
-        self._loop.set_exception_handler(self._raised)
+        self._loop.set_exception_handler(self._callback_raised)
         self._tasks: set[asyncio.Task[None]] = set()
-        self._disk: Executor | None = None  # one thread; made where something is to last
+        self._disk: Executor | None = None  # one thread, started by the first durable write
 
-    now = staticmethod(time.monotonic)  # asked several times a transaction: no call of ours in between
+    now = staticmethod(time.monotonic)  # called several times per request, so without a wrapper
 
     def wall_time(self) -> float:
         return time.time()
@@ -335,14 +344,14 @@
         task.add_done_callback(self._ended)
 
     async def end(self) -> None:
-        """Ends all that was spawned, with the streams it holds, as if its process were gone."""
+        """Cancels all spawned tasks, with the streams that they hold, as if the process had ended."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _raised(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """What a timer or another callback raised, which a loop would only log."""
+    def _callback_raised(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        """Ends the program when a timer or another callback raises, which asyncio would only log."""
         loop.default_exception_handler(context)
         if "handle" in context and isinstance(error := context.get("exception"), Exception):
             self.fail(error)
@@ -361,7 +370,7 @@
         except OSError as error:
             raise Unreachable(f"{host}:{port}: {error}") from None
         try:
-            # Not wait_for(): on Python 3.11 it drops a cancellation that comes as the connection is refused.
+            # Not wait_for(): on Python 3.11 it loses a cancellation that arrives with the refusal.
             async with asyncio.timeout(within):
                 await stream.connect((host, port))
         except (StreamClosedError, TimeoutError, OSError) as error:
@@ -381,7 +390,7 @@
         admits: Callable[[], bool] | None = None,
     ) -> RealListener:
         return RealListener(
-            self, bind_sockets(port, host, family=socket.AF_INET, backlog=BACKLOG), on_stream, admits
+            self, bind_sockets(port, host, family=socket.AF_INET, backlog=LISTEN_BACKLOG), on_stream, admits
         )
 
     def datagrams(
@@ -406,23 +415,23 @@
             return None
 
     def save(self, path: str, data: bytes) -> None:
-        fresh = Path(f"{path}.new")
-        fresh.write_bytes(data)
-        fresh.replace(path)
+        temporary = Path(f"{path}.new")
+        temporary.write_bytes(data)
+        temporary.replace(path)
 
-    def _writer(self) -> Executor:
+    def _disk_executor(self) -> Executor:
         if self._disk is None:
-            # Imported here: a lean start has nothing that is to last.
+            # Imported here, because a process that writes nothing durable starts faster without it.
             from concurrent.futures import ThreadPoolExecutor
 
             self._disk = ThreadPoolExecutor(1, "disk")
         return self._disk
 
     async def save_durably(self, path: str, data: bytes) -> None:
-        await self._loop.run_in_executor(self._writer(), _keep, path, data)
+        await self._loop.run_in_executor(self._disk_executor(), _save_durably, path, data)
 
     def journal(self, path: str) -> RealJournal:
-        return RealJournal(self._writer(), path)
+        return RealJournal(self._disk_executor(), path)
 
     def lock(self, path: str) -> Callable[[], None] | None:
         Path(path).parent.mkdir(parents=True, exist_ok=True)
@@ -456,23 +465,24 @@
         return add
 
     def on_terminate(self, act: Callable[[], None]) -> None:
-        for number in (signal.SIGTERM, signal.SIGINT):
-            self._loop.add_signal_handler(number, act)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            self._loop.add_signal_handler(signal_number, act)
 
     def on_reload(self, act: Callable[[], None]) -> None:
         self._loop.add_signal_handler(signal.SIGHUP, act)
 
 
 def run(main: Callable[[RealTransport], Coroutine[Any, Any, None]], seed: int = 0) -> None:
-    """Runs a program to its end on a transport of its own."""
+    """Runs a program on a new transport until it ends."""
 
-    async def whole() -> None:
+    async def run_main() -> None:
         transport = RealTransport(seed)
-        # What stands at the start never dies, and a transaction leaves few cycles behind: looking for them at
-        # the usual pace costs a good part of each transaction. Hurts by some MiB held a little longer.
+        # Objects that exist at the start are never freed, and a request leaves few reference cycles behind.
+        # Collecting at the default rate would cost a good part of the time of each request. The price is some
+        # MiB of garbage that is held a little longer.
         gc.collect()
         gc.freeze()
         gc.set_threshold(20_000, 20, 20)
         await main(transport)
 
-    asyncio.run(whole())
+    asyncio.run(run_main())
--- a/gorsethread/transport/virtual/datagrams.py
+++ b/gorsethread/transport/virtual/datagrams.py
@@ -29,7 +29,7 @@
 
     def send(self, to: tuple[str, int], data: bytes) -> None:
         if len(data) > MAX_DATAGRAM_BYTES:
-            raise ValueError(f"a datagram of {len(data)} bytes")
+            raise ValueError(f"datagram of {len(data)} bytes is over the limit of {MAX_DATAGRAM_BYTES}")
         network, mine = self.transport.network, self.transport.name
         conditions = network.conditions
         other = network.ports.get(to)
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -228,7 +228,7 @@
 
         listener._accept(Full(), 1)  # type: ignore[arg-type]
         self.assertIsNone(transport.failed)
-        listener._read(listening)
+        listener._start_accepting(listening)
         stream = await transport.connect("127.0.0.1", listener.port, 1.0)
         while not served:
             await transport.sleep(0.01)
