--- a/gorsethread/transport/virtual/__init__.py
+++ b/gorsethread/transport/virtual/__init__.py
@@ -1,9 +1,11 @@
-"""The virtual side: many processes in one, on a clock that jumps to what is due next and a network whose
-every delay, split and loss comes from a seed. Nothing here reads a real clock, opens a socket or draws
-chance of its own.
+"""The transport of simulated processes, all of which run in one real process.
 
-Each process has a transport of its own. What reaches it from outside (timers, bytes, new connections) passes
-its gate: a paused process finds all of it due at once when it goes on, a killed one nothing any more.
+The clock jumps to the next event that is due. Every delay, split and loss of the network is drawn from a
+seed. Nothing here reads a real clock, opens a socket or draws random numbers from another source.
+
+Each simulated process has its own VirtualTransport. Every event from outside (a timer, bytes, a new
+connection) passes through its deliver(): a paused process gets all of them at once when it resumes, and a
+killed process gets none.
 """
 
 from gorsethread.transport.virtual.disk import Disk
--- a/gorsethread/transport/virtual/datagrams.py
+++ b/gorsethread/transport/virtual/datagrams.py
@@ -1,4 +1,4 @@
-"""Single messages, each of which may be lost, doubled or late."""
+"""Simulated datagrams, each of which may be lost, duplicated or delayed."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -10,11 +10,11 @@
 if TYPE_CHECKING:
     from gorsethread.transport.virtual.process import VirtualTransport
 
-HELD_MOST = 256  # datagrams and other things due that wait for a paused process
+MAX_HELD_EVENTS = 256  # events held for a paused process above which datagrams to it are dropped
 
 
 class VirtualDatagrams:
-    """A port for datagrams; each finds its own way, so they overtake each other."""
+    """A port for datagrams; each has a delay of its own, so they may overtake each other."""
 
     def __init__(
         self,
@@ -30,14 +30,14 @@
     def send(self, to: tuple[str, int], data: bytes) -> None:
         if len(data) > MAX_DATAGRAM_BYTES:
             raise ValueError(f"datagram of {len(data)} bytes is over the limit of {MAX_DATAGRAM_BYTES}")
-        network, mine = self.transport.network, self.transport.name
+        network, own_name = self.transport.network, self.transport.name
         conditions = network.conditions
-        other = network.ports.get(to)
-        if other is None or not self.transport.alive:
+        destination = network.ports.get(to)
+        if destination is None or not self.transport.alive:
             return
-        chance = network.chance(f"datagrams {mine} {other.transport.name}")
+        chance = network.chance(f"datagrams {own_name} {destination.transport.name}")
         for _ in range(2 if chance.random() < conditions.doubled else 1):
-            if chance.random() < conditions.lost or not network.reaches(mine, other.transport.name):
+            if chance.random() < conditions.lost or not network.reaches(own_name, destination.transport.name):
                 continue
             delay = chance.uniform(conditions.min_delay, conditions.max_delay)
             late = chance.random() < conditions.late
@@ -45,16 +45,16 @@
             network.loop.call_later(delay, self._arrive, to, data)
 
     def _arrive(self, to: tuple[str, int], data: bytes) -> None:
-        network, mine = self.transport.network, self.transport.name
-        other = network.ports.get(to)
-        if other is None or not network.reaches(mine, other.transport.name):
+        network, own_name = self.transport.network, self.transport.name
+        destination = network.ports.get(to)
+        if destination is None or not network.reaches(own_name, destination.transport.name):
             return
         network.add_to_digest(
-            mine, other.transport.name, "datagram", len(data), xxhash.xxh3_64_intdigest(data)
+            own_name, destination.transport.name, "datagram", len(data), xxhash.xxh3_64_intdigest(data)
         )
-        held = other.transport
-        if not held.paused or len(held._held) < HELD_MOST:  # else the system drops it
-            held.deliver(lambda: other.on_datagram(data, self._address))
+        receiver = destination.transport
+        if not receiver.paused or len(receiver._held_events) < MAX_HELD_EVENTS:  # else the system drops it
+            receiver.deliver(lambda: destination.on_datagram(data, self._address))
 
     def close(self) -> None:
         if self.transport.network.ports.get(self._address) is self:
--- a/gorsethread/transport/virtual/disk.py
+++ b/gorsethread/transport/virtual/disk.py
@@ -1,4 +1,4 @@
-"""The files of all processes, and disks that fail or are slow."""
+"""The files of all simulated processes, and disks that fail or are slow."""
 
 from typing import TYPE_CHECKING
 
@@ -7,8 +7,14 @@
 
 
 class Disk:
-    """The files of all processes, by path; they outlive kills. broken: processes that can't write now; slow:
-    by process, seconds that each flush takes more; locks: who holds each, as long as it lives."""
+    """The files of all simulated processes; they remain when a process is killed.
+
+    Attributes:
+        files: Contents by path.
+        broken: Names of the processes that can't write now.
+        slow: Seconds by which each flush of a process takes longer, by its name.
+        locks: The process that holds a lock, by path; a process that has ended holds it no more.
+    """
 
     def __init__(self) -> None:
         self.files: dict[str, bytearray] = {}
@@ -18,6 +24,8 @@
 
 
 class VirtualBlocks:
+    """A simulated file for random access."""
+
     def __init__(self, file: bytearray) -> None:
         self._file = file
 
@@ -31,11 +39,11 @@
 
 
 class VirtualJournal:
-    """What is being added as its process ends is there up to some byte."""
+    """A simulated append-only file; a write in progress when its process ends is cut at a random byte."""
 
     def __init__(self, transport: "VirtualTransport", path: str, file: bytearray) -> None:
         self.transport, self.path, self._file = transport, path, file
-        self.adding = b""  # on its way to the disk
+        self.adding = b""  # of the call of add() in progress
         self._chance = transport.chance(f"journal {path}")
         self._broken = False
 
@@ -50,7 +58,8 @@
             raise OSError(28, "No space left on device", self.path)
         self._file.extend(data)
 
-    def torn(self) -> None:
+    def tear_write(self) -> None:
+        """Keeps a random part of the write in progress, because the process ends now."""
         self._file.extend(self.adding[: self._chance.randrange(len(self.adding) + 1)])
         self.adding = b""
 
--- a/gorsethread/transport/virtual/loop.py
+++ b/gorsethread/transport/virtual/loop.py
@@ -1,37 +1,37 @@
-"""A loop whose time jumps to what is due next."""
+"""An asyncio event loop on a simulated clock, which jumps to the next timer."""
 
 import asyncio
 from typing import Any
 
 from gorsethread.errors import GorsethreadError
 
-BEGINS = 1000.0  # seconds on every machine's clock when a world begins
+START_TIME = 1000.0  # seconds on every clock without an offset when a simulation starts
 
 
 class SimulationStuck(GorsethreadError):
-    """Nothing is due and nothing can become due: the world waits for ever."""
+    """Raised when no event is due and none can become due, so that the simulation would wait for ever."""
 
-    action = "Report the seed: a part of the program waits for what nobody will do."
+    action = "Report the seed: a part of the program waits for an event that can no longer happen."
 
 
 class VirtualLoop(asyncio.BaseEventLoop):
-    """A loop without a selector: when nothing is ready its time jumps to the next timer."""
+    """An event loop without a selector; when no callback is ready, its time jumps to the next timer."""
 
     def __init__(self) -> None:
         super().__init__()
-        self._virtual = BEGINS
+        self._time = START_TIME
         self._clock_resolution = 1e-9
         self._selector = self
         self.set_debug(False)
 
     def time(self) -> float:
-        return self._virtual
+        return self._time
 
     def select(self, timeout: float | None) -> list[Any]:
         if timeout is None:
-            raise SimulationStuck("nothing is due any more")
+            raise SimulationStuck("no event is due")
         if timeout > 0:
-            self._virtual = max(self._virtual, self._scheduled[0]._when)  # type: ignore[attr-defined]
+            self._time = max(self._time, self._scheduled[0]._when)  # type: ignore[attr-defined]
         return []
 
     def _process_events(self, events: list[Any]) -> None: ...
@@ -40,6 +40,8 @@
 
 
 class VirtualTimer:
+    """A pending call of VirtualTransport.call_at()."""
+
     def __init__(self) -> None:
         self.cancelled = False
         self.handle: asyncio.TimerHandle | None = None
@@ -50,6 +52,7 @@
             self.handle.cancel()
 
 
-def settle(waiting: "asyncio.Future[None]") -> None:
+def wake(waiting: "asyncio.Future[None]") -> None:
+    """Completes a future, if it is still pending."""
     if not waiting.done():
         waiting.set_result(None)
--- a/gorsethread/transport/virtual/process.py
+++ b/gorsethread/transport/virtual/process.py
@@ -1,4 +1,4 @@
-"""One process of a simulation: its transport, its gate, its signals."""
+"""The transport of one simulated process, and its kills, pauses and signals."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Coroutine
@@ -8,19 +8,31 @@
 from gorsethread.transport.program import Program, SeededRandom
 from gorsethread.transport.virtual.datagrams import VirtualDatagrams
 from gorsethread.transport.virtual.disk import Disk, VirtualBlocks, VirtualJournal
-from gorsethread.transport.virtual.loop import BEGINS, VirtualTimer, settle
+from gorsethread.transport.virtual.loop import START_TIME, VirtualTimer, wake
 from gorsethread.transport.virtual.network import Network
 from gorsethread.transport.virtual.streams import Pipe, VirtualListener, VirtualStream
 
-EPOCH = 1.8e9  # seconds since the epoch when a world begins
-SYN_AGAIN = 0.5  # seconds until a lost connection request is sent again, doubling
-NEVER_EARLY = 2e-9  # seconds; more than the loop's resolution and the rounding of clocks
-FLUSH = (0.0005, 0.003)  # seconds that a flush to disk takes
+START_WALL_TIME = 1.8e9  # seconds since the epoch when a simulation starts
+SYN_RETRY_DELAY = 0.5  # seconds until a lost connection request is sent again; doubles with each retry
+TIMER_MARGIN = 2e-9  # seconds; more than the loop's resolution and the rounding of clocks
+FLUSH_SECONDS = (0.0005, 0.003)  # the range of the time that a flush to disk takes
 
 
 class VirtualTransport(Program):
-    """One process of a world. offset, drift: of its monotonic clock against the world's time (seconds, and
-    seconds a second); wall_offset of its wall clock, which may jump."""
+    """The transport of one simulated process.
+
+    Attributes:
+        network: The network of the simulation.
+        disk: The files of all processes.
+        name: The name of the process; it is part of the names of its random streams.
+        offset: Seconds by which its monotonic clock is ahead of the simulation's clock.
+        drift: Seconds per second by which its monotonic clock runs fast.
+        wall_offset: Seconds by which its wall clock is ahead; a fault may change it.
+        alive: Whether the process runs.
+        paused: Whether events from outside are held until resume().
+        streams: The open ends of connections of this process.
+        journals: Append-only files by path; removed when they are closed.
+    """
 
     def __init__(
         self, network: Network, disk: Disk, name: str, offset: float = 0.0, drift: float = 0.0
@@ -30,44 +42,46 @@
         self.offset, self.drift, self.wall_offset = offset, drift, 0.0
         self.alive = True
         self.paused = False
-        self.streams: dict[int, VirtualStream] = {}  # open ends of its own
-        self._held: list[Callable[[], None]] = []  # due while it is paused; emptied as it goes on
-        self._tasks: dict[int, asyncio.Task[None]] = {}  # emptied as they end
+        self.streams: dict[int, VirtualStream] = {}
+        self._held_events: list[Callable[[], None]] = []  # while paused; emptied by resume()
+        self._tasks: dict[int, asyncio.Task[None]] = {}  # a task that ends is removed
         self._listeners: list[VirtualListener] = []
         self._ports: list[VirtualDatagrams] = []
-        self.journals: dict[str, VirtualJournal] = {}  # emptied as they are closed
+        self.journals: dict[str, VirtualJournal] = {}
         self._spawned = 0
         self._on_terminate: Callable[[], None] = self.finish
-        self._on_reload: Callable[[], None] = self.kill  # what a program that names nothing gets
+        self._on_reload: Callable[[], None] = self.kill  # the default action of SIGHUP
 
-    # ---- the gate
+    # Events from outside, and faults
 
     def deliver(self, act: Callable[[], None]) -> None:
-        """Does now what comes from outside, or later, or never."""
+        """Handles an event from outside: at once, after resume() while paused, or never once killed."""
         if not self.alive:
             return
         if self.paused:
-            self._held.append(act)
+            self._held_events.append(act)
         else:
             act()
 
     def pause(self) -> None:
+        """Stops the process, as SIGSTOP does."""
         self.paused = True
 
     def resume(self) -> None:
+        """Continues the process, as SIGCONT does."""
         self.paused = False
-        held, self._held = self._held, []
+        held, self._held_events = self._held_events, []
         for act in held:
             self.network.loop.call_soon(self.deliver, act)
 
     def kill(self) -> None:
-        """As SIGKILL: nothing of it runs any more, its connections end, its files stay."""
+        """Kills the process, as SIGKILL does: its connections end and its files remain."""
         self._die()
         for stream in list(self.streams.values()):
-            stream._shut(stream.unread > 0)
+            stream._close(stream.unread > 0)
 
     def vanish(self) -> None:
-        """Its machine is gone: peers are told nothing."""
+        """Ends the process together with its machine, so that peers are not notified."""
         self._die()
         self.network.vanished.add(self.name)
         for stream in list(self.streams.values()):
@@ -76,9 +90,9 @@
     def _die(self) -> None:
         if self.alive:
             for journal in self.journals.values():
-                journal.torn()
+                journal.tear_write()
         self.alive = False
-        self._held.clear()
+        self._held_events.clear()
         for listener in self._listeners:
             listener.close()
         for port in self._ports:
@@ -86,13 +100,13 @@
         for task in list(self._tasks.values()):
             task.cancel()
 
-    # ---- what the program asks for
+    # The Transport interface
 
     def now(self) -> float:
         return self.network.loop.time() * (1.0 + self.drift) + self.offset
 
     def wall_time(self) -> float:
-        return EPOCH + self.network.loop.time() - BEGINS + self.wall_offset
+        return START_WALL_TIME + self.network.loop.time() - START_TIME + self.wall_offset
 
     def call_at(self, when: float, act: Callable[[], None]) -> VirtualTimer:
         timer = VirtualTimer()
@@ -101,9 +115,9 @@
             if not timer.cancelled:
                 act()
 
-        # Never early, else whoever waits for that moment looks again and again while no time passes.
-        true = (when - self.offset) / (1.0 + self.drift) + NEVER_EARLY
-        timer.handle = self.network.loop.call_at(true, self.deliver, due)
+        # A timer must not fire early: code that checks the clock would set it again while no time passes.
+        loop_time = (when - self.offset) / (1.0 + self.drift) + TIMER_MARGIN
+        timer.handle = self.network.loop.call_at(loop_time, self.deliver, due)
         return timer
 
     def call_soon(self, act: Callable[[], None]) -> None:
@@ -111,7 +125,7 @@
 
     async def sleep(self, seconds: float) -> None:
         waiting = self.network.loop.create_future()
-        self.call_at(self.now() + seconds, lambda: settle(waiting))
+        self.call_at(self.now() + seconds, lambda: wake(waiting))
         await waiting
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
@@ -131,31 +145,31 @@
 
     async def connect(self, host: str, port: int, within: float) -> Stream:
         network, address = self.network, (host, port)
-        by, again = network.loop.time() + within, SYN_AGAIN
+        deadline, retry_delay = network.loop.time() + within, SYN_RETRY_DELAY
         chance = network.chance(f"connects {self.name}")
         while True:
             owner = network.machines.get(address, "")
             delay = chance.uniform(network.conditions.min_delay, network.conditions.max_delay)
             delay += network.extra_connect_delay.get(owner, 0.0)
             reached = network.reaches(self.name, owner) and network.reaches(owner, self.name)
-            wait = 2 * delay if reached else again
-            if network.loop.time() + wait > by:
-                await self.sleep(max(0.0, by - network.loop.time()))
+            wait = 2 * delay if reached else retry_delay
+            if network.loop.time() + wait > deadline:
+                await self.sleep(max(0.0, deadline - network.loop.time()))
                 raise Unreachable(f"{host}:{port}: no answer in time")
             await self.sleep(wait)
             if not reached:
-                again *= 2
+                retry_delay *= 2
                 continue
             listener = network.listeners.get(address)
             if listener is None:
                 raise Unreachable(f"{host}:{port}: connection refused")
-            return self._join(listener, host, port)
+            return self._establish(listener, host, port)
 
-    def _join(self, listener: VirtualListener, host: str, port: int) -> VirtualStream:
+    def _establish(self, listener: VirtualListener, host: str, port: int) -> VirtualStream:
         network, server = self.network, listener.transport
         mine = VirtualStream(network, self, f"{host}:{port}")
-        theirs = VirtualStream(network, server, f"127.0.0.1:{network.port()}")
-        mine.other, theirs.other = theirs, mine
+        theirs = VirtualStream(network, server, f"127.0.0.1:{network.next_port()}")
+        mine.other_end, theirs.other_end = theirs, mine
         mine.out, theirs.out = Pipe(network, mine, theirs), Pipe(network, theirs, mine)
         server.deliver(lambda: _accept(listener, theirs))
         return mine
@@ -170,20 +184,20 @@
         if (host, port) in self.network.listeners:
             raise OSError(f"{host}:{port} is in use")
         self.network.vanished.discard(self.name)
-        listener = VirtualListener(self, host, port or self.network.port(), on_stream, admits)
+        listener = VirtualListener(self, host, port or self.network.next_port(), on_stream, admits)
         self._listeners.append(listener)
         return listener
 
     def datagrams(
         self, host: str, port: int, on_datagram: Callable[[bytes, tuple[str, int]], None]
     ) -> VirtualDatagrams:
-        port = port or self.network.port()
+        port = port or self.network.next_port()
         if (host, port) in self.network.ports:
             raise OSError(f"{host}:{port} is in use")
         self.network.vanished.discard(self.name)
-        made = VirtualDatagrams(self, host, port, on_datagram)
-        self._ports.append(made)
-        return made
+        datagrams = VirtualDatagrams(self, host, port, on_datagram)
+        self._ports.append(datagrams)
+        return datagrams
 
     def on_terminate(self, act: Callable[[], None]) -> None:
         self._on_terminate = act
@@ -192,11 +206,11 @@
         self._on_reload = act
 
     def terminate(self) -> None:
-        """As SIGTERM."""
+        """Sends SIGTERM to the process."""
         self.deliver(self._on_terminate)
 
     def reload(self) -> None:
-        """As SIGHUP."""
+        """Sends SIGHUP to the process."""
         self.deliver(self._on_reload)
 
     def chance(self, name: str) -> SeededRandom:
@@ -213,8 +227,8 @@
             self.disk.files[path] = bytearray(data)
 
     async def flush(self, chance: SeededRandom) -> None:
-        """As long as a flush to this process's disk takes."""
-        await self.sleep(chance.uniform(*FLUSH) + self.disk.slow.get(self.name, 0.0))
+        """Waits for as long as a flush to the disk of this process takes."""
+        await self.sleep(chance.uniform(*FLUSH_SECONDS) + self.disk.slow.get(self.name, 0.0))
 
     async def save_durably(self, path: str, data: bytes) -> None:
         await self.flush(self.chance(f"keep {path}"))
@@ -223,8 +237,8 @@
     def journal(self, path: str) -> VirtualJournal:
         if path not in self.disk.files:
             raise OSError(2, "No such file or directory", path)
-        made = self.journals[path] = VirtualJournal(self, path, self.disk.files[path])
-        return made
+        journal = self.journals[path] = VirtualJournal(self, path, self.disk.files[path])
+        return journal
 
     def lock(self, path: str) -> Callable[[], None] | None:
         holder = self.disk.locks.get(path)
@@ -232,15 +246,15 @@
             return None
         self.disk.locks[path] = self
 
-        def give_up() -> None:
+        def release() -> None:
             if self.disk.locks.get(path) is self:
                 del self.disk.locks[path]
 
-        return give_up
+        return release
 
     def list_files(self, folder: str) -> list[str]:
-        inside = folder.rstrip("/") + "/"
-        return sorted(path[len(inside) :] for path in self.disk.files if path.startswith(inside))
+        prefix = folder.rstrip("/") + "/"
+        return sorted(path[len(prefix) :] for path in self.disk.files if path.startswith(prefix))
 
     def remove(self, path: str) -> None:
         self.disk.files.pop(path, None)
