--- a/gorsethread/errors.py
+++ b/gorsethread/errors.py
@@ -1,7 +1,7 @@
-"""The one family of this program's errors.
+"""The base class of all errors of this program.
 
-An error says in its text what happened and where, and by its type what an operator can do; commands print
-both and logs carry them.
+The text of an error says what happened and where; its type says what an operator can do about it. Commands
+print both, and logs contain both.
 """
 
 from typing import ClassVar
@@ -11,25 +11,25 @@
     """Base of all errors of this program.
 
     Attributes:
-        action: What an operator can do, a sentence of its own for each type.
+        action: What an operator can do; each type has a sentence of its own.
     """
 
     action: ClassVar[str] = ""
 
     @property
     def lines(self) -> list[str]:
-        """Its text, a line for each fault, and what to do."""
+        """The lines of the text, one for each fault, followed by what to do."""
         return [*str(self).splitlines(), f"to do: {self.action}"]
 
 
 class InvalidInputError(GorsethreadError):
-    """Something given by a person is wrong in one place or several.
+    """Raised when input given by a person is invalid in one or more places.
 
     Attributes:
-        faults: A line for each place.
+        faults: One line for each invalid place.
     """
 
-    action = "Mend the lines that are named and try again; nothing was changed."
+    action = "Correct the lines that are named and try again; nothing was changed."
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__("\n".join(faults))
--- a/gorsethread/logs.py
+++ b/gorsethread/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs, on structlog: for a person's console or a line of JSON each."""
+"""Structured logs with structlog, as text for a console or as one JSON object per line."""
 
 import logging
 import sys
@@ -8,11 +8,11 @@
 
 
 def start_logs(as_json: bool, level: str = "info") -> None:
-    """Sets where every later line goes: to standard error.
+    """Configures all loggers to write to standard error.
 
     Args:
-        as_json: Whether each line is an object of JSON; else it is text for a console.
-        level: The lowest level that is written, by its name in lower case.
+        as_json: Whether each line is a JSON object; otherwise it is text for a console.
+        level: The lowest level that is written, as its name in lower case.
     """
     processors: list[Any] = [
         structlog.contextvars.merge_contextvars,
@@ -20,7 +20,7 @@
         structlog.processors.TimeStamper(fmt="iso", utc=True),
     ]
     if as_json:
-        # Unlike the console's, the JSON renderer writes no traceback by itself.
+        # Unlike the console renderer, the JSON renderer does not write tracebacks by itself.
         processors += [structlog.processors.format_exc_info, structlog.processors.JSONRenderer()]
     else:
         processors.append(structlog.dev.ConsoleRenderer(colors=False))
@@ -33,5 +33,5 @@
 
 
 def log_for(**context: Any) -> Any:
-    """A logger whose lines carry these fields."""
+    """Returns a logger that adds these fields to each line."""
     return structlog.get_logger(**context)
--- a/gorsethread/transport/virtual/network.py
+++ b/gorsethread/transport/virtual/network.py
@@ -46,8 +46,8 @@
         digest: A digest of all events.
         delivered: The number of segments that have arrived.
         on_arrival: Called after each arrival, before its reader runs, with source, destination, number of
-            arrivals between them so far, the time of sending and the number of the pipe. It serves faults that
-            happen between two messages.
+            arrivals between them so far, time of sending and number of the pipe. It serves faults that happen
+            between two messages.
         on_lost: Called with source and destination when data arrives at a connection that the receiver or an
             earlier process of its name has closed.
         arrivals: The number of arrivals by source and destination process.
