--- a/gorsethread/bandwidth_credits/__init__.py
+++ b/gorsethread/bandwidth_credits/__init__.py
@@ -1,4 +1,4 @@
-"""Bandwidth credits between partners: who fetched how much from whom, what is owed, whom a fill is asked of.
+"""Bandwidth credits between partners: what each fetched from and owes to others, and from whom to fetch next.
 
-Pure: no I/O, no clock, no chance.
+No I/O, no clock and no random numbers.
 """
--- a/gorsethread/bandwidth_credits/credit_accounts.py
+++ b/gorsethread/bandwidth_credits/credit_accounts.py
@@ -1,12 +1,13 @@
-"""Accounts between partners, as counters of (gateway, incarnation) that only grow, and their encoding. Pure.
+"""Accounts between partners, as grow-only counters per gateway incarnation, and their encoding. No I/O.
 
-Each counter is written by one incarnation of one gateway alone, so merging takes the higher value, and lost,
-late, doubled and reordered messages change nothing (a grow-only counter, a state-based CRDT).
+Each counter is written by only one incarnation of one gateway, so merging takes the higher value. Lost, late,
+duplicated and reordered messages then do no harm (a grow-only counter is a state-based CRDT).
 
-Both sides count what crosses: who gave, and who received. What both report is owed; the rest is disputed: on
-its way, or one side lost its count or reports too much. It is shown, bounded by the credit line, and owed as
-soon as the side that lags has reported it too. What is paid is counted by the debtor. Balances are
-differences of what both report, so their sum is 0 on every merged state.
+Both partners count each transfer: one counts units given, the other units received. The units that both
+report are owed. The rest is disputed: it is still in transit, or one partner lost its count or reports too
+much. Disputed units are shown, are bounded by the credit line, and are owed as soon as the other partner
+reports them too. Payments are counted by the debtor. Balances are differences of what both report, so their
+sum is 0 in every merged state.
 """
 
 from collections import Counter
@@ -19,23 +20,23 @@
 from gorsethread.errors import GorsethreadError
 
 PARTNERS_MAX = 64
-ROWS_MAX = 1 << 16  # a gateway keeps an incarnation's counters as long as its records last, so few come to be
-CHUNK_BYTES_MAX = 224  # a datagram of 256 bytes without its header
+ROWS_MAX = 1 << 16  # few are used: a gateway keeps its counters while its records last
+CHUNK_BYTES_MAX = 224  # what fits into a datagram of 256 bytes after its header
 
 Pair = tuple[int, int]  # giver and taker
 CounterKey = tuple[int, int, int, int, int]
 
 
 class CounterKind(IntEnum):
-    """What a counter counts, by its number on the wire."""
+    """What a counter counts; the value is the number on the wire."""
 
-    GIVEN = 0  # by a gateway of the giver
-    RECEIVED = 1  # by a gateway of the taker
-    PAID = 2  # by a gateway of the taker: so much of its debt is paid
+    GIVEN = 0  # units given; counted by a gateway of the giver
+    RECEIVED = 1  # units received; counted by a gateway of the taker
+    PAID = 2  # units of debt paid; counted by a gateway of the taker
 
 
 class CounterRow(NamedTuple):
-    """One counter of one incarnation of one gateway, in the order of the fields on the wire; units so far."""
+    """The value of one counter of one gateway incarnation, with its fields in the order on the wire."""
 
     giver: int
     taker: int
@@ -46,21 +47,21 @@
 
     @property
     def key(self) -> CounterKey:
-        """What names the counter."""
+        """The fields that identify the counter."""
         return self[:5]
 
 
 class CounterDecodeError(GorsethreadError):
-    """Bytes that are no rows of accounts."""
+    """Raised for bytes that are not rows of accounts."""
 
-    action = "See that all partners' gateways run one version; their accounts are sent again by themselves."
+    action = "Check that all partners' gateways run one version; accounts are sent again automatically."
 
 
 class CreditAccounts:
-    """Owns the counters that one gateway knows, ROWS_MAX at most; nothing empties them.
+    """Owns the counters that one gateway knows; there are at most ROWS_MAX, and none is ever removed.
 
     Attributes:
-        refused: Rows that name no partner, or for which there was no space.
+        refused: The number of rows that were invalid or for which there was no space.
     """
 
     def __init__(self, rows: Iterable[CounterRow] = ()) -> None:
@@ -70,7 +71,7 @@
             self.merge_row(row)
 
     def merge_row(self, row: CounterRow) -> bool:
-        """Takes a row of any gateway; whether it was news."""
+        """Merges a row of any gateway; returns whether it raised the counter."""
         if not self._acceptable(row):
             self.refused += 1
             return False
@@ -87,24 +88,24 @@
         return partners_valid and row.units >= 0 and row.kind in tuple(CounterKind) and has_space
 
     def merge(self, other: "CreditAccounts") -> None:
-        """Takes all rows of another gateway's accounts."""
+        """Merges all rows of the accounts of another gateway."""
         for row in other.rows():
             self.merge_row(row)
 
     def add(self, pair: Pair, kind: CounterKind, gateway: int, incarnation: int, units: int) -> CounterRow:
-        """Counts so many more by an incarnation of this gateway; the row to be sent."""
+        """Adds units to a counter of this gateway and returns the row to send."""
         key = (*pair, int(kind), gateway, incarnation)
         row = CounterRow(*key, self._units.get(key, 0) + units)
         self.merge_row(row)
         return row
 
     def rows(self) -> Iterator[CounterRow]:
-        """All rows, in order."""
+        """Yields all rows, sorted by key."""
         for key, units in sorted(self._units.items()):
             yield CounterRow(*key, units)
 
     def totals(self, kind: CounterKind) -> Counter[Pair]:
-        """Units of one kind by pair, over all gateways and incarnations."""
+        """Returns the units of one kind by pair, summed over all gateways and incarnations."""
         found: Counter[Pair] = Counter()
         for (giver, taker, row_kind, *_), units in self._units.items():
             if row_kind == kind:
@@ -112,21 +113,21 @@
         return found
 
     def owed(self) -> Counter[Pair]:
-        """Units that both sides report as given, payments not taken off."""
+        """Returns the units that both partners report, by pair, without subtracting payments."""
         given = self.totals(CounterKind.GIVEN)
         received = self.totals(CounterKind.RECEIVED)
-        both = {pair: min(units, received[pair]) for pair, units in given.items()}
-        return Counter({pair: units for pair, units in both.items() if units})
+        agreed = {pair: min(units, received[pair]) for pair, units in given.items()}
+        return Counter({pair: units for pair, units in agreed.items() if units})
 
     def disputed(self) -> dict[Pair, int]:
-        """By how many units the giver reports more than the taker; less is negative."""
+        """Returns the units that the giver reports beyond the taker's count, by pair; negative if fewer."""
         given = self.totals(CounterKind.GIVEN)
         received = self.totals(CounterKind.RECEIVED)
         differences = {pair: given[pair] - received[pair] for pair in sorted(given.keys() | received.keys())}
         return {pair: units for pair, units in differences.items() if units}
 
     def balances(self) -> dict[int, int]:
-        """By partner, what it gave less what it received, less what was paid for it; the sum is 0."""
+        """Returns each partner's units given minus received, after payments; the sum over all is 0."""
         found: Counter[int] = Counter()
         for (giver, taker), units in self.owed().items():
             found[giver] += units
@@ -137,7 +138,7 @@
         return dict(found)
 
     def net_debt(self, giver: int, taker: int) -> int:
-        """What the taker owes the giver, less what the giver owes it."""
+        """Returns the units that the taker owes the giver, minus those that the giver owes the taker."""
         owed = self.owed()
         paid = self.totals(CounterKind.PAID)
         return owed[giver, taker] - paid[giver, taker] - owed[taker, giver] + paid[taker, giver]
@@ -150,7 +151,7 @@
 
 
 def encode(rows: Iterable[CounterRow]) -> list[bytes]:
-    """Rows in chunks of CHUNK_BYTES_MAX, each for one datagram."""
+    """Encodes rows in chunks of at most CHUNK_BYTES_MAX bytes, one for each datagram."""
     chunks: list[bytes] = []
     chunk: list[CounterRow] = []
     for row in rows:
@@ -164,10 +165,10 @@
 
 
 def decode(chunk: bytes) -> list[CounterRow]:
-    """The rows of a chunk.
+    """Decodes the rows of a chunk.
 
     Raises:
-        CounterDecodeError: It is none.
+        CounterDecodeError: The bytes are not a chunk.
     """
     try:
         return _decoder.decode(chunk)
--- a/gorsethread/bandwidth_credits/fill_scheduling.py
+++ b/gorsethread/bandwidth_credits/fill_scheduling.py
@@ -1,8 +1,9 @@
-"""Which holder a cache fill is requested from, and which waiting fills go next. Pure.
+"""Chooses the holder that each cache fill is requested from, and which waiting fills go next. No I/O.
 
-As the paper does for volumes (docs/design.md): the taker that received least for its weight goes first, by an
-augmenting path over holders, so that a fill that can go elsewhere makes way for one that can't. Debts steer
-fills alone: a live read that misses is never rejected for one.
+The rule is that of the paper for volumes (docs/design.md): the taker that has received least for its weight
+goes first. Fills are assigned by augmenting paths over holders, so a fill that can use another holder makes
+way for one that can't. Debts affect only fills: a client's read that misses the cache is never rejected
+because of one.
 """
 
 from collections.abc import Mapping, Sequence
@@ -14,7 +15,15 @@
 
 @dataclass(frozen=True)
 class CacheFill:
-    """An object that a taker wants; the partners that hold it, and those at which it failed already."""
+    """A request for an object.
+
+    Attributes:
+        object_name: The object.
+        taker: The partner that wants it.
+        units: Its size in units.
+        holders: The partners that hold it.
+        tried: The holders from which fetching it has failed.
+    """
 
     object_name: str
     taker: int
@@ -24,15 +33,15 @@
 
 
 class DebtLedger(Protocol):
-    """Who owes whom."""
+    """A source of debts between partners."""
 
     def net_debt(self, giver: int, taker: int) -> int:
-        """What the taker owes the giver, less what the giver owes it."""
+        """Returns the units that the taker owes the giver, minus those that the giver owes the taker."""
         ...
 
 
 class AssignedFill(NamedTuple):
-    """A fill that goes now, and the holder that it is requested from."""
+    """A fill to request now, and the holder to request it from."""
 
     fill: CacheFill
     holder: int
@@ -44,10 +53,10 @@
     weights: Mapping[int, float],
     distances: Mapping[tuple[int, int], float],
 ) -> list[int]:
-    """Holders that were not tried, the first to ask first.
+    """Returns the holders that were not tried, the preferred one first.
 
-    The one that owes the taker most for its weight, as a fill from it pays that off; then the nearest; then
-    by number.
+    The holder that owes the taker most for its weight is preferred, because a fill from it reduces that debt;
+    then the nearest; then the one with the lowest number.
     """
     remaining = [holder for holder in fill.holders if holder not in fill.tried and holder != fill.taker]
     return sorted(
@@ -61,14 +70,17 @@
 
 
 class _Assignment:
-    """Owns which fills each holder gives in one call; fills are their indexes."""
+    """Owns the assignment of fills to holders during one call; fills are named by their indexes."""
 
     def __init__(self, preferences: Sequence[Sequence[int]], capacity: Mapping[int, int]) -> None:
         self.preferences, self.capacity = preferences, capacity
         self.by_holder: dict[int, list[int]] = {holder: [] for holder in capacity}
 
     def augment(self, index: int, visited: set[int]) -> bool:
-        """Finds a place for a fill, moving others to their further holders where need be."""
+        """Assigns a fill to a holder, moving assigned fills to other holders if needed.
+
+        Returns whether that succeeded.
+        """
         for holder in self.preferences[index]:
             if holder in visited:
                 continue
@@ -77,14 +89,14 @@
             if len(assigned) < self.capacity[holder]:
                 assigned.append(index)
                 return True
-            for position, other in enumerate(assigned):
-                if self.augment(other, visited):
+            for position, assigned_index in enumerate(assigned):
+                if self.augment(assigned_index, visited):
                     assigned[position] = index
                     return True
         return False
 
     def holder_of(self) -> dict[int, int]:
-        """The holder of each fill that has one."""
+        """Returns the holder of each assigned fill."""
         return {index: holder for holder, indexes in self.by_holder.items() for index in indexes}
 
 
@@ -96,15 +108,15 @@
     weights: Mapping[int, float],
     distances: Mapping[tuple[int, int], float],
 ) -> list[AssignedFill]:
-    """Fills that go now, each with its holder.
+    """Selects the fills to request now, each with its holder.
 
     Args:
-        waiting: All that wait; a taker's in the order in which it wants them.
-        capacity: Fills that each partner gives at once.
-        ledger: Who owes whom.
-        received: Net units by taker, so far.
-        weights: Of partners; 1 where none is given.
-        distances: By taker and holder; 0 where none is given.
+        waiting: All waiting fills; those of a taker in the order in which it wants them.
+        capacity: How many fills each partner serves now.
+        ledger: The debts between partners.
+        received: Net units received so far, by taker.
+        weights: The weights of partners; DEFAULT_WEIGHT if missing.
+        distances: Distances by taker and holder; 0 if missing.
     """
     preferences = [
         [
--- a/gorsethread/bandwidth_credits/netting.py
+++ b/gorsethread/bandwidth_credits/netting.py
@@ -1,8 +1,8 @@
-"""Chains of debts are netted: A owes B owes C owes A is nobody owing anybody. Pure.
+"""Netting of debts: if A owes B, B owes C and C owes A the same, nobody owes anything. No I/O.
 
-A function of the merged accounts, so all gateways that have merged the same compute the same. A message that
-comes late changes what is owed in all, and so falls into the next settlement: what was paid before is off the
-balances already.
+The result depends only on the merged accounts, so all gateways that have merged the same rows compute the
+same. A late message changes the total that is owed and therefore takes effect in the next settlement, because
+earlier payments are already subtracted from the balances.
 """
 
 from collections.abc import Mapping
@@ -13,19 +13,19 @@
 
 
 class UnbalancedError(GorsethreadError):
-    """Balances that do not add up to 0 are no merged accounts'."""
+    """Raised for balances that do not add up to 0, which merged accounts always do."""
 
     action = "This is a defect of the program: keep the gateways' records and report it; nothing was settled."
 
 
 def payments(balances: Mapping[int, int]) -> Payments:
-    """Payments that bring all balances to 0; nobody both pays and is paid.
+    """Computes payments that bring all balances to 0; no partner both pays and is paid.
 
     Args:
-        balances: By partner, what it gave less what it received, as CreditAccounts.balances() has it.
+        balances: Units given minus received by partner, as CreditAccounts.balances() returns them.
 
     Returns:
-        Fewer payments than there are partners with a balance.
+        Units by debtor and creditor; there are fewer payments than partners with a balance.
 
     Raises:
         UnbalancedError: The balances do not add up to 0.
--- a/gorsethread/bandwidth_credits/object_cache.py
+++ b/gorsethread/bandwidth_credits/object_cache.py
@@ -1,7 +1,7 @@
-"""A bounded cache of objects that are written once, and one fill at a time for each. Pure.
+"""A bounded cache of write-once objects, with one fill at a time for each object. No I/O.
 
-Who carries it fetches what it decides. Only objects of volumes that are written once may be put in, so
-nothing in it is ever stale.
+The caller fetches what the cache decides. Only objects of write-once volumes may be stored, so no cached
+object is ever stale.
 """
 
 from collections.abc import Hashable, Sequence
@@ -14,29 +14,29 @@
 from gorsethread.bandwidth_credits.fill_scheduling import CacheFill
 
 Waiter = TypeVar("Waiter")
-PENDING_FILLS_MAX = 256  # what is over is read at its own shard, and not kept
-HOLDERS_TRIED_MAX = 3  # of one fill
-LARGEST_OBJECT_PART = 10  # an object of more than the cache's size divided by this is not kept
+PENDING_FILLS_MAX = 256  # beyond it, objects are read from their own shard and not cached
+HOLDERS_TRIED_MAX = 3  # per fill
+OBJECT_SIZE_DIVISOR = 10  # an object larger than the capacity divided by this is not cached
 
 
 class FillDecision(Enum):
-    """What becomes of a wish for an object that is not cached."""
+    """What happens to a request for an object that is not cached."""
 
-    FETCH = auto()  # the fill is to be fetched
-    WAIT = auto()  # one is pending; the waiter comes back with it
-    READ_DIRECTLY = auto()  # no holder or no capacity; the waiter reads by itself
+    FETCH = auto()  # the caller fetches the object
+    WAIT = auto()  # a fill is pending; the waiter is returned when it ends
+    READ_DIRECTLY = auto()  # no holder or too many fills; the caller reads the object itself
 
 
 @dataclass
 class PendingFill(Generic[Waiter]):
-    """A fill that is fetched, and who waits for it."""
+    """A fill in progress and its waiters."""
 
     fill: CacheFill
     waiters: list[Waiter] = field(default_factory=list)
 
 
 class CacheStatistics(NamedTuple):
-    """Counts of a cache; hits and misses since its begin."""
+    """The sizes and counts of a cache; hits and misses are counted from its start."""
 
     objects: int
     bytes: int
@@ -46,10 +46,10 @@
 
 
 class ObjectCache(Generic[Waiter]):
-    """Owns cached objects, the least recently used dropped first, and pending fills until each ends.
+    """Owns the cached objects, of which the least recently used is evicted first, and the pending fills.
 
     Attributes:
-        capacity: Bytes of all objects.
+        capacity: The maximum total size of the objects in bytes.
     """
 
     def __init__(self, capacity: int) -> None:
@@ -60,7 +60,7 @@
         self._misses = 0
 
     def get(self, name: str) -> bytes | None:
-        """An object, where it is cached."""
+        """Returns an object, or None if it is not cached."""
         found = self._objects.get(name)
         if found is None:
             self._misses += 1
@@ -69,7 +69,7 @@
         return found
 
     def request_fill(self, fill: CacheFill, waiter: Waiter) -> FillDecision:
-        """A waiter wants an object that is not cached."""
+        """Decides about a request for an object that is not cached."""
         known = self.pending.get(fill.object_name)
         if known is not None:
             known.waiters.append(waiter)
@@ -80,17 +80,17 @@
         return FillDecision.FETCH
 
     def fill_succeeded(self, name: str, data: bytes) -> Sequence[Waiter]:
-        """An object came; who waited for it."""
+        """Caches a fetched object and returns its waiters."""
         known = self.pending.pop(name, None)
-        if len(data) <= self.capacity // LARGEST_OBJECT_PART:
+        if len(data) <= self.capacity // OBJECT_SIZE_DIVISOR:
             self._objects[name] = data
         return known.waiters if known is not None else []
 
     def fill_failed(self, name: str, holder: int) -> CacheFill | Sequence[Waiter]:
-        """A holder did not give an object.
+        """Handles the failure to fetch an object from a holder.
 
         Returns:
-            The fill to go on with, at another holder; or who waited, where there is none left.
+            The fill to try at another holder, or the waiters if no holder is left.
         """
         known = self.pending.get(name)
         if known is None:
@@ -104,7 +104,7 @@
         return known.fill
 
     def statistics(self) -> CacheStatistics:
-        """Its counts now."""
+        """Returns the current counts."""
         return CacheStatistics(
             len(self._objects), int(self._objects.currsize), self._hits, self._misses, len(self.pending)
         )
--- a/gorsethread/membership/__init__.py
+++ b/gorsethread/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership of the fleet: who is alive, and news of backends that drain or are gone. No I/O."""
+"""Membership of the fleet: which gateways are alive, and news of draining or removed backends. No I/O."""
--- a/gorsethread/membership/backend_news.py
+++ b/gorsethread/membership/backend_news.py
@@ -1,10 +1,10 @@
-"""Backends that drain or are gone, by this gateway's own endpoint list and by its peers' news. Pure.
+"""Tracks draining and removed backends by this gateway's endpoint list and by news from its peers. No I/O.
 
-A peer's news may stop this gateway sending to a backend; it never lets it send. Each piece names the version
-of the list that said it, so late, doubled and reordered news does no harm: what the own list has already
-covered is ignored. A list that restarted counts versions from the start again, under a later incarnation,
-which is the time of day of its machine. That clock may have been set back, so what the own list does not
-confirm stops sending only for a while.
+News from a peer may stop this gateway from sending to a backend, but never allows it to send. Each piece of
+news names the version of the endpoint list that it is based on, so late, duplicated and reordered news does
+no harm: news that this gateway's own list already covers is ignored. A list that restarts counts its versions
+from the start again, under a later incarnation, which is the time of day of its machine. That clock may have
+been set back, so a stop that the own list does not confirm lasts only for a while.
 """
 
 from collections.abc import Callable, Iterable
@@ -12,16 +12,16 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-STOP_SECONDS = 10.0  # that a peer's news stops sending while the own list does not confirm it
-RETENTION_SECONDS = 30.0  # that a backend which is gone, or is back, is reported to others
-FANOUT = 3  # peers that get fresh news at once: it reaches n gateways in about log(n) rounds
-RESEND_INTERVAL = 1.0  # seconds between sendings of everything to one peer, which make up for losses
-NEWS_MAX = 4096  # pieces of news held; a site has far fewer backends
-NEVER = -1e9  # seconds; before any time of a clock
+STOP_SECONDS = 10.0  # how long a peer's news stops sending if the own list does not confirm it
+RETENTION_SECONDS = 30.0  # how long a backend is reported to peers after it was removed or became ready again
+FANOUT = 3  # peers that new news is sent to at once; it reaches n gateways in about log(n) rounds
+RESEND_INTERVAL = 1.0  # seconds between repetitions of all news to one peer, which make up for losses
+NEWS_MAX = 4096  # stops held at once; a site has far fewer backends
+NEVER = -1e9  # seconds; earlier than any clock reading
 
 
 class BackendState(IntEnum):
-    """What a list says of a backend, by its number on the wire."""
+    """The state of a backend in an endpoint list; the value is the number on the wire."""
 
     READY = 0
     DRAINING = 1
@@ -32,7 +32,15 @@
 
 
 class BackendNews(NamedTuple):
-    """A backend, which start of it, its state, and incarnation and version of the list that said so."""
+    """The state of a backend, as reported by a gateway.
+
+    Attributes:
+        backend: The number of the backend.
+        start: Which start of the backend.
+        state: A BackendState.
+        list_incarnation: Which start of the endpoint list the report is based on.
+        list_version: The version of the list within that start.
+    """
 
     backend: int
     start: int
@@ -42,7 +50,14 @@
 
 
 class OwnListEntry(NamedTuple):
-    """The own list's last entry on a backend, when it came, and when the list last had it as not ready."""
+    """The last entry of the own list for a backend.
+
+    Attributes:
+        start: Which start of the backend.
+        state: Its state.
+        updated_at: When the entry arrived, in seconds.
+        not_ready_at: When the list last reported the backend as not ready.
+    """
 
     start: int
     state: BackendState
@@ -52,17 +67,20 @@
 
 @dataclass(frozen=True)
 class PeerStop:
-    """A stop by a peer's news, until the own list covers it or, where the list is followed, until a time."""
+    """A stop because of a peer's news.
+
+    It ends when the own list covers the news or, while the own list is followed, at the time ``until``.
+    """
 
     news: BackendNews
     until: float
 
 
 class ListUpdate(NamedTuple):
-    """What an update of the own list changes.
+    """The effect of an update of the own list.
 
     Attributes:
-        released: Backends that peers' news stopped and that may be used again by the own list.
+        released: Backends whose stop ended and that the own list calls ready.
         fresh: News to send to peers at once.
     """
 
@@ -71,22 +89,22 @@
 
 
 class BackendNewsTable:
-    """Owns the own list's entries, peers' latest news of each backend and the stops that follow from it.
+    """Owns the entries of the own list, the latest news of each backend and the stops that follow from it.
 
-    Entries and latest news go RETENTION_SECONDS after a backend is gone. Stops go when the own list covers
-    them or they expire; there are NEWS_MAX at most.
+    The entry and the latest news of a backend are removed RETENTION_SECONDS after the backend is gone. A stop
+    is removed when the own list covers it or when it expires; there are at most NEWS_MAX stops.
 
     Attributes:
-        ignored: Pieces of news that changed nothing.
+        ignored: The number of pieces of news that changed nothing.
     """
 
     def __init__(self, own: int, peers: Iterable[int], random_below: Callable[[int], int]) -> None:
-        """Begins without a list.
+        """Starts without an endpoint list.
 
         Args:
-            own: This gateway's number.
-            peers: Numbers of the gateways that exchange news; its own may be among them.
-            random_below: Draws from 0 to below a number.
+            own: The number of this gateway.
+            peers: The numbers of the gateways that exchange news; this gateway's own may be among them.
+            random_below: Returns a random integer of at least 0 and below its argument.
         """
         self.own = own
         self.peers = sorted(set(peers) - {own})
@@ -107,14 +125,14 @@
         complete: bool,
         now: float,
     ) -> ListUpdate:
-        """The own list said something.
+        """Applies an update of the own list.
 
         Args:
             list_incarnation: Which start of the list.
-            list_version: Its version within that.
-            backends: Number, start and name of the state of each.
-            complete: Whether the backends are all there are.
-            now: Seconds.
+            list_version: The version of the list within that start.
+            backends: The number, the start and the name of the state of each backend.
+            complete: Whether these are all backends; the others are then gone.
+            now: The time in seconds.
         """
         sent_before = {(news.backend, news.start, news.state) for news in self.news_to_send(now)}
         self.list_incarnation = list_incarnation
@@ -138,15 +156,14 @@
         return ListUpdate(released, fresh)
 
     def list_lost(self) -> None:
-        """The own list is not followed any more."""
+        """Notes that the own list is no longer followed."""
         self.list_followed = False
 
     def peer_reported(self, reports: Iterable[BackendNews], now: float) -> list[BackendNews]:
-        """A peer's news came.
+        """Applies news from a peer.
 
         Returns:
-            What was new and is believed, to be passed on: its backends are stopped, or are again what the own
-            list says.
+            The news that was accepted, to be passed on. It has stopped its backends or ended their stops.
         """
         fresh = []
         for news in reports:
@@ -165,20 +182,23 @@
         return fresh
 
     def expire(self, now: float) -> list[int]:
-        """Ends stops that the own list did not confirm in time; the backends that may be used again.
+        """Ends the stops that the own list did not confirm in time.
+
+        A gateway that follows no list keeps its stops, because it has no better source.
 
-        A gateway that follows no list goes on believing: it has nothing better.
+        Returns:
+            The backends that may be used again.
         """
         if not self.list_followed:
             return []
         return self._release([backend for backend, stop in self.stops.items() if stop.until <= now])
 
     def is_stopped(self, backend: int) -> bool:
-        """Whether peers' news stops a backend that the own list calls ready."""
+        """Returns whether news from peers stops a backend."""
         return backend in self.stops
 
     def news_to_send(self, now: float) -> list[BackendNews]:
-        """What the own list and peers say of backends that are not ready, or were not lately."""
+        """Returns news, own and from peers, of the backends that are not ready or recently were not."""
         own_news = [
             BackendNews(backend, entry.start, entry.state, self.list_incarnation, self.list_version)
             for backend, entry in sorted(self.entries.items())
@@ -187,12 +207,12 @@
         return own_news + [stop.news for _, stop in sorted(self.stops.items())]
 
     def draw_recipients(self, fresh: bool, alive: Iterable[int] = ()) -> list[int]:
-        """Peers to send to: several where the news is fresh, else one.
+        """Draws the peers to send to: FANOUT for new news, otherwise one.
 
         Args:
-            fresh: Whether it is news, and no repetition that makes up for losses.
-            alive: Members that the view holds alive. Where no peer is among them the view may be in error,
-                and any peer is drawn.
+            fresh: Whether the news is new, as opposed to a repetition that makes up for losses.
+            alive: The members that the view holds alive. If no peer is among them the view may be wrong, and
+                the peers are drawn from all.
         """
         candidates = sorted(set(alive) & set(self.peers)) or list(self.peers)
         recipients: list[int] = []
@@ -226,21 +246,24 @@
         return now - last <= RETENTION_SECONDS
 
     def _covered_by_own_list(self, news: BackendNews) -> bool:
-        """Whether the own list, whose entries come in order, has come as far as the list that said this."""
+        """Returns whether the own list, whose entries arrive in order, has reached the news's version."""
         own = (self.list_incarnation, self.list_version)
         return self.list_followed and (news.list_incarnation, news.list_version) <= own
 
-    # Peers' news
+    # News from peers
 
     def _outdated(self, news: BackendNews) -> bool:
-        """Whether it is on no known backend, covered by the own list, or no newer than what peers said."""
+        """Returns whether the backend is unknown, the own list covers the news, or it is not new."""
         if news.backend not in self.entries or self._covered_by_own_list(news):
             return True
         latest = self.latest.get(news.backend)
         return latest is not None and not self._newer(news, latest)
 
     def _note_later_version(self, news: BackendNews) -> None:
-        """What lies between two versions of a list that say the same has no say any more."""
+        """Keeps the later version when news repeats the known state.
+
+        News of a version between the two is then outdated.
+        """
         latest = self.latest.get(news.backend)
         if latest is None or news.list_incarnation != latest.list_incarnation:
             return
@@ -252,10 +275,11 @@
             self.stops[news.backend] = PeerStop(news, stop.until)
 
     def _ends_stop(self, news: BackendNews) -> bool:
-        """Whether news of a ready backend ends its stop.
+        """Ends the stop of a backend that is reported as ready, and returns whether there was one.
 
-        A list that restarted may have been without its backends for a moment, and a gateway that follows no
-        list would lose them all. Another start of the backend may still be warming up and ends nothing.
+        A list that restarted may be without its backends for a moment, and a gateway that follows no list
+        would otherwise lose them all. News of another start of the backend does not end the stop, because
+        that start may still be in slow start.
         """
         if self.entries[news.backend].start != news.start:
             return False
@@ -263,21 +287,21 @@
         return self.stops.pop(news.backend, None) is not None
 
     def _stops_nothing(self, news: BackendNews) -> bool:
-        """Whether the own list says no less of this start, or the table of stops is full."""
+        """Returns whether the own list has this or a later state of that start, or the stops are full."""
         entry = self.entries[news.backend]
         if entry.state >= news.state and entry.start == news.start:
             return True
         return news.backend not in self.stops and len(self.stops) >= NEWS_MAX
 
     @staticmethod
-    def _newer(news: BackendNews, than: BackendNews) -> bool:
-        if news.list_incarnation == than.list_incarnation:
-            changed = (news.start, news.state) != (than.start, than.state)
-            return news.list_version > than.list_version and changed
-        return news.list_incarnation > than.list_incarnation
+    def _newer(news: BackendNews, latest: BackendNews) -> bool:
+        if news.list_incarnation == latest.list_incarnation:
+            changed = (news.start, news.state) != (latest.start, latest.state)
+            return news.list_version > latest.list_version and changed
+        return news.list_incarnation > latest.list_incarnation
 
     def _release(self, backends: list[int]) -> list[int]:
-        """Ends stops; of their backends those that the own list calls ready."""
+        """Ends stops and returns those of their backends that the own list calls ready."""
         for backend in backends:
             del self.stops[backend]
         return [
--- a/gorsethread/membership/dissemination.py
+++ b/gorsethread/membership/dissemination.py
@@ -1,7 +1,8 @@
-"""Which member records go into a gossip message: changes first, then the next page of the table. Pure.
+"""Chooses the member records of a gossip message: changes first, then the next page of the table. No I/O.
 
-Each message is filled to its bound, so the bytes do not depend on what happens in the fleet, and views that
-differ converge (SWIM's piggybacking; the pages are anti-entropy as in epidemic protocols).
+Each message is filled to its size limit, so the traffic does not depend on what happens in the fleet, and
+views that differ converge. Changes are piggybacked as in SWIM; the pages are anti-entropy as in epidemic
+protocols.
 """
 
 import math
@@ -15,7 +16,7 @@
 )
 from gorsethread.membership.member_table import MemberTable
 
-TRANSMISSIONS = 1.5  # times the logarithm of the fleet: how often a change is sent
+TRANSMISSIONS = 1.5  # a change is sent this many times the logarithm of the fleet's size
 RECORD_BYTES_MAX = DATAGRAM_BYTES_MAX - HEADER_BYTES_MAX
 
 
@@ -27,9 +28,9 @@
 
 
 class Dissemination:
-    """Owns how often each change was sent; an entry goes when that is often enough.
+    """Owns the number of times that each change was sent.
 
-    At most one entry a member of the table.
+    There is at most one entry per member; it is removed when the change was sent often enough.
     """
 
     def __init__(self, table: MemberTable) -> None:
@@ -37,39 +38,39 @@
         self._transmissions: dict[int, int] = {}
 
     def enqueue(self, member: int) -> None:
-        """The member's record is news: it is sent a number of times from now on."""
+        """Schedules the changed record of a member to be sent a number of times."""
         self._transmissions[member] = 0
 
     def payload(self, first_member: int, recipient: int | None) -> Payload:
-        """Records for a message: this gateway's own, changes in half of the space, then a page of the table.
+        """Returns records for a message: the own one, changes in half of the space, then a page of the table.
 
         Args:
-            first_member: Where the page begins.
-            recipient: The member that gets it, where it is known.
+            first_member: The member that the page begins with.
+            recipient: The member that gets the message, if it is known.
         """
         table = self.table
         chosen = {table.own.member: table.own}
         space = RECORD_BYTES_MAX - table.encoded_sizes[table.own.member]
         believed = table.records.get(recipient) if recipient is not None else None
         if believed is not None and believed.state != MemberState.ALIVE:
-            # The suspected has to hear of it to refute it.
+            # A suspected member can refute the suspicion only if it learns of it.
             chosen[believed.member] = believed
             space -= table.encoded_sizes[believed.member]
         space = self._add_changes(chosen, space)
         return self._page(first_member, chosen, space)
 
     def page(self, first_member: int) -> Payload:
-        """This gateway's own record and a page of the table, without changes first."""
+        """Returns the own record and a page of the table, without changes."""
         own = self.table.own
         return self._page(
             first_member, {own.member: own}, RECORD_BYTES_MAX - self.table.encoded_sizes[own.member]
         )
 
     def _add_changes(self, chosen: dict[int, MemberRecord], space: int) -> int:
-        """Adds the changes least sent so far, in half of the space; the bytes that are left."""
+        """Adds the changes that were sent least often, in half of the space; returns the remaining bytes."""
         half = space // 2
-        enough = math.ceil(TRANSMISSIONS * self.table.log_size)
-        for member in sorted(self._transmissions, key=lambda one: (self._transmissions[one], one)):
+        limit = math.ceil(TRANSMISSIONS * self.table.log_size)
+        for member in sorted(self._transmissions, key=lambda key: (self._transmissions[key], key)):
             if member not in chosen:
                 size = self.table.encoded_sizes[member]
                 if space - size < half:
@@ -77,7 +78,7 @@
                 chosen[member] = self.table.records[member]
                 space -= size
             self._transmissions[member] += 1
-            if self._transmissions[member] >= enough:
+            if self._transmissions[member] >= limit:
                 del self._transmissions[member]
         return space
 
--- a/gorsethread/membership/failure_detector.py
+++ b/gorsethread/membership/failure_detector.py
@@ -1,8 +1,8 @@
-"""Parts of the SWIM failure detector, with Lifeguard's refinements: probes, suspicions, local health. Pure.
+"""Parts of the SWIM failure detector with Lifeguard's extensions: probes, suspicions, local health. No I/O.
 
-One member is probed a period, each once in a shuffled round. One that does not answer is suspected first and
-declared dead only after a time-out, which shortens as more members report the same. A gateway whose own
-probes fare badly takes longer to accuse others.
+One member is probed per period, and each member once per shuffled round. A member that does not answer is
+first suspected, and declared dead only after a timeout, which becomes shorter as more members report the
+suspicion. A gateway whose own probes often fail waits longer before it suspects others.
 """
 
 import math
@@ -13,15 +13,20 @@
 from gorsethread.membership.gossip_messages import Address, MemberRecord, MemberState
 from gorsethread.membership.member_table import MemberTable
 
-HEALTH_SCORE_MAX = 8  # from here on the local health is as bad as it gets
-SUSPICION_TIMEOUT = 4.0  # periods times the logarithm of the fleet; half of it is the shortest
-LONGEST_SUSPICION = 3.0  # times the shortest, while nobody else reports the same
-CONFIRMATIONS = 3  # further reporters that shorten a suspicion to its shortest
-FINAL_PINGS = 3  # of a suspect before it is declared dead; one answer may be lost
+HEALTH_SCORE_MAX = 8  # the worst local health
+SUSPICION_TIMEOUT = 4.0  # periods times the logarithm of the fleet's size; the shortest timeout is half of it
+LONGEST_SUSPICION = 3.0  # times the shortest timeout, while no other member reports the suspicion
+CONFIRMATIONS = 3  # further reporters with which a suspicion has the shortest timeout
+FINAL_PINGS = 3  # sent to a suspect before it is declared dead, as an answer may be lost
 
 
 class ProbeTiming(NamedTuple):
-    """Seconds between probes, and until a member that is silent is probed through others."""
+    """The timing of probes, in seconds.
+
+    Attributes:
+        period: The time between probes.
+        ack_timeout: The time after which other members are asked to ping a member that has not answered.
+    """
 
     period: float = 1.0
     ack_timeout: float = 0.3
@@ -32,18 +37,24 @@
 
 @dataclass(slots=True)
 class Probe:
-    """The one probe that is out: whom it went to, its ping's sequence, when, and what came of it."""
+    """The probe in progress: its target, the sequence number and time of its ping, and its results."""
 
     member: int
     sequence: int
     sent_at: float
-    requested: bool = False  # whether others were asked to ping it
+    requested: bool = False  # whether other members were asked to ping the target
     answered: bool = False
     nacks: int = 0
 
 
 class RelayedPing(NamedTuple):
-    """A ping sent for another member: who asked, by which sequence, and when it counts as unanswered."""
+    """A ping sent on behalf of another member.
+
+    Attributes:
+        requester: The address of the member that asked for it.
+        sequence: The sequence number of its request.
+        expires_at: When the ping counts as unanswered.
+    """
 
     requester: Address
     sequence: int
@@ -52,49 +63,49 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """Of one incarnation and refutation: since when, and the members that reported it."""
+    """A suspicion of one incarnation and refutation: when it began and which members reported it."""
 
     incarnation: int
     refutation: int
     since: float
     reporters: set[int] = field(default_factory=set)
-    last_pinged: float = -math.inf  # when it was last given a final chance to answer
+    last_pinged: float = -math.inf  # when the last of its final pings was sent
     final_pings: int = 0
 
 
 class LocalHealth:
-    """Lifeguard's local health score: 0 is well; it multiplies the probe's interval and time-out."""
+    """Lifeguard's local health score, where 0 is healthy; it lengthens the probe interval and timeout."""
 
     def __init__(self) -> None:
         self.score = 0
 
     @property
     def multiplier(self) -> int:
-        """By how much this gateway slows its probes down."""
+        """The factor by which this gateway slows its probes down."""
         return 1 + self.score
 
     def degrade(self, by: int = 1) -> None:
-        """Something hints that this gateway itself is slow or not heard."""
+        """Worsens the score, on a sign that this gateway is slow or that its messages do not arrive."""
         self.score = min(HEALTH_SCORE_MAX, self.score + by)
 
     def improve(self) -> None:
-        """A probe was answered."""
+        """Improves the score, because a probe was answered."""
         self.score = max(0, self.score - 1)
 
 
 class ProbeOrder:
-    """Owns the rest of the present round of probes; a round is drawn anew when it is empty."""
+    """Owns the rest of the current round of probes; a new round is shuffled when it is empty."""
 
     def __init__(self, table: MemberTable, random: Callable[[], float]) -> None:
         self.table, self.random = table, random
-        self._remaining: list[int] = []  # the next one last
+        self._remaining: list[int] = []  # in reverse order
 
     def add(self, member: int) -> None:
-        """Puts a new member at a random place of the round."""
+        """Inserts a new member at a random position of the round."""
         self._remaining.insert(int(self.random() * (len(self._remaining) + 1)), member)
 
     def next_member(self) -> int | None:
-        """Whom to probe next; None where nobody else is alive."""
+        """Returns the member to probe next, or None if no other member is alive."""
         member = self._next_of_round()
         if member is None:
             self._begin_round()
@@ -115,14 +126,14 @@
 
 
 class SuspicionTimers:
-    """Owns the running suspicions, at most one a member; one goes when its member's record changes state."""
+    """Owns the running suspicions, at most one per member; a member's change of state removes its own."""
 
     def __init__(self, table: MemberTable, timing: ProbeTiming) -> None:
         self.table, self.timing = table, timing
         self.running: dict[int, Suspicion] = {}
 
     def track(self, record: MemberRecord, now: float) -> None:
-        """Starts or ends the suspicion of a member whose record is believed from now on."""
+        """Starts or ends the suspicion of a member when its record is accepted."""
         if record.state != MemberState.SUSPECT:
             self.running.pop(record.member, None)
             return
@@ -132,7 +143,7 @@
             self.running[record.member] = Suspicion(*subject, now, {record.reported_by})
 
     def confirm(self, record: MemberRecord) -> bool:
-        """Whether a record is a further report of a running suspicion, which it shortens then."""
+        """Adds a further reporter to a running suspicion; returns whether the record was such a report."""
         running = self.running.get(record.member)
         if running is None or record.state != MemberState.SUSPECT:
             return False
@@ -144,7 +155,7 @@
         return True
 
     def timeout(self, suspicion: Suspicion) -> float:
-        """Seconds that a suspicion lasts, by the number of its reporters."""
+        """Returns the seconds that a suspicion lasts, which depend on the number of its reporters."""
         shortest = SUSPICION_TIMEOUT * self.timing.period * self.table.log_size / 2.0
         confirmed = 0.0
         if suspicion.reporters:
@@ -152,11 +163,14 @@
         return shortest * (LONGEST_SUSPICION - (LONGEST_SUSPICION - 1.0) * min(1.0, confirmed))
 
     def is_due(self, suspicion: Suspicion, now: float) -> bool:
-        """Whether its time is over, and that of the last ping to the suspect."""
+        """Returns whether the suspicion and the last ping to the suspect have both timed out."""
         timeout_at = suspicion.since + self.timeout(suspicion)
         return now >= max(timeout_at, suspicion.last_pinged + self.timing.ack_timeout)
 
     def postpone(self, seconds: float) -> None:
-        """This gateway stood still for so long: what others said in that time is yet to be read."""
+        """Extends all suspicions by the time for which this gateway was stalled.
+
+        Messages that arrived in that time have not been read yet.
+        """
         for suspicion in self.running.values():
             suspicion.since += seconds
--- a/gorsethread/membership/gossip_messages.py
+++ b/gorsethread/membership/gossip_messages.py
@@ -1,9 +1,9 @@
-"""Gossip messages between gateways and their codec: msgpack arrays in datagrams of 256 bytes at most. No I/O.
+"""Gossip messages between gateways and their codec: msgpack arrays in datagrams of at most 256 bytes. No I/O.
 
-Two numbers order the reports on one gateway. ``incarnation`` names one start of its process; it grows with
-each start and a gateway that was declared dead goes on under the next one. ``refutation`` counts, within an
-incarnation, how often the gateway has refuted a suspicion; the SWIM paper calls that count the incarnation
-number. member_state.py holds the order.
+Two numbers order the reports about a gateway. ``incarnation`` identifies one start of its process; it grows
+with each start, and a gateway that was declared dead continues under the next incarnation. ``refutation``
+counts how often the gateway has refuted a suspicion within an incarnation; the SWIM paper calls that count
+the incarnation number. member_state.py defines the order.
 """
 
 from enum import IntEnum
@@ -15,20 +15,20 @@
 
 PROTOCOL_VERSION = 2
 DATAGRAM_BYTES_MAX = 256
-HEADER_BYTES_MAX = 48  # of a message without its member records
+HEADER_BYTES_MAX = 48  # a message without its member records
 PORTS = 65536
 
-HISTORY_TARGET = 1  # target of a VIEW_QUERY and a VIEW_REPLY on changes kept, not on the present view
+HISTORY_TARGET = 1  # target of a VIEW_QUERY and a VIEW_REPLY about the history instead of the current view
 NO_TARGET = -1
-BACKEND_STATES = (0, 1, 2)  # of membership/backend_news.py
-STATUS_FLAGS = ("settled", "apart", "minority", "leaving")  # one bit each, the first the lowest
+BACKEND_STATES = (0, 1, 2)  # the values of BackendState in membership/backend_news.py
+STATUS_FLAGS = ("settled", "apart", "minority", "leaving")  # one bit each, from the lowest
 
 Address = tuple[str, int]
 BackendNewsFields = tuple[int, int, int, int, int]
 
 
 class MemberState(IntEnum):
-    """What a gateway is believed to be, by its number on the wire."""
+    """The believed state of a gateway; the value is the number on the wire."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -37,18 +37,18 @@
 
 
 class MemberRecord(NamedTuple):
-    """What is reported of one gateway, in the order of the fields on the wire.
+    """A report about one gateway, with its fields in the order on the wire.
 
     Attributes:
-        member: The gateway's number.
+        member: The number of the gateway.
         incarnation: Which start of its process.
-        refutation: How many suspicions it refuted in this incarnation.
+        refutation: How many suspicions it has refuted in this incarnation.
         state: A MemberState.
-        zone: The zone that it stands in.
+        zone: The zone of the gateway.
         machine: The machine that it runs on.
-        host: Where its peers reach it.
-        port: The same.
-        reported_by: The gateway that reported it; this orders nothing.
+        host: The host of the address for its peers.
+        port: The port of that address.
+        reported_by: The gateway that made the report; it does not affect the order of reports.
     """
 
     member: int
@@ -63,43 +63,42 @@
 
     @property
     def ended(self) -> bool:
-        """Whether this incarnation left or died."""
+        """Whether this incarnation has left or died."""
         return self.state >= MemberState.LEFT
 
     @property
     def address(self) -> Address:
-        """Where its peers reach it."""
+        """The address at which its peers reach the gateway."""
         return self.host, self.port
 
 
 class MessageKind(IntEnum):
-    """The kinds of messages, by their numbers on the wire."""
+    """The kind of a message; the value is the number on the wire."""
 
     PING = 0
     ACK = 1
-    PING_REQUEST = 2  # to ping the target for the sender
+    PING_REQUEST = 2  # asks the receiver to ping the target for the sender
     NACK = 3  # the target of a ping request did not answer
-    VIEW_QUERY = 4  # an operator asks for the view from a cursor on; changes nothing
-    VIEW_REPLY = 5  # one page of it; the sequence holds STATUS_FLAGS
-    SCHEDULER_MESSAGE = 6  # text from one gateway's scheduler to another's
-    BACKEND_NEWS = 7  # backends that drain or are gone
+    VIEW_QUERY = 4  # an operator's request for the view, starting at the cursor; read-only
+    VIEW_REPLY = 5  # one page of the view; the sequence field holds the bits of STATUS_FLAGS
+    SCHEDULER_MESSAGE = 6  # text from the scheduler of one gateway to that of another
+    BACKEND_NEWS = 7  # news of backends that drain or are gone
 
 
 class GossipMessage(NamedTuple):
-    """One message, decoded.
+    """A decoded message.
 
     Attributes:
         kind: A MessageKind.
-        sender: The sending gateway's number.
-        sequence: The ping that it belongs to.
-        cursor: In a PING the first member that the sender wants records of, in an ACK the first that the next
-            page would begin with.
-        digest: Of the sender's view.
-        records: Member records that it carries.
-        target: The member to ping, of a PING_REQUEST.
-        text: What a SCHEDULER_MESSAGE carries.
-        backend_news: Of a BACKEND_NEWS: backend, its start, its state, incarnation and version of the
-            endpoint list that said so.
+        sender: The number of the sending gateway.
+        sequence: The sequence number of the ping that the message belongs to.
+        cursor: In a PING, the member with which the requested page begins; in an ACK, the member with which
+            the next page would begin.
+        digest: The digest of the sender's view.
+        records: The member records in the message.
+        target: The member to ping, in a PING_REQUEST.
+        text: The text of a SCHEDULER_MESSAGE.
+        backend_news: In a BACKEND_NEWS, the fields of each BackendNews.
     """
 
     kind: int
@@ -114,13 +113,13 @@
 
 
 class GossipDecodeError(GorsethreadError):
-    """A datagram that is no message of this fleet; the text says why."""
+    """Raised for a datagram that is not a message of this fleet; the text says why."""
 
-    action = "See that all gateways run one version and site, and that nothing else sends to the peers' port."
+    action = "Check that all gateways have one version and site, and that only they send to the peers' port."
 
 
 class _WireMessage(msgspec.Struct, frozen=True, array_like=True):
-    """The order of the fields on the wire."""
+    """A message with its fields in the order on the wire."""
 
     version: int
     fleet: int
@@ -140,19 +139,19 @@
 
 
 def encoded_size(record: MemberRecord) -> int:
-    """Bytes of a record on the wire."""
+    """Returns the size of a record on the wire in bytes."""
     return len(_encode(record))
 
 
 def encode(message: GossipMessage, fleet: int) -> bytes:
-    """The datagram of a message.
+    """Encodes a message as a datagram.
 
     Args:
-        message: Who fills it keeps to the bound by encoded_size().
+        message: The message; its records must fit, which the caller ensures with encoded_size().
         fleet: The number that all gateways of this fleet share.
 
     Raises:
-        ValueError: It is over DATAGRAM_BYTES_MAX.
+        ValueError: The datagram would be longer than DATAGRAM_BYTES_MAX.
     """
     data = _encode(
         _WireMessage(
@@ -170,15 +169,15 @@
         )
     )
     if len(data) > DATAGRAM_BYTES_MAX:
-        raise ValueError(f"{len(data)} bytes of a message")
+        raise ValueError(f"message of {len(data)} bytes is over the limit of {DATAGRAM_BYTES_MAX}")
     return data
 
 
 def decode(data: bytes, fleet: int) -> GossipMessage:
-    """The message of a datagram.
+    """Decodes a datagram.
 
     Raises:
-        GossipDecodeError: It is not complete, or of another version or fleet.
+        GossipDecodeError: The datagram is too long, malformed, out of bounds, or of another version or fleet.
     """
     if len(data) > DATAGRAM_BYTES_MAX:
         raise GossipDecodeError("over the bound")
--- a/gorsethread/membership/member_table.py
+++ b/gorsethread/membership/member_table.py
@@ -1,4 +1,4 @@
-"""The records that one gateway believes, one a member, with what is derived from them. Pure."""
+"""The member records that a gateway believes, one per member, and values derived from them. No I/O."""
 
 import math
 from bisect import bisect_left, insort
@@ -9,35 +9,41 @@
 
 from gorsethread.membership.gossip_messages import Address, MemberRecord, MemberState, encoded_size
 
-HISTORY_MAX = 256  # changes kept for operators
+HISTORY_MAX = 256  # changes that are kept for operators
 
 
 class Change(NamedTuple):
-    """When a member's incarnation or state changed, in seconds of this gateway's clock, and to what."""
+    """A change of the incarnation or the state of a member.
+
+    Attributes:
+        at: When it was noted, in seconds of this gateway's clock.
+        record: The member's record after the change.
+    """
 
     at: float
     record: MemberRecord
 
 
 class MemberTable:
-    """Owns the believed records; a member's record stays when it ends, so the table only grows.
+    """Owns the believed records.
 
-    Its caller bounds the number of members. ``history`` keeps the last HISTORY_MAX changes.
+    The record of a member that ended stays, so the table only grows; the caller bounds the number of members.
+    ``history`` keeps the last HISTORY_MAX changes.
     """
 
     def __init__(self, own: MemberRecord, now: float) -> None:
         self.own = own
         self.records: dict[int, MemberRecord] = {own.member: own}
-        self.changed_at: dict[int, float] = {own.member: now}  # when the present state began
+        self.changed_at: dict[int, float] = {own.member: now}  # when the current state began
         self.history: deque[Change] = deque([Change(now, own)], maxlen=HISTORY_MAX)
         self.encoded_sizes: dict[int, int] = {own.member: encoded_size(own)}  # bytes on the wire
-        self._members: list[int] = [own.member]  # in order
+        self._members: list[int] = [own.member]  # sorted
         self._by_address: dict[Address, int] = {}
-        self._alive: list[MemberRecord] | None = None  # None after a change, as the digest
+        self._alive: list[MemberRecord] | None = None  # cached with the digest; None after a change
         self._digest = 0
 
     def store(self, record: MemberRecord, now: float) -> MemberRecord | None:
-        """Keeps a record in place of the one before, which is returned."""
+        """Stores a record and returns the record that it replaces, if any."""
         member = record.member
         known = self.records.get(member)
         if known is None or (known.incarnation, known.state) != (record.incarnation, record.state):
@@ -55,7 +61,7 @@
 
     @property
     def alive(self) -> list[MemberRecord]:
-        """Members that neither left nor died, by number; suspects are among them."""
+        """The records of members that neither left nor died, by number; suspects are included."""
         if self._alive is None:
             believed = [self.records[member] for member in self._members]
             self._alive = [record for record in believed if not record.ended]
@@ -65,19 +71,19 @@
 
     @property
     def alive_peers(self) -> list[MemberRecord]:
-        """The same without this gateway."""
+        """The records in ``alive`` without this gateway's own."""
         return [record for record in self.alive if record.member != self.own.member]
 
     @property
     def digest(self) -> int:
-        """Equal at all gateways that hold the same incarnations alive."""
+        """A digest that is equal at all gateways that hold the same incarnations alive."""
         return self._digest if self.alive else 0
 
     @property
     def minority(self) -> bool:
-        """Whether no more than half of the members that did not leave are alive.
+        """Whether at most half of the members that did not leave are alive.
 
-        What only one gateway may hold is not granted by a gateway in this state.
+        In this state a gateway does not grant what only one gateway may hold.
         """
         remaining = [record for record in self.records.values() if record.state != MemberState.LEFT]
         alive = sum(not record.ended for record in remaining)
@@ -85,19 +91,19 @@
 
     @property
     def log_size(self) -> float:
-        """Logarithm to base 2 of the number alive, at least 1: rounds that gossip takes to reach all."""
+        """The base-2 logarithm of the number alive, at least 1: the rounds in which gossip reaches all."""
         return max(1.0, math.log2(1 + len(self.alive)))
 
     @property
     def last_member(self) -> int:
-        """The highest number known."""
+        """The highest known member number."""
         return self._members[-1]
 
     def member_at(self, address: Address) -> int | None:
-        """The member last reported at an address."""
+        """Returns the member that was last reported at an address."""
         return self._by_address.get(address)
 
     def members_from(self, first: int) -> list[int]:
-        """All members in order, beginning with the first one not below a number, around the end."""
+        """Returns all members in cyclic order, beginning with the first number not below ``first``."""
         index = bisect_left(self._members, first)
         return self._members[index:] + self._members[:index]
--- a/gorsethread/membership/membership_view.py
+++ b/gorsethread/membership/membership_view.py
@@ -1,9 +1,10 @@
-"""One gateway's view of its fleet: who is alive, in which incarnation and zone. Pure.
+"""A gateway's view of its fleet: which members are alive, in which incarnation and zone. No I/O.
 
-SWIM as published by Das, Gupta and Motivala, with local health and suspicion time-outs from Lifeguard
-(Dadgar, Phillips, Currey). A record has an ``incarnation``, one start of a gateway's process, and a
-``refutation``, which is the number that the SWIM paper calls incarnation (gossip_messages.py). Members that
-ended are pinged now and then, so a partition heals without an operator.
+Implements SWIM as published by Das, Gupta and Motivala, with local health and suspicion timeouts from
+Lifeguard (Dadgar, Phillips, Currey). A record has an ``incarnation``, which identifies one start of a
+gateway's process, and a ``refutation``, which is the number that the SWIM paper calls incarnation (see
+gossip_messages.py). Members that ended are pinged occasionally, so that a partition heals without an
+operator.
 """
 
 from collections import deque
@@ -32,27 +33,28 @@
 from gorsethread.membership.member_table import Change, MemberTable
 from gorsethread.membership.table_exchange import GOSSIP_FACTOR, TableExchange
 
-HELPERS = 3  # members asked to ping one that did not answer
+HELPERS = 3  # members that are asked to ping a member that did not answer
 RELAYED_PINGS_MAX = 64
-APART_AFTER = 4.0  # periods without a message from anyone
-STALLED_AFTER = 3.0  # periods between two ticks from which on this gateway holds that it stood still
-STALL_HEALTH_LOSS = 2  # of the local health score
-ENDED_PING_PERIODS = 3.0  # periods between two pings to a member that ended or was never met
-MESSAGES_PER_SECOND = 30.0  # that are read: what peers send in ordinary times, and some more
+APART_AFTER = 4.0  # periods without any message after which this gateway regards itself as cut off
+STALLED_AFTER = 3.0  # periods between two ticks above which this gateway was stalled
+STALL_HEALTH_LOSS = 2  # by which a stall worsens the local health score
+ENDED_PING_PERIODS = 3.0  # periods between two pings to members that ended or are not known yet
+MESSAGES_PER_SECOND = 30.0  # accepted: what peers normally send, with some reserve
 MEMBERS_MAX = 1024
-JOIN_GOSSIP_TO_PEERS = 0.5  # part of a joiner's extra gossip; the other part goes to contacts
+JOIN_GOSSIP_TO_PEERS = 0.5  # fraction of a joining gateway's extra gossip; the rest goes to contacts
 
 
 class MembershipView:
-    """Owns the member table and what keeps it: probes, suspicions, gossip; tick() and received() drive it.
+    """Owns the member table, and the probes, suspicions and gossip that maintain it.
 
-    Bounded: one record a member and at most ``members_max`` of them, one probe out, RELAYED_PINGS_MAX pings
-    for others, MESSAGES_PER_SECOND messages read. The caller empties ``outbox`` after each call.
+    The caller drives it by tick() and received(), and empties ``outbox`` after each call. There are at most
+    ``members_max`` records, one probe in progress, RELAYED_PINGS_MAX pings on behalf of other members, and
+    MESSAGES_PER_SECOND accepted messages.
 
     Attributes:
         outbox: Messages to send, each with its address.
-        duplicates: How often another process was met under this gateway's number.
-        refused: Messages over the bound, and records of members that the table has no room for.
+        duplicates: The number of signs of another process that uses this gateway's number.
+        refused: The number of messages over the limit and of records for which the table is full.
         leaving: Whether leave() was called.
     """
 
@@ -65,15 +67,15 @@
         timing: ProbeTiming = DEFAULT_TIMING,
         members_max: int = MEMBERS_MAX,
     ) -> None:
-        """Begins with this gateway alone.
+        """Starts with this gateway as the only member.
 
         Args:
-            own: Its own record, alive and with refutation 0.
-            contacts: Where others may be found.
-            now: Seconds of a clock that does not go back.
-            random: Draws from 0 to 1.
-            timing: Of probes.
-            members_max: Members that a fleet may have.
+            own: This gateway's record, alive and with refutation 0.
+            contacts: Addresses at which other members may be found.
+            now: Seconds of a monotonic clock.
+            random: Returns a random number of at least 0 and below 1.
+            timing: The timing of probes.
+            members_max: The maximum number of members of the fleet.
         """
         self.contacts, self.random, self.timing, self.members_max = contacts, random, timing, members_max
         self.table = MemberTable(own, now)
@@ -86,17 +88,17 @@
         self.duplicates = 0
         self.refused = 0
         self.leaving = False
-        self.relayed_pings: dict[int, RelayedPing] = {}  # by sequence; emptied by answers and by time
+        self.relayed_pings: dict[int, RelayedPing] = {}  # by sequence; removed when answered or expired
         self._probe: Probe | None = None
         self._sequence = 0
         self._next_page = 0  # the member that the next ping's page begins with
         self._now = now
         self._ticked_at = now
-        self._heard_at = now
+        self._last_received_at = now
         self._probe_at = now
         self._gossip_at = now
         self._ended_ping_at = now + ENDED_PING_PERIODS * timing.period
-        # Drawn, or all gateways that start would ping the same contact first.
+        # Random, because otherwise all starting gateways would ping the same contact first.
         self._contact_index = int(random() * max(1, len(contacts)))
         self._receive_allowance = MESSAGES_PER_SECOND
 
@@ -107,7 +109,7 @@
 
     @property
     def records(self) -> dict[int, MemberRecord]:
-        """The believed record of each member."""
+        """The believed record of each member, by number."""
         return self.table.records
 
     @property
@@ -117,35 +119,35 @@
 
     @property
     def alive(self) -> list[MemberRecord]:
-        """Members that neither left nor died, by number; suspects are among them."""
+        """The records of members that neither left nor died, by number; suspects are included."""
         return self.table.alive
 
     @property
     def digest(self) -> int:
-        """Equal at all gateways that hold the same incarnations alive."""
+        """A digest that is equal at all gateways that hold the same incarnations alive."""
         return self.table.digest
 
     @property
     def apart(self) -> bool:
-        """Whether nobody was heard for long though there are others; then nobody is accused."""
-        silent = self._now - self._heard_at
-        return len(self.records) > 1 and silent > APART_AFTER * self.timing.period
+        """Whether no message has arrived for long although there are others; then none is suspected."""
+        silence = self._now - self._last_received_at
+        return len(self.records) > 1 and silence > APART_AFTER * self.timing.period
 
     @property
     def minority(self) -> bool:
-        """Whether no more than half of the members that did not leave are alive."""
+        """Whether at most half of the members that did not leave are alive."""
         return self.table.minority
 
     @property
     def settled(self) -> bool:
-        """Whether nobody is suspected and all that are alive reported the same view as this one."""
+        """Whether no member is suspected and the last digest of every alive peer equals this one."""
         if self.suspicions.running or self.apart:
             return False
         digest = self.digest
         return all(self.exchange.digest_of(peer.member) == digest for peer in self.table.alive_peers)
 
     def tick(self, now: float) -> None:
-        """Does what is due; to be called several times a period."""
+        """Does everything that is due; to be called several times per period."""
         gap = now - self._ticked_at
         self._ticked_at = now
         self._now = now
@@ -167,19 +169,19 @@
             self._ping_ended()
 
     def received(self, source: Address, message: GossipMessage) -> None:
-        """A peer's message came. The caller has checked that it may come from there."""
+        """Handles a message from a peer; the caller has checked its source address."""
         if self._receive_allowance < 1.0:
             self.refused += 1
             return
         self._receive_allowance -= 1.0
-        self._heard_at = self._now
+        self._last_received_at = self._now
         if message.sender == self.own.member:
-            # Only another process under this number can send it.
+            # Only another process with this gateway's number can have sent it.
             self.duplicates += 1
             return
         for record in message.records:
             self._merge(record)
-        self.exchange.digest_heard(message.sender, message.digest)
+        self.exchange.digest_received(message.sender, message.digest)
         if message.kind == MessageKind.PING:
             page = self.dissemination.payload(message.cursor, message.sender)
             self._send(source, MessageKind.ACK, message.sequence, page.records, page.next_member)
@@ -191,7 +193,7 @@
             self._nack_received(message)
 
     def leave(self) -> None:
-        """Graceful shutdown: a few members hear of it from this gateway at once."""
+        """Leaves the fleet at a graceful shutdown, and notifies a few members at once."""
         self.leaving = True
         self._replace_own(self.own._replace(state=MemberState.LEFT))
         for peer in self._draw_peers(2 * HELPERS, {self.own.member}):
@@ -200,7 +202,7 @@
     # Records
 
     def _merge(self, record: MemberRecord) -> None:
-        """A record came, or is this gateway's own observation."""
+        """Merges a record that arrived or that this gateway observed."""
         if record.member == self.own.member:
             self._merge_own(record)
             return
@@ -214,11 +216,11 @@
             self._accept(record)
 
     def _merge_own(self, record: MemberRecord) -> None:
-        """Others report something of this gateway itself."""
+        """Merges a report about this gateway itself, and refutes it if necessary."""
         own = self.own
         if record.incarnation > own.incarnation:
-            # An earlier process whose clock ran ahead, or another process under this number. Two of them
-            # would outbid each other for ever, so it is counted.
+            # From an earlier process whose clock was ahead, or from another process with this number. Two
+            # such processes would outbid each other without end, so the event is counted.
             self.duplicates += 1
             self._replace_own(own._replace(incarnation=record.incarnation + 1, refutation=0))
         elif record.incarnation < own.incarnation:
@@ -234,7 +236,7 @@
         self._accept(record)
 
     def _accept(self, record: MemberRecord) -> None:
-        """Believes a record and passes it on."""
+        """Stores a record and schedules it to be passed on."""
         known = self.table.store(record, self._now)
         self.dissemination.enqueue(record.member)
         self.suspicions.track(record, self._now)
@@ -250,7 +252,8 @@
             elif not self.suspicions.is_due(suspicion, self._now):
                 continue
             elif suspicion.final_pings < FINAL_PINGS:
-                # The suspicion may be hearsay from behind a cut that does not part this gateway from it.
+                # The suspicion may come from members that a partition separates from the suspect, while this
+                # gateway can still reach it.
                 suspicion.last_pinged = self._now
                 suspicion.final_pings += 1
                 self._ping(self.records[member].address)
@@ -260,10 +263,10 @@
                 )
 
     def _stalled(self, seconds: float) -> None:
-        """This process was paused or starved: its own silence is not that of others."""
+        """Handles a pause of this process, in which it could not read the messages of others."""
         self.health.degrade(STALL_HEALTH_LOSS)
         self._probe = None
-        self._heard_at = self._now
+        self._last_received_at = self._now
         self.suspicions.postpone(seconds)
 
     # Probes
@@ -302,7 +305,7 @@
     def _probe_failed(self, probe: Probe) -> None:
         record = self.records[probe.member]
         if len(self.alive) > 2 and probe.nacks == 0:
-            # No helper said anything at all: it may be this gateway that is not heard.
+            # No helper answered at all, so this gateway's own messages may not arrive.
             self.health.degrade()
         if record.state == MemberState.ALIVE and not self.apart:
             self._accept(record._replace(state=MemberState.SUSPECT, reported_by=self.own.member))
@@ -340,8 +343,8 @@
     # Gossip
 
     def _gossip_extra(self) -> None:
-        """Sends more while views differ; at the usual rate a joiner would wait minutes for the table."""
-        if not self.exchange.takes_extra_round(self.digest):
+        """Sends extra gossip while views differ; otherwise a new member waits minutes for the table."""
+        if not self.exchange.spend_extra_round(self.digest):
             return
         peers = self._draw_peers(1, {self.own.member})
         if peers and (self.exchange.complete or self.random() < JOIN_GOSSIP_TO_PEERS):
@@ -350,14 +353,14 @@
             self._ping_contact()
 
     def _ping_ended(self) -> None:
-        """Parts of a fleet that hold each other dead, or never met, would not find each other otherwise."""
+        """Pings an ended member or unknown contact, so that separated parts of a fleet find each other."""
         alive = {record.address for record in self.alive}
-        away = [
+        targets = [
             record.address for record in self.records.values() if record.ended and record.address not in alive
         ]
-        away += [address for address in self.contacts if address not in alive and address not in away]
-        if away:
-            self._ping(away[int(self.random() * len(away))])
+        targets += [address for address in self.contacts if address not in alive and address not in targets]
+        if targets:
+            self._ping(targets[int(self.random() * len(targets))])
 
     def _ping_contact(self) -> None:
         if not self.contacts:
@@ -374,7 +377,7 @@
     # Messages
 
     def _ping(self, address: Address) -> int:
-        """Sends a ping with a page of the table; its sequence."""
+        """Sends a ping with a page of the table and returns its sequence number."""
         self._sequence += 1
         page = self.dissemination.payload(self._next_page, self.table.member_at(address))
         self._next_page = page.next_member
--- a/gorsethread/membership/operator_replies.py
+++ b/gorsethread/membership/operator_replies.py
@@ -1,4 +1,4 @@
-"""A view's replies to operators: pages of its table and of its history. Pure."""
+"""Replies of a membership view to operators: pages of its table and of its history. No I/O."""
 
 from gorsethread.membership.dissemination import RECORD_BYTES_MAX
 from gorsethread.membership.gossip_messages import (
@@ -10,28 +10,28 @@
 )
 from gorsethread.membership.membership_view import MembershipView
 
-AGES_PER_SECOND = 10  # ages of changes are told in tenths of a second
+AGES_PER_SECOND = 10  # the ages of changes are sent in tenths of a second
 
 
 def table_page(view: MembershipView, first_member: int) -> GossipMessage:
-    """The view's own record, its table from a member on, and its status flags."""
+    """Returns the own record, a page of the table from a member on, and the status flags."""
     page = view.dissemination.page(first_member)
-    held = {
+    flags = {
         "settled": view.settled,
         "apart": view.apart,
         "minority": view.minority,
         "leaving": view.leaving,
     }
-    status = sum(held[name] << bit for bit, name in enumerate(STATUS_FLAGS))
+    status = sum(flags[name] << bit for bit, name in enumerate(STATUS_FLAGS))
     return GossipMessage(
         MessageKind.VIEW_REPLY, view.own.member, status, page.next_member, view.digest, page.records
     )
 
 
 def history_page(view: MembershipView, first_change: int, now: float) -> GossipMessage:
-    """Changes kept, from one on, oldest first, and how long ago each was.
+    """Returns a page of the history from a change on, oldest first, with the age of each change.
 
-    One may fall out at the front between two pages; then it is not reported.
+    A change that is dropped from the front of the history between two pages is not reported.
     """
     records = [view.own]
     ages: list[str] = []
--- a/gorsethread/membership/table_exchange.py
+++ b/gorsethread/membership/table_exchange.py
@@ -1,38 +1,38 @@
-"""Whether a gateway has its peers' whole table, and when extra gossip is due because views differ. Pure."""
+"""Tracks whether a gateway has the whole table, and when differing views need extra gossip. No I/O."""
 
-GOSSIP_FACTOR = 4.0  # times the usual rate while views differ
-GOSSIP_PERIODS_MAX = 20.0  # periods at that rate; saved up again at one message a period
-DIGESTS_COMPARED = 5  # of the peers heard last
+GOSSIP_FACTOR = 4.0  # gossip per period while views differ, as a multiple of the normal rate
+GOSSIP_PERIODS_MAX = 20.0  # periods at that rate; the budget refills by one message per period
+DIGESTS_COMPARED = 5  # of the peers whose messages arrived last
 
 
 class TableExchange:
-    """Owns the digest last heard of each peer, one a member, and a budget of extra gossip messages."""
+    """Owns the latest digest of each peer, one per member, and a budget of extra gossip messages."""
 
     def __init__(self) -> None:
-        self.complete = False  # whether the table came once from its begin to its end
-        self.wanted_member = 0  # where the next page should begin, until then
+        self.complete = False  # whether all pages of the table have arrived once
+        self.wanted_member = 0  # the member that the next page should begin with, until then
         self._budget = GOSSIP_PERIODS_MAX * GOSSIP_FACTOR
-        self._digests: dict[int, int] = {}  # the latest heard last
+        self._digests: dict[int, int] = {}  # the latest message last
 
-    def digest_heard(self, member: int, digest: int) -> None:
-        """A peer's message carried the digest of its view."""
+    def digest_received(self, member: int, digest: int) -> None:
+        """Notes the digest of a peer's view from its message."""
         self._digests.pop(member, None)
         self._digests[member] = digest
 
     def digest_of(self, member: int) -> int | None:
-        """What a peer's view was when it was heard last."""
+        """Returns the last digest of a peer's view, or None if it sent none."""
         return self._digests.get(member)
 
     def page_received(self, next_member: int) -> None:
-        """A page came that began where it was wanted; the next one begins with this member."""
+        """Notes a page that began at the wanted member; the next one begins with ``next_member``."""
         if not self.complete:
             self.complete = next_member <= self.wanted_member
             self.wanted_member = next_member
 
-    def takes_extra_round(self, own_digest: int) -> bool:
-        """Whether extra gossip is due now; it is taken from the budget.
+    def spend_extra_round(self, own_digest: int) -> bool:
+        """Returns whether an extra gossip message is due, and if so takes it from the budget.
 
-        To be called GOSSIP_FACTOR times a period.
+        To be called GOSSIP_FACTOR times per period.
         """
         self._budget = min(GOSSIP_PERIODS_MAX * GOSSIP_FACTOR, self._budget + 1.0 / GOSSIP_FACTOR)
         latest = list(self._digests.values())[-DIGESTS_COMPARED:]
