--- a/tests/scheduling/test_same_decisions.py
+++ b/tests/scheduling/test_same_decisions.py
@@ -21,7 +21,7 @@
 from gorsethread.simulator_adapter.instances import Instances
 from gorsethread.sitefile.reading import parse_site
 from tests.rig import SITE
-from tests.virtual import Clockwork
+from tests.virtual import ManualClock
 
 
 @dataclass
@@ -185,7 +185,7 @@
         """A made-up day through the driver alone: what it told the scheduler, and what that decided."""
         start_logs(False, "critical")
         chance = random.Random(seed)
-        clock = Clockwork()
+        clock = ManualClock()
         site = parse_site(SITE)
         told: list[tuple[Any, ...]] = []
         driver = Driver(clock, start_facts(site), seed, SitePlacement(site), lambda: None, log_for())  # type: ignore[arg-type]
@@ -195,10 +195,10 @@
         driver.shards.update({0: 0, 1: 1})
         if accounts:
             driver.accounting.accounts = Accounts([p.promised for p in site.profile], clock.time)
-        clock.settle()
+        clock.run_ready()
         driver.endpoints_listed([(0, 0, 0, True, 0.0), (1, 0, 1, True, 0.0)], True, True)
         for step in range(600):
-            clock.move(clock.time + chance.random() * 0.02)
+            clock.advance_to(clock.time + chance.random() * 0.02)
             if accounts:
                 self.ask_all(driver)
             draw = chance.random()
@@ -230,7 +230,7 @@
                             else EMPTY_RESULT
                         )
                         driver._ended(f, how, told_too)
-        clock.move(clock.time + 3.0)
+        clock.advance_to(clock.time + 3.0)
         self.assertEqual({}, driver.open, "every transaction has ended")
         self.assertEqual({}, driver.first_writes.pending)
         if driver.accounting.accounts:
--- a/tests/test_idle_shelves.py
+++ b/tests/test_idle_shelves.py
@@ -16,7 +16,7 @@
 from gorsethread.sitefile.reading import parse_site
 from tests.rig import SITE
 from tests.scheduling.test_same_decisions import Deaf, Link_
-from tests.virtual import Clockwork
+from tests.virtual import ManualClock
 
 
 class IdleShelves(unittest.TestCase):
@@ -28,13 +28,13 @@
     def calls(self, shelves: int) -> int:
         """Function calls, of Python and C, over 100 transactions of two shelves."""
         start_logs(False, "critical")
-        clock, site = Clockwork(), parse_site(SITE)
+        clock, site = ManualClock(), parse_site(SITE)
         driver = Driver(clock, start_facts(site), 1, SitePlacement(site), lambda: None, log_for())  # type: ignore[arg-type]
         links = {n: Link_() for n in range(shelves)}
         driver.links.update(links)  # type: ignore[arg-type]
         driver.shards.update({n: n for n in range(shelves)})
         driver.endpoints_listed([(n, 0, n, True, 0.0) for n in range(shelves)], True, True)
-        clock.move(clock.time + 0.1)
+        clock.advance_to(clock.time + 0.1)
         count = 0
 
         def seen(_: Any, event: str, __: Any) -> None:
@@ -62,11 +62,11 @@
                     is_retry=False,
                     arrived=clock.time,
                 )
-                clock.move(clock.time + 0.001)
+                clock.advance_to(clock.time + 0.001)
                 f = links[n % 2].held.pop()
                 f.over = True
                 driver._ended(f, AttemptOutcome.SUCCEEDED, EMPTY_RESULT)
-                clock.move(clock.time + 0.001)
+                clock.advance_to(clock.time + 0.001)
         finally:
             sys.setprofile(None)
             gc.enable()
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -1,16 +1,16 @@
-"""A transport without a network, on a clock that a test moves: for the driver alone."""
+"""A clock and timers that a test advances by hand, for tests of the driver alone."""
 
 from collections.abc import Callable
 from typing import Any
 
 
-class Clockwork:
-    """Only what the driver asks for: now, at, soon."""
+class ManualClock:
+    """The part of Transport that the driver uses: now, call_at and call_soon."""
 
     def __init__(self) -> None:
         self.time = 100.0
-        self._due: list[tuple[float, int, Callable[[], None], list[bool]]] = []
-        self._soon: list[Callable[[], None]] = []
+        self._timers: list[tuple[float, int, Callable[[], None], list[bool]]] = []
+        self._ready: list[Callable[[], None]] = []
         self._count = 0
 
     def now(self) -> float:
@@ -18,31 +18,34 @@
 
     def call_at(self, when: float, act: Callable[[], None]) -> Any:
         self._count += 1
-        alive = [True]
-        self._due.append((when, self._count, act, alive))
+        pending = [True]
+        self._timers.append((when, self._count, act, pending))
 
         class Timer:
             def cancel(self) -> None:
-                alive[0] = False
+                pending[0] = False
 
         return Timer()
 
     def call_soon(self, act: Callable[[], None]) -> None:
-        self._soon.append(act)
+        self._ready.append(act)
 
-    def settle(self) -> None:
-        while self._soon:
-            soon, self._soon = self._soon, []
-            for act in soon:
+    def run_ready(self) -> None:
+        """Runs the callbacks of call_soon(), including those that they add."""
+        while self._ready:
+            ready, self._ready = self._ready, []
+            for act in ready:
                 act()
 
-    def move(self, until: float) -> None:
-        self.settle()
-        while self._due and min(self._due)[0] <= until:
-            entry = min(self._due, key=lambda e: e[:2])
-            self._due.remove(entry)
-            self.time = max(self.time, entry[0])
-            if entry[3][0]:
-                entry[2]()
-            self.settle()
+    def advance_to(self, until: float) -> None:
+        """Moves the clock forward and fires the timers that become due, in order."""
+        self.run_ready()
+        while self._timers and min(self._timers)[0] <= until:
+            entry = min(self._timers, key=lambda timer: timer[:2])
+            self._timers.remove(entry)
+            when, _, act, pending = entry
+            self.time = max(self.time, when)
+            if pending[0]:
+                act()
+            self.run_ready()
         self.time = until
