--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Single messages, real and virtual: what arrives, what may not be sent, and what faults do to them."""
+"""Datagrams of the real and the virtual transport: delivery, size limit and the effect of faults."""
 
 import asyncio
 import unittest
@@ -7,83 +7,86 @@
 from gorsethread.transport.real import RealTransport
 from gorsethread.transport.virtual import Disk, Network, NetworkConditions, VirtualLoop, VirtualTransport
 
-Got = list[tuple[bytes, tuple[str, int]]]
+Received = list[tuple[bytes, tuple[str, int]]]
 
 
-def into(got: Got) -> Callable[[bytes, tuple[str, int]], None]:
-    return lambda data, source: got.append((data, source))
+def append_to(received: Received) -> Callable[[bytes, tuple[str, int]], None]:
+    return lambda data, source: received.append((data, source))
 
 
-class Real(unittest.IsolatedAsyncioTestCase):
-    async def test_messages_come_whole_and_say_where_from(self) -> None:
-        transport, got = RealTransport(), Got()
-        one = transport.datagrams("127.0.0.1", 0, into(got))
-        other = transport.datagrams("127.0.0.1", 0, lambda data, source: other.send(source, data.upper()))
-        self.addCleanup(one.close)
-        self.addCleanup(other.close)
+class RealDatagrams(unittest.IsolatedAsyncioTestCase):
+    async def test_datagrams_arrive_complete_and_with_their_source_address(self) -> None:
+        transport, received = RealTransport(), Received()
+        sender = transport.datagrams("127.0.0.1", 0, append_to(received))
+        echo = transport.datagrams("127.0.0.1", 0, lambda data, source: echo.send(source, data.upper()))
+        self.addCleanup(sender.close)
+        self.addCleanup(echo.close)
         with self.assertRaises(OSError):
-            transport.datagrams("127.0.0.1", one.port, into(got))
+            transport.datagrams("127.0.0.1", sender.port, append_to(received))
         with self.assertRaises(ValueError):
-            one.send(("127.0.0.1", other.port), bytes(257))
-        nobody = transport.datagrams("127.0.0.1", 0, into(got))
-        nobody.close()
+            sender.send(("127.0.0.1", echo.port), bytes(257))
+        closed = transport.datagrams("127.0.0.1", 0, append_to(received))
+        closed.close()
         for n in range(20):
-            one.send(("127.0.0.1", nobody.port), b"x")  # its refusal is no news of this port
-            one.send(("127.0.0.1", other.port), b"m%d" % n)
-        while len(got) < 20:
+            sender.send(("127.0.0.1", closed.port), b"x")  # its refusal must not disturb the sending port
+            sender.send(("127.0.0.1", echo.port), b"m%d" % n)
+        while len(received) < 20:
             await asyncio.sleep(0.005)
-        self.assertEqual([(b"M%d" % n, ("127.0.0.1", other.port)) for n in range(20)], got)
+        self.assertEqual([(b"M%d" % n, ("127.0.0.1", echo.port)) for n in range(20)], received)
 
 
-class Virtual(unittest.TestCase):
-    def play(
+class VirtualDatagrams(unittest.TestCase):
+    def simulate(
         self,
         conditions: NetworkConditions,
         fault: Callable[[Network, dict[str, VirtualTransport]], None],
         number: int = 200,
-    ) -> Got:
+    ) -> Received:
+        """Sends datagrams from process a to process b under a fault; returns those that arrive."""
         loop = VirtualLoop()
         self.addCleanup(loop.close)
-        network, got = Network(loop, 5, conditions), Got()
-        both = {name: VirtualTransport(network, Disk(), name) for name in ("a", "b")}
-        sender = both["a"].datagrams("a", 1, into([]))
-        both["b"].datagrams("b", 1, into(got))
-        fault(network, both)
+        network, received = Network(loop, 5, conditions), Received()
+        processes = {name: VirtualTransport(network, Disk(), name) for name in ("a", "b")}
+        sender = processes["a"].datagrams("a", 1, append_to([]))
+        processes["b"].datagrams("b", 1, append_to(received))
+        fault(network, processes)
         for n in range(number):
             loop.call_later(0.01 * n, sender.send, ("b", 1), b"%d" % n)
-        over = loop.create_future()
-        loop.call_later(0.01 * number + 1.0, over.set_result, None)
-        loop.run_until_complete(over)
-        return got
+        end = loop.create_future()
+        loop.call_later(0.01 * number + 1.0, end.set_result, None)
+        loop.run_until_complete(end)
+        return received
 
-    def test_where_nothing_is_wrong_all_come_once_in_order(self) -> None:
-        got = self.play(NetworkConditions(), lambda network, both: None)
-        self.assertEqual([(b"%d" % n, ("a", 1)) for n in range(200)], got)
+    def test_without_faults_all_datagrams_arrive_once_and_in_order(self) -> None:
+        received = self.simulate(NetworkConditions(), lambda network, processes: None)
+        self.assertEqual([(b"%d" % n, ("a", 1)) for n in range(200)], received)
 
-    def test_loss_doubles_and_delays(self) -> None:
-        bad = NetworkConditions(lost=0.3, doubled=0.2, late=0.2)
-        got = [int(data) for data, _ in self.play(bad, lambda network, both: None)]
-        self.assertTrue(90 < len(set(got)) < 175, len(set(got)))
-        self.assertGreater(len(got), len(set(got)))
-        self.assertNotEqual(sorted(got), got)
+    def test_datagrams_are_lost_duplicated_and_reordered_as_configured(self) -> None:
+        unreliable = NetworkConditions(lost=0.3, doubled=0.2, late=0.2)
+        numbers = [int(data) for data, _ in self.simulate(unreliable, lambda network, processes: None)]
+        self.assertTrue(90 < len(set(numbers)) < 175, len(set(numbers)))
+        self.assertGreater(len(numbers), len(set(numbers)))
+        self.assertNotEqual(sorted(numbers), numbers)
 
-    def test_a_cut_one_way_and_a_machine_that_is_gone(self) -> None:
+    def test_a_cut_stops_one_direction_and_an_ended_process_receives_nothing(self) -> None:
         self.assertEqual(
-            200, len(self.play(NetworkConditions(), lambda network, both: network.cut("b", "a")))
+            200, len(self.simulate(NetworkConditions(), lambda network, processes: network.cut("b", "a")))
         )
-        self.assertEqual(0, len(self.play(NetworkConditions(), lambda network, both: network.cut("a", "b"))))
-        for how in ("kill", "vanish"):
-            got = self.play(
+        self.assertEqual(
+            0, len(self.simulate(NetworkConditions(), lambda network, processes: network.cut("a", "b")))
+        )
+        for method in ("kill", "vanish"):
+            received = self.simulate(
                 NetworkConditions(),
-                lambda network, both, how=how: network.loop.call_later(  # type: ignore
-                    1.0, getattr(both["b"], how)
+                lambda network, processes, method=method: network.loop.call_later(  # type: ignore
+                    1.0, getattr(processes["b"], method)
                 ),
             )
-            self.assertTrue(95 < len(got) < 105, len(got))
+            self.assertTrue(95 < len(received) < 105, len(received))
 
-    def test_a_paused_process_finds_a_bounded_number(self) -> None:
-        def stop(network: Network, both: dict[str, VirtualTransport]) -> None:
-            both["b"].pause()
-            network.loop.call_later(6.5, both["b"].resume)
+    def test_a_paused_process_receives_a_bounded_number_when_it_resumes(self) -> None:
+        def pause(network: Network, processes: dict[str, VirtualTransport]) -> None:
+            processes["b"].pause()
+            network.loop.call_later(6.5, processes["b"].resume)
 
-        self.assertEqual(256, len(self.play(NetworkConditions(), stop, 600)))
+        self.assertEqual(256, len(self.simulate(NetworkConditions(), pause, 600)))
