--- a/tests/membership/test_gossip_bytes.py
+++ b/tests/membership/test_gossip_bytes.py
@@ -1,4 +1,4 @@
-"""The bytes of one gossip message of each kind, as gateways of this protocol version send them."""
+"""Gossip messages keep their encoding: the bytes of one message of each kind."""
 
 import pytest
 
@@ -51,12 +51,12 @@
 
 
 @pytest.mark.parametrize(
-    ("message", "as_sent"), BYTES, ids=[MessageKind(m.kind).name.lower() for m, _ in BYTES]
+    ("message", "encoded"), BYTES, ids=[MessageKind(message.kind).name.lower() for message, _ in BYTES]
 )
-def test_a_message_of_each_kind_keeps_its_bytes(message: GossipMessage, as_sent: str) -> None:
-    assert encode(message, FLEET).hex() == as_sent
-    assert decode(bytes.fromhex(as_sent), FLEET) == message
+def test_the_encoding_of_each_message_kind_is_stable(message: GossipMessage, encoded: str) -> None:
+    assert encode(message, FLEET).hex() == encoded
+    assert decode(bytes.fromhex(encoded), FLEET) == message
 
 
-def test_each_kind_has_its_bytes_held() -> None:
+def test_every_message_kind_has_an_example() -> None:
     assert {message.kind for message, _ in BYTES} == set(MessageKind)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The view carried: real processes through a relay under faults, what a head does not hear, its command."""
+"""Membership in running gateways: processes behind a relay with faults, rejected datagrams, the commands."""
 
 import asyncio
 import signal
@@ -43,8 +43,8 @@
 
 
 @pytest.mark.processes
-class Real(unittest.IsolatedAsyncioTestCase):
-    async def test_processes_under_faults_come_to_one_view(self) -> None:
+class RealProcesses(unittest.IsolatedAsyncioTestCase):
+    async def test_processes_agree_on_one_view_after_faults(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             fleet = RealFleet(
                 RealTransport(3), Processes(Path(folder), pb.Site()), read_script(SCRIPT), lambda line: None
@@ -56,21 +56,22 @@
         self.assertEqual(3, len(result.settle_seconds))
         self.assertLess(result.bytes_a_head_a_second, 1500)
 
-    async def test_heads_of_a_site_file_see_a_kill_a_new_life_and_an_end_in_order(self) -> None:
+    async def test_gateways_see_a_kill_a_restart_and_a_graceful_shutdown_of_others(self) -> None:
         site = resized(read_site(Path(__file__).parent.parent / "deploy" / "site.txtpb"), 4, 2)
         transport = RealTransport(3)
 
-        async def until(head: int, holds: Callable[[Shown], bool]) -> Shown:
-            address = split_address(site.head[head].peers)
-            by = transport.now() + 25.0
+        async def until(gateway: int, condition: Callable[[Shown], bool]) -> Shown:
+            """Queries the view of a gateway until it meets a condition; fails after 25 s."""
+            address = split_address(site.head[gateway].peers)
+            deadline = transport.now() + 25.0
             while True:
                 try:
                     shown = await ask(transport, address, fleet_of(site), 1.0)
                 except NoAnswer:
                     shown = Shown()
-                if holds(shown):
+                if condition(shown):
                     return shown
-                self.assertLess(transport.now(), by, f"head {head}: {shown.words}")
+                self.assertLess(transport.now(), deadline, f"gateway {gateway}: {shown.words}")
                 await asyncio.sleep(0.2)
 
         def states(shown: Shown) -> list[int]:
@@ -96,17 +97,17 @@
                 before = await until(0, lambda s: states(s) == [MemberState.ALIVE] * 4 and "settled" in s.own)
                 await processes.end("head 1", signal.SIGKILL)
                 await start(1)
-                again = await until(
+                restarted = await until(
                     0,
                     lambda s: s.words[1].incarnation > before.words[1].incarnation
                     and s.words[1].state == MemberState.ALIVE,
                 )
                 await processes.end("head 2")
-                for head in (0, 3):
+                for gateway in (0, 3):
                     await until(
-                        head,
+                        gateway,
                         lambda s: s.words[2].state == MemberState.LEFT
-                        and s.words[1].incarnation == again.words[1].incarnation,
+                        and s.words[1].incarnation == restarted.words[1].incarnation,
                     )
                 await processes.end("head 3", signal.SIGKILL)
                 await until(0, lambda s: s.words[3].state == MemberState.DEAD)
@@ -114,7 +115,7 @@
                 statuses = await processes.end_all()
         self.assertEqual({"head 0": 0, "head 1": 0}, statuses)
 
-    async def test_the_judge_sees_a_fleet_that_never_comes_together(self) -> None:
+    async def test_a_fleet_whose_views_never_agree_is_reported(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             transport = RealTransport(3)
             fleet = RealFleet(
@@ -129,10 +130,10 @@
         self.assertEqual(1, fleet.result.views_differ)
         self.assertGreater(fleet.result.false_deaths, 0)
 
-    def test_scripts_and_addresses_that_cant_be_used(self) -> None:
-        foreign = read_script("1 slow shelf-0 by 2 for 1\n2 starve head-0 by 1 for 1\n")
-        self.assertEqual(2, len(unplayable(foreign, PLAYED, PARTIES)))
-        for arguments, said in (
+    def test_unusable_scripts_and_addresses_are_rejected(self) -> None:
+        unsupported = read_script("1 slow shelf-0 by 2 for 1\n2 starve head-0 by 1 for 1\n")
+        self.assertEqual(2, len(unplayable(unsupported, PLAYED, PARTIES)))
+        for arguments, message in (
             (("fleet", "show", "--head", "nowhere"), "no host:port"),
             (("fleet", "show", "--head", "127.0.0.1:9"), "no answer"),
             (("fleet", "history", "--head", "127.0.0.1:9"), "no answer"),
@@ -142,14 +143,14 @@
             (("lab", "fleet", "--processes", "1"), "2 or more"),
             (("lab", "fleet", "--script", "/nowhere"), "No such file"),
         ):
-            done = subprocess.run(
+            finished = subprocess.run(
                 [sys.executable, "-m", "gorsethread", *arguments], capture_output=True, text=True, timeout=60
             )
-            self.assertEqual((2, True), (done.returncode, said in done.stderr), done.stderr)
+            self.assertEqual((2, True), (finished.returncode, message in finished.stderr), finished.stderr)
 
 
-class Virtual(unittest.TestCase):
-    def test_what_is_foreign_is_counted_and_changes_nothing_and_an_operator_is_answered(self) -> None:
+class VirtualProcesses(unittest.TestCase):
+    def test_foreign_datagrams_are_counted_and_ignored_and_operators_are_answered(self) -> None:
         start_logs(True, "critical")
         loop = VirtualLoop()
         self.addCleanup(loop.close)
@@ -171,36 +172,40 @@
         stranger = VirtualTransport(network, Disk(), "stranger")
         port = stranger.datagrams("127.0.0.9", 1, lambda data, source: None)
         death = MemberRecord(1, 2**50, 0, MemberState.DEAD, 0, 0, *addresses[1], 2)
-        told = GossipMessage(MessageKind.ACK, 2, 1, 0, 0, (death,))
-        for data in (b"noise", encode(told, FLEET), encode(told, FLEET + 1), encode(told, FLEET)[:20]):
+        message = GossipMessage(MessageKind.ACK, 2, 1, 0, 0, (death,))
+        valid = encode(message, FLEET)
+        for data in (b"noise", valid, encode(message, FLEET + 1), valid[:20]):
             loop.call_later(8.0, port.send, addresses[0], data)
         task = loop.create_task(ask(stranger, addresses[0], FLEET))
         loop.call_later(9.0, lambda: None)
         shown = loop.run_until_complete(task)
         self.assertEqual(0, shown.me.member if shown.me else -1)
-        over = loop.create_future()
-        loop.call_later(10.0, over.set_result, None)
-        loop.run_until_complete(over)
+        after_messages = loop.create_future()
+        loop.call_later(10.0, after_messages.set_result, None)
+        loop.run_until_complete(after_messages)
         self.assertEqual({"malformed": 2, "from no peer": 1, "another fleet": 1}, dict(sides[0].wrong))
         self.assertEqual([True] * 3, [side.view.settled for side in sides])
         sides[2].stop()
-        last = loop.create_future()
-        loop.call_later(5.0, last.set_result, None)
-        loop.run_until_complete(last)
+        after_leaving = loop.create_future()
+        loop.call_later(5.0, after_leaving.set_result, None)
+        loop.run_until_complete(after_leaving)
         self.assertEqual([MemberState.LEFT] * 2, [side.view.records[2].state for side in sides[:2]])
-        past = loop.run_until_complete(ask_past(stranger, addresses[0], FLEET))
+        history = loop.run_until_complete(ask_past(stranger, addresses[0], FLEET))
         self.assertEqual(
-            [(c.record, round(sides[0].transport.now() - c.at)) for c in sides[0].view.history],
-            [(word, round(age)) for age, word in past],
+            [
+                (change.record, round(sides[0].transport.now() - change.at))
+                for change in sides[0].view.history
+            ],
+            [(record, round(age)) for age, record in history],
         )
-        self.assertEqual((2, MemberState.LEFT), (past[-1][1].member, past[-1][1].state))
+        self.assertEqual((2, MemberState.LEFT), (history[-1][1].member, history[-1][1].state))
 
 
-def test_records_in_the_commands_json_keep_their_names() -> None:
+def test_the_command_prints_records_in_json_with_stable_names() -> None:
     record = MemberRecord(2, 7, 1, MemberState.SUSPECT, 3, 4, "10.0.0.1", 9, 5)
-    said = {"name": 2, "life": 7, "incarnation": 1, "state": 1, "zone": 3, "machine": 4}
+    first_fields = {"name": 2, "life": 7, "incarnation": 1, "state": 1, "zone": 3, "machine": 4}
     assert list(record_as_json(record).items()) == [
-        *said.items(),
+        *first_fields.items(),
         ("host", "10.0.0.1"),
         ("port", 9),
         ("by", 5),
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -1,4 +1,4 @@
-"""The virtual network does what TCP and processes do: windows, cuts, resets, kills, pauses, clocks."""
+"""The simulated network and processes behave like real ones: windows, cuts, resets, kills, pauses, clocks."""
 
 import errno
 import logging
@@ -16,10 +16,10 @@
 ADDRESS = ("b", 1)
 
 
-class Pair(unittest.TestCase):
-    """Process a dials process b; what b's side of the connection is comes into served."""
+class TwoProcesses(unittest.TestCase):
+    """Process a connects to process b; served holds the ends of the connections at b."""
 
-    def begin(
+    def start(
         self, conditions: NetworkConditions | None = None, offset: float = 0.0, drift: float = 0.0
     ) -> None:
         self.loop = VirtualLoop()
@@ -29,22 +29,23 @@
         self.a = VirtualTransport(self.network, disk, "a", offset, drift)
         self.b = VirtualTransport(self.network, disk, "b")
         self.served: list[Stream] = []
-        self.got = b""
-        self.ended = ""
+        self.received = b""
+        self.end_reason = ""
         self.listener = self.b.listen(*ADDRESS, self.serve)
 
     async def serve(self, stream: Stream) -> None:
         self.served.append(stream)
-        await self.reads(stream)
+        await self.read_all(stream)
 
-    async def reads(self, stream: Stream) -> None:
+    async def read_all(self, stream: Stream) -> None:
         try:
             while True:
-                self.got += await stream.read()
+                self.received += await stream.read()
         except StreamClosed as error:
-            self.ended = str(error)
+            self.end_reason = str(error)
 
-    def play(self, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
+    def simulate(self, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
+        """Runs the work to its end and then kills both processes."""
         self.loop.run_until_complete(work())
         for process in (self.a, self.b):
             process.kill()
@@ -55,27 +56,27 @@
         self.loop.call_later(seconds, waiting.set_result, None)
         await waiting
 
-    def test_a_cut_one_way_holds_what_was_sent_until_it_heals(self) -> None:
-        self.begin()
+    def test_bytes_sent_during_a_cut_in_one_direction_arrive_after_it_heals(self) -> None:
+        self.start()
 
         async def work() -> None:
             stream = await self.a.connect(*ADDRESS, 1.0)
             self.network.cut("a", "b")
             stream.write(b"held")
             await self.wait(3.0)
-            self.assertEqual(b"", self.got)
+            self.assertEqual(b"", self.received)
             self.served[0].write(b"back")
             self.assertEqual(b"back", await stream.read())
             with self.assertRaises(Unreachable):
                 await self.a.connect(*ADDRESS, 0.5)
             self.network.heal("a", "b")
             await self.wait(0.5)
-            self.assertEqual(b"held", self.got)
+            self.assertEqual(b"held", self.received)
 
-        self.play(work)
+        self.simulate(work)
 
-    def test_a_reset_loses_what_is_on_the_way_and_both_ends_see_it(self) -> None:
-        self.begin()
+    def test_a_reset_loses_bytes_in_flight_and_is_seen_by_both_ends(self) -> None:
+        self.start()
 
         async def work() -> None:
             stream = await self.a.connect(*ADDRESS, 1.0)
@@ -86,51 +87,51 @@
             with self.assertRaises(StreamClosed):
                 await stream.read()
             await self.wait(0.1)
-            self.assertEqual((b"", "connection reset"), (self.got, self.ended))
+            self.assertEqual((b"", "connection reset"), (self.received, self.end_reason))
 
-        self.play(work)
+        self.simulate(work)
 
-    def test_a_killed_peer_is_seen_a_vanished_one_is_not(self) -> None:
-        for how in ("kill", "vanish"):
-            self.begin()
+    def test_the_end_of_a_killed_peer_is_seen_and_that_of_a_vanished_one_is_not(self) -> None:
+        for method in ("kill", "vanish"):
+            self.start()
 
-            async def work(how: str = how) -> None:
+            async def work(method: str = method) -> None:
                 stream = await self.a.connect(*ADDRESS, 1.0)
                 await self.wait(0.1)
-                getattr(self.b, how)()
-                seen: list[str] = []
+                getattr(self.b, method)()
+                errors: list[str] = []
 
-                async def look() -> None:
+                async def read() -> None:
                     try:
                         await stream.read()
                     except StreamClosed as error:
-                        seen.append(str(error))
+                        errors.append(str(error))
 
-                self.a.spawn(look())
+                self.a.spawn(read())
                 stream.write(b"more")
                 await self.wait(30.0)
-                self.assertEqual(how == "kill", bool(seen))
+                self.assertEqual(method == "kill", bool(errors))
 
-            with self.subTest(how=how):
-                self.play(work)
+            with self.subTest(method=method):
+                self.simulate(work)
 
-    def test_what_is_sent_to_an_earlier_life_is_reset(self) -> None:
-        self.begin()
+    def test_bytes_for_an_earlier_process_of_the_same_name_are_answered_by_a_reset(self) -> None:
+        self.start()
 
         async def work() -> None:
             stream = await self.a.connect(*ADDRESS, 1.0)
             await self.wait(0.1)
             self.b.vanish()
-            again = VirtualTransport(self.network, Disk(), "b")
-            again.listen(*ADDRESS, self.serve)
-            stream.write(b"to whom?")
+            successor = VirtualTransport(self.network, Disk(), "b")
+            successor.listen(*ADDRESS, self.serve)
+            stream.write(b"to the earlier process")
             with self.assertRaises(StreamClosed):
                 await stream.read()
 
-        self.play(work)
+        self.simulate(work)
 
-    def test_a_paused_process_finds_all_due_at_once(self) -> None:
-        self.begin()
+    def test_a_paused_process_gets_all_due_events_at_once_when_it_resumes(self) -> None:
+        self.start()
         fired: list[float] = []
 
         async def work() -> None:
@@ -138,18 +139,18 @@
             await self.wait(0.1)
             self.b.call_at(self.b.now() + 1.0, lambda: fired.append(self.b.now()))
             self.b.pause()
-            stream.write(b"while it stood still")
+            stream.write(b"while it was paused")
             await self.wait(5.0)
-            self.assertEqual(([], b""), (fired, self.got))
+            self.assertEqual(([], b""), (fired, self.received))
             now = self.loop.time()
             self.b.resume()
             await self.wait(0.001)
-            self.assertEqual(([now], b"while it stood still"), (fired, self.got))
+            self.assertEqual(([now], b"while it was paused"), (fired, self.received))
 
-        self.play(work)
+        self.simulate(work)
 
-    def test_a_reader_that_stops_holds_the_writer_back(self) -> None:
-        self.begin(NetworkConditions(window=10_000))
+    def test_a_writer_is_limited_by_the_window_while_the_reader_is_paused(self) -> None:
+        self.start(NetworkConditions(window=10_000))
 
         async def work() -> None:
             stream = await self.a.connect(*ADDRESS, 1.0)
@@ -161,13 +162,13 @@
             self.b.resume()
             await stream.drained()
             await self.wait(0.1)
-            self.assertEqual(50_000, len(self.got))
+            self.assertEqual(50_000, len(self.received))
 
-        self.play(work)
+        self.simulate(work)
 
     @given(st.lists(st.binary(min_size=1, max_size=300), max_size=20), st.integers(0, 1000))
-    def test_bytes_come_whole_and_in_order(self, pieces: list[bytes], seed: int) -> None:
-        self.begin(NetworkConditions(window=700, segment=64, split=0.6))
+    def test_bytes_arrive_complete_and_in_order(self, pieces: list[bytes], seed: int) -> None:
+        self.start(NetworkConditions(window=700, segment=64, split=0.6))
         self.network.seed = seed
 
         async def work() -> None:
@@ -178,28 +179,28 @@
             await stream.drained()
             stream.close()
             await self.wait(1.0)
-            self.assertEqual((b"".join(pieces), "closed by peer"), (self.got, self.ended))
+            self.assertEqual((b"".join(pieces), "closed by peer"), (self.received, self.end_reason))
 
-        self.play(work)
+        self.simulate(work)
 
     @given(st.floats(-1000, 1000), st.sampled_from([0.0, 1e-4, -1e-4, 0.3]), st.floats(0, 100))
-    def test_a_timer_never_comes_early_on_its_own_clock(
+    def test_a_timer_never_fires_early_by_the_clock_of_its_process(
         self, offset: float, drift: float, seconds: float
     ) -> None:
-        self.begin(offset=offset, drift=drift)
-        came: list[float] = []
+        self.start(offset=offset, drift=drift)
+        lateness: list[float] = []
 
         async def work() -> None:
             due = self.a.now() + seconds
-            self.a.call_at(due, lambda: came.append(self.a.now() - due))
+            self.a.call_at(due, lambda: lateness.append(self.a.now() - due))
             await self.wait(200.0)
 
-        self.play(work)
-        self.assertTrue(0.0 <= came[0] < 1e-6, came)
+        self.simulate(work)
+        self.assertTrue(0.0 <= lateness[0] < 1e-6, lateness)
 
 
-class Defects(unittest.IsolatedAsyncioTestCase):
-    async def test_what_a_timer_raises_ends_a_real_program(self) -> None:
+class TimerErrors(unittest.IsolatedAsyncioTestCase):
+    async def test_an_exception_in_a_timer_ends_a_real_program(self) -> None:
         logging.getLogger("asyncio").setLevel(logging.CRITICAL)
         self.addCleanup(logging.getLogger("asyncio").setLevel, logging.NOTSET)
         transport = RealTransport()
@@ -208,8 +209,8 @@
             await transport.until_finished()
 
 
-class Accepting(unittest.IsolatedAsyncioTestCase):
-    async def test_where_no_descriptor_is_left_it_goes_on_as_soon_as_there_is(self) -> None:
+class RealAccepting(unittest.IsolatedAsyncioTestCase):
+    async def test_accepting_continues_after_a_lack_of_file_descriptors(self) -> None:
         transport, served = RealTransport(), []
 
         async def serve(stream: Stream) -> None:
@@ -219,18 +220,18 @@
         self.addCleanup(listener.close)
         listening = listener._sockets[0]
 
-        class Full:
+        class OutOfDescriptors:
             def fileno(self) -> int:
                 return listening.fileno()
 
             def accept(self) -> Any:
                 raise OSError(errno.EMFILE, "Too many open files")
 
-        listener._accept(Full(), 1)  # type: ignore[arg-type]
+        listener._accept(OutOfDescriptors(), 1)  # type: ignore[arg-type]
         self.assertIsNone(transport.failed)
         listener._start_accepting(listening)
         stream = await transport.connect("127.0.0.1", listener.port, 1.0)
         while not served:
             await transport.sleep(0.01)
-        for each in (stream, *served):
-            each.close()
+        for open_stream in (stream, *served):
+            open_stream.close()
