--- a/tests/membership/test_membership_view.py
+++ b/tests/membership/test_membership_view.py
@@ -1,5 +1,4 @@
-"""The fleet's view: the order of words, their wire, the core in worlds of faults, and its rule of lives
-checked state by state."""
+"""The membership view: the order of records, the codec, simulated fleets with faults, and a model check."""
 
 import unittest
 from collections.abc import Callable
@@ -26,8 +25,8 @@
 from gorsethread.membership.member_table import HISTORY_MAX
 from gorsethread.membership.membership_view import MembershipView
 
-HOME = ("10.0.0.1", 1000)
-WORDS = st.builds(
+ADDRESS = ("10.0.0.1", 1000)
+RECORDS = st.builds(
     MemberRecord,
     st.just(3),
     st.integers(0, 3),
@@ -39,142 +38,148 @@
     st.just(1003),
     st.integers(0, 3),
 )
-RAW = encode(GossipMessage(MessageKind.PING, 1, 1, 0, 5, (MemberRecord(3, 1, 0, 0, 0, 0, *HOME, 1),)), 7)
+ENCODED = encode(
+    GossipMessage(MessageKind.PING, 1, 1, 0, 5, (MemberRecord(3, 1, 0, 0, 0, 0, *ADDRESS, 1),)), 7
+)
 
 
-def word(
-    name: int, incarnation: int = 1, refutation: int = 0, state: int = MemberState.ALIVE, by: int = 0
+def record_of(
+    member: int, incarnation: int = 1, refutation: int = 0, state: int = MemberState.ALIVE, by: int = 0
 ) -> MemberRecord:
-    return MemberRecord(name, incarnation, refutation, state, 0, 0, "10.0.0.1", 1000 + name, by)
+    return MemberRecord(member, incarnation, refutation, state, 0, 0, "10.0.0.1", 1000 + member, by)
 
 
-def view(name: int = 0, now: float = 0.0) -> MembershipView:
-    return MembershipView(word(name), (("10.0.0.1", 1000),), now, lambda: 0.5)
+def new_view(member: int = 0, now: float = 0.0) -> MembershipView:
+    return MembershipView(record_of(member), (("10.0.0.1", 1000),), now, lambda: 0.5)
 
 
-class Words(unittest.TestCase):
-    @given(st.lists(WORDS, min_size=1, max_size=8), st.randoms(use_true_random=False))
-    def test_the_same_word_wins_in_any_order_and_however_often(
-        self, words: list[MemberRecord], chance: Any
+class RecordsAndCodec(unittest.TestCase):
+    @given(st.lists(RECORDS, min_size=1, max_size=8), st.randoms(use_true_random=False))
+    def test_the_same_record_wins_in_any_order_and_with_repetitions(
+        self, records: list[MemberRecord], random: Any
     ) -> None:
-        def last(order: list[MemberRecord]) -> tuple[int, int, int]:
+        def winner(order: list[MemberRecord]) -> tuple[int, int, int]:
             best: MemberRecord | None = None
-            for w in order:
-                best = w if supersedes(w, best) else best
+            for record in order:
+                best = record if supersedes(record, best) else best
             assert best is not None
             return best.incarnation, best.state, 0 if best.ended else best.refutation
 
-        other = words + words[:3]
-        chance.shuffle(other)
-        self.assertEqual(last(words), last(other))
-
-    @given(st.lists(WORDS, min_size=1, max_size=8))
-    def test_what_is_over_stays_over_within_its_life(self, words: list[MemberRecord]) -> None:
-        v = view()
-        over: set[int] = set()
-        for w in words:
-            v.received(("10.0.0.1", 1001), GossipMessage(MessageKind.ACK, 1, 0, 0, 0, (w,)))
-            if w.ended:
-                over.add(w.incarnation)
-            held = v.records[3]
-            self.assertFalse(held.incarnation in over and not held.ended, (held, over))
+        shuffled = records + records[:3]
+        random.shuffle(shuffled)
+        self.assertEqual(winner(records), winner(shuffled))
+
+    @given(st.lists(RECORDS, min_size=1, max_size=8))
+    def test_an_incarnation_that_ended_is_never_alive_again(self, records: list[MemberRecord]) -> None:
+        view = new_view()
+        ended: set[int] = set()
+        for record in records:
+            view.received(("10.0.0.1", 1001), GossipMessage(MessageKind.ACK, 1, 0, 0, 0, (record,)))
+            if record.ended:
+                ended.add(record.incarnation)
+            believed = view.records[3]
+            self.assertFalse(believed.incarnation in ended and not believed.ended, (believed, ended))
 
     @given(st.binary(max_size=300))
     @settings(max_examples=200)
-    def test_noise_is_told_from_messages(self, raw: bytes) -> None:
-        for data in (raw, RAW[: len(raw) % len(RAW)], RAW[:5] + raw):
-            if data != RAW:
+    def test_bytes_that_are_not_a_message_are_rejected(self, noise: bytes) -> None:
+        for data in (noise, ENCODED[: len(noise) % len(ENCODED)], ENCODED[:5] + noise):
+            if data != ENCODED:
                 try:
                     decode(data, 7)
                 except GossipDecodeError:
                     continue
                 self.assertEqual(data, encode(decode(data, 7), 7))
 
-    def test_other_fleets_versions_and_sizes_are_refused(self) -> None:
-        for raw, why in (
-            (RAW, "another fleet"),
-            (RAW + bytes(300), "over the bound"),
+    def test_messages_of_another_fleet_version_or_size_are_rejected(self) -> None:
+        for data, reason in (
+            (ENCODED, "another fleet"),
+            (ENCODED + bytes(300), "over the bound"),
             (b"", "malformed"),
-            (RAW[:1] + b"\x01" + RAW[2:], "another version"),
+            (ENCODED[:1] + b"\x01" + ENCODED[2:], "another version"),
         ):
             with self.assertRaises(GossipDecodeError) as caught:
-                decode(raw, 8 if why == "another fleet" else 7)
-            self.assertEqual(why, str(caught.exception))
+                decode(data, 8 if reason == "another fleet" else 7)
+            self.assertEqual(reason, str(caught.exception))
 
-    def test_messages_are_filled_and_never_over_the_bound(self) -> None:
-        v = view()
+    def test_messages_are_filled_without_exceeding_the_size_limit(self) -> None:
+        view = new_view()
         for n in range(1, 300):
-            v._merge(
-                word(n, incarnation=2**44 + n, refutation=n)._replace(host="127.127.127.127", machine=10**6)
+            view._merge(
+                record_of(n, incarnation=2**44 + n, refutation=n)._replace(
+                    host="127.127.127.127", machine=10**6
+                )
             )
         for _ in range(200):
-            v._ping(("10.0.0.1", 1))
-        sizes = [len(encode(m, 2**32 - 1)) for _, m in v.outbox]
+            view._ping(("10.0.0.1", 1))
+        sizes = [len(encode(message, 2**32 - 1)) for _, message in view.outbox]
         self.assertLessEqual(max(sizes), 256)
         self.assertGreater(min(sizes), 150)
-        named = {w.member for _, m in v.outbox for w in m.records}
-        self.assertEqual(set(range(300)), named, "the whole table goes in pieces")
-
-
-class Own(unittest.TestCase):
-    def tell(self, v: MembershipView, w: MemberRecord, sender: int = 1) -> None:
-        v.received(("10.0.0.1", 1000 + sender), GossipMessage(MessageKind.ACK, sender, 0, 0, 0, (w,)))
-
-    def test_a_suspicion_is_refuted_and_a_death_ends_the_life(self) -> None:
-        v = view()
-        self.tell(v, word(0, state=MemberState.SUSPECT, by=1))
-        self.assertEqual((1, 1), (v.own.incarnation, v.own.refutation))
-        self.tell(v, word(0, state=MemberState.DEAD, by=1))
-        self.assertEqual((2, 0, MemberState.ALIVE), (v.own.incarnation, v.own.refutation, v.own.state))
-
-    def test_another_process_under_its_name_is_found(self) -> None:
-        v = view()
-        self.tell(v, word(0, incarnation=9))
-        self.assertEqual((10, 1), (v.own.incarnation, v.duplicates))
-        v.received(HOME, GossipMessage(MessageKind.PING, 0, 0, 0, 0, ()))
-        self.assertEqual(2, v.duplicates)
-
-    def test_more_names_than_the_fleet_has_are_refused(self) -> None:
-        v = MembershipView(word(0), (), 0.0, lambda: 0.5, members_max=3)
+        sent = {record.member for _, message in view.outbox for record in message.records}
+        self.assertEqual(set(range(300)), sent, "all members of the table are sent")
+
+
+class SingleView(unittest.TestCase):
+    def deliver(self, view: MembershipView, record: MemberRecord, sender: int = 1) -> None:
+        view.received(("10.0.0.1", 1000 + sender), GossipMessage(MessageKind.ACK, sender, 0, 0, 0, (record,)))
+
+    def test_a_suspicion_is_refuted_and_a_reported_death_starts_a_new_incarnation(self) -> None:
+        view = new_view()
+        self.deliver(view, record_of(0, state=MemberState.SUSPECT, by=1))
+        self.assertEqual((1, 1), (view.own.incarnation, view.own.refutation))
+        self.deliver(view, record_of(0, state=MemberState.DEAD, by=1))
+        self.assertEqual(
+            (2, 0, MemberState.ALIVE), (view.own.incarnation, view.own.refutation, view.own.state)
+        )
+
+    def test_another_process_with_the_same_number_is_counted(self) -> None:
+        view = new_view()
+        self.deliver(view, record_of(0, incarnation=9))
+        self.assertEqual((10, 1), (view.own.incarnation, view.duplicates))
+        view.received(ADDRESS, GossipMessage(MessageKind.PING, 0, 0, 0, 0, ()))
+        self.assertEqual(2, view.duplicates)
+
+    def test_members_beyond_the_limit_are_refused(self) -> None:
+        view = MembershipView(record_of(0), (), 0.0, lambda: 0.5, members_max=3)
         for n in range(1, 9):
-            self.tell(v, word(n))
-        self.assertEqual((3, 6), (len(v.records), v.refused))
+            self.deliver(view, record_of(n))
+        self.assertEqual((3, 6), (len(view.records), view.refused))
 
-    def test_a_head_that_hears_nobody_accuses_nobody(self) -> None:
-        v = view()
+    def test_a_gateway_that_receives_no_messages_suspects_nobody(self) -> None:
+        view = new_view()
         for n in range(1, 6):
-            self.tell(v, word(n))
+            self.deliver(view, record_of(n))
         for tick in range(1, 400):
-            v.tick(0.1 * tick)
-        self.assertTrue(v.apart)
-        self.assertEqual(6, len(v.alive))
+            view.tick(0.1 * tick)
+        self.assertTrue(view.apart)
+        self.assertEqual(6, len(view.alive))
 
-    def test_nonsense_without_end_is_not_all_answered(self) -> None:
-        v = view()
+    def test_a_flood_of_pings_is_answered_only_up_to_the_limit(self) -> None:
+        view = new_view()
         for _ in range(500):
-            v.received(("10.0.0.1", 1001), GossipMessage(MessageKind.PING, 1, 0, 0, 0, ()))
-        self.assertLess(len(v.outbox), 40)
+            view.received(("10.0.0.1", 1001), GossipMessage(MessageKind.PING, 1, 0, 0, 0, ()))
+        self.assertLess(len(view.outbox), 40)
 
 
-class Fleets(unittest.TestCase):
-    def test_drawn_worlds_settle_and_hold_nobody_dead_in_error(self) -> None:
+class SimulatedFleets(unittest.TestCase):
+    def test_fleets_with_random_faults_settle_without_false_deaths(self) -> None:
         for seed in range(20):
             script = drawn(seed, 0 if seed % 4 else 12)
             if script.heads <= 20:
                 with self.subTest(seed=seed):
                     self.assertEqual([], FleetWorld(script).play().reasons)
 
-    def test_planted_defects_are_caught_and_the_honest_core_is_not_accused(self) -> None:
-        honest: dict[str, list[str]] = {}
-        for name, (plant, text) in VIEW_MUTANTS.items():
+    def test_every_mutant_is_caught_and_the_original_passes(self) -> None:
+        original: dict[str, list[str]] = {}
+        for name, (mutate, text) in VIEW_MUTANTS.items():
             script = drawn(int(text)) if text.isdigit() else read_script(f"seed 3\n{text}")
-            with self.subTest(defect=name):
-                if text not in honest:
-                    honest[text] = FleetWorld(script, calm=120.0).play().reasons
-                self.assertEqual([], honest[text], "the honest core")
-                self.assertNotEqual([], FleetWorld(script, plant, 120.0).play().reasons)
+            with self.subTest(mutant=name):
+                if text not in original:
+                    original[text] = FleetWorld(script, calm=120.0).play().reasons
+                self.assertEqual([], original[text], "without the mutation")
+                self.assertNotEqual([], FleetWorld(script, mutate, 120.0).play().reasons)
 
-    def test_bytes_do_not_grow_with_the_fleet(self) -> None:
+    def test_traffic_per_gateway_does_not_grow_with_the_fleet(self) -> None:
         small, large = (
             FleetWorld(read_script(f"seed 1\nheads {n}\n1 kill head-0 for 1\n"), calm=30.0).play()
             for n in (6, 48)
@@ -183,86 +188,108 @@
         self.assertLess(large.bytes_a_head_a_second, 2.0 * small.bytes_a_head_a_second + 200.0)
 
 
-class Lives(unittest.TestCase):
-    """Two observers and the head they hold words of, every order of lost, late and doubled tellings, a crash
-    and a restart. A state: the head's own (life, incarnation, up), and what each observer believes."""
+class OrderOfRecords(unittest.TestCase):
+    """A model check of one gateway and two observers, a and b, that exchange records about it.
+
+    Records are lost, delayed and repeated in every order, and the gateway crashes and restarts. A state holds
+    the gateway's incarnation, refutation and whether it runs, the record that each observer believes, all
+    records sent so far, and the incarnations that each observer has seen end.
+    """
 
-    def check(self, believes: Callable[[MemberRecord, MemberRecord | None], bool]) -> dict[str, Any]:
-        def transitions(s: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
-            life, inc, up, a, b, said, dead_a, dead_b = s
+    def check(self, accepts: Callable[[MemberRecord, MemberRecord | None], bool]) -> dict[str, Any]:
+        def transitions(state: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
+            incarnation, refutation, running, a, b, sent, ended_a, ended_b = state
             found = []
 
-            def told(who: str, w: MemberRecord, s_: tuple[Any, ...]) -> None:
-                held, dead = (a, dead_a) if who == "a" else (b, dead_b)
-                known = MemberRecord(3, *held, 0, 0, "h", 1, 0) if held else None
-                if believes(w, known):
-                    new = (w.incarnation, w.refutation, int(w.state))
-                    now_dead = dead | {w.incarnation} if w.ended else dead
-                    now = (new, b) if who == "a" else (a, new)
-                    over = (now_dead, dead_b) if who == "a" else (dead_a, now_dead)
-                    found.append((f"{who} hears {new}", (life, inc, up, *now, said | {new}, *over)))
-
-            for one in said:
-                for who in "ab":
-                    told(who, MemberRecord(3, *one, 0, 0, "h", 1, 0), s)
-            for who, held in (("a", a), ("b", b)):
-                if held and held[2] == MemberState.ALIVE:
-                    told(who, MemberRecord(3, held[0], held[1], MemberState.SUSPECT, 0, 0, "h", 1, 0), s)
-                elif held and held[2] == MemberState.SUSPECT:
-                    told(who, MemberRecord(3, held[0], held[1], MemberState.DEAD, 0, 0, "h", 1, 0), s)
-            rest = (a, b, said, dead_a, dead_b)
-            if up:
-                found.append(("crash", (life, inc, False, *rest)))
-                for w in said:
-                    if w[0] == life and w[2] >= MemberState.LEFT and life < 2:
-                        born = (life + 1, 0, int(MemberState.ALIVE))
-                        found.append(("held dead", (life + 1, 0, True, a, b, said | {born}, dead_a, dead_b)))
-                    elif w[0] == life and w[2] == MemberState.SUSPECT and w[1] >= inc and inc < 1:
-                        more = (life, inc + 1, int(MemberState.ALIVE))
-                        found.append(("refutes", (life, inc + 1, True, a, b, said | {more}, dead_a, dead_b)))
-            elif life < 2:
-                born = (life + 1, 0, int(MemberState.ALIVE))
-                found.append(("starts", (life + 1, 0, True, a, b, said | {born}, dead_a, dead_b)))
+            def receive(observer: str, record: MemberRecord) -> None:
+                believed, ended = (a, ended_a) if observer == "a" else (b, ended_b)
+                known = MemberRecord(3, *believed, 0, 0, "h", 1, 0) if believed else None
+                if accepts(record, known):
+                    new = (record.incarnation, record.refutation, int(record.state))
+                    new_ended = ended | {record.incarnation} if record.ended else ended
+                    beliefs = (new, b) if observer == "a" else (a, new)
+                    all_ended = (new_ended, ended_b) if observer == "a" else (ended_a, new_ended)
+                    found.append(
+                        (
+                            f"{observer} receives {new}",
+                            (incarnation, refutation, running, *beliefs, sent | {new}, *all_ended),
+                        )
+                    )
+
+            for fields in sent:
+                for observer in "ab":
+                    receive(observer, MemberRecord(3, *fields, 0, 0, "h", 1, 0))
+            for observer, believed in (("a", a), ("b", b)):
+                if believed and believed[2] == MemberState.ALIVE:
+                    suspect = MemberRecord(3, believed[0], believed[1], MemberState.SUSPECT, 0, 0, "h", 1, 0)
+                    receive(observer, suspect)
+                elif believed and believed[2] == MemberState.SUSPECT:
+                    dead = MemberRecord(3, believed[0], believed[1], MemberState.DEAD, 0, 0, "h", 1, 0)
+                    receive(observer, dead)
+            observers = (a, b, sent, ended_a, ended_b)
+
+            restarted = (incarnation + 1, 0, int(MemberState.ALIVE))
+            refuted = (incarnation, refutation + 1, int(MemberState.ALIVE))
+            after_restart = (incarnation + 1, 0, True, a, b, sent | {restarted}, ended_a, ended_b)
+            after_refutation = (incarnation, refutation + 1, True, a, b, sent | {refuted}, ended_a, ended_b)
+            if running:
+                found.append(("crashes", (incarnation, refutation, False, *observers)))
+                for fields in sent:
+                    if fields[0] == incarnation and fields[2] >= MemberState.LEFT and incarnation < 2:
+                        found.append(("learns that it was declared dead", after_restart))
+                    elif (
+                        fields[0] == incarnation
+                        and fields[2] == MemberState.SUSPECT
+                        and fields[1] >= refutation
+                        and refutation < 1
+                    ):
+                        found.append(("refutes", after_refutation))
+            elif incarnation < 2:
+                found.append(("starts", after_restart))
             return found
 
         first = (1, 0, int(MemberState.ALIVE))
         protocol = Protocol(
-            name="lives",
+            name="order of records",
             candidate=False,
-            fields=("life", "inc", "up", "a", "b", "said", "dead_a", "dead_b"),
+            fields=("incarnation", "refutation", "running", "a", "b", "sent", "ended_a", "ended_b"),
             initial=(1, 0, True, first, first, frozenset({first}), frozenset(), frozenset()),
             transitions=transitions,
             invariants={
-                "a dead life stays dead": lambda d: not any(
-                    held[0] in dead and held[2] < MemberState.LEFT
-                    for held, dead in ((d["a"], d["dead_a"]), (d["b"], d["dead_b"]))
+                "an ended incarnation is never alive again": lambda fields: not any(
+                    believed[0] in ended and believed[2] < MemberState.LEFT
+                    for believed, ended in (
+                        (fields["a"], fields["ended_a"]),
+                        (fields["b"], fields["ended_b"]),
+                    )
                 )
             },
         )
         result: dict[str, Any] = check_safety(protocol)
         return result
 
-    def test_every_order_keeps_a_dead_life_dead(self) -> None:
+    def test_an_ended_incarnation_is_never_alive_again_in_any_order_of_messages(self) -> None:
         result = self.check(supersedes)
         self.assertTrue(result["exhaustive"])
-        self.assertTrue(result["properties"]["a dead life stays dead"]["holds"], result)
-
-    def test_a_flaw_in_the_order_is_found(self) -> None:
-        def flawed(one: MemberRecord, other: MemberRecord | None) -> bool:
-            return other is None or (one.incarnation, one.refutation, one.state) > (
-                other.incarnation,
-                other.refutation,
-                other.state,
+        self.assertTrue(result["properties"]["an ended incarnation is never alive again"]["holds"], result)
+
+    def test_the_model_check_finds_an_order_in_which_refutations_outrank_an_end(self) -> None:
+        def flawed(record: MemberRecord, known: MemberRecord | None) -> bool:
+            return known is None or (record.incarnation, record.refutation, record.state) > (
+                known.incarnation,
+                known.refutation,
+                known.state,
             )
 
-        self.assertIs(False, self.check(flawed)["properties"]["a dead life stays dead"]["holds"])
+        result = self.check(flawed)
+        self.assertIs(False, result["properties"]["an ended incarnation is never alive again"]["holds"])
 
 
-class Bounds(unittest.TestCase):
-    def test_the_core_keeps_to_its_tables(self) -> None:
-        v = view()
+class Limits(unittest.TestCase):
+    def test_the_tables_of_a_view_are_bounded(self) -> None:
+        view = new_view()
         for n in range(1, 2000):
-            v._merge(word(n))
-            v.relayed_pings[n] = RelayedPing(HOME, 0, 0.0)
-        self.assertLessEqual(len(v.records), v.members_max)
-        self.assertLessEqual(len(v.history), HISTORY_MAX)
+            view._merge(record_of(n))
+            view.relayed_pings[n] = RelayedPing(ADDRESS, 0, 0.0)
+        self.assertLessEqual(len(view.records), view.members_max)
+        self.assertLessEqual(len(view.history), HISTORY_MAX)
