--- a/gorsethread/transport/base.py
+++ b/gorsethread/transport/base.py
@@ -9,7 +9,7 @@
 
 from gorsethread.errors import GorsethreadError
 
-MAX_READ_BYTES = 65_536  # returned by one read of a stream
+MAX_READ_BYTES = 65_536  # the most that one read of a stream returns
 MAX_DATAGRAM_BYTES = 256  # the operators' platform carries no longer datagrams between gateways
 
 
