--- a/tests/http_gateway/test_backends.py
+++ b/tests/http_gateway/test_backends.py
@@ -168,7 +168,7 @@
             head = self.start()
             await self.call(wish("150"))
             link = next(link for link in head.pool.links.values() if link.idle_connections)
-            link.idle_connections[0].stream._ended = "closed by peer"  # type: ignore[attr-defined]  # no task was told yet
+            link.idle_connections[0].stream._end_reason = "closed by peer"  # type: ignore[attr-defined]  # no task was told yet
             self.assertEqual(200, (await self.call(wish("151", "post", body=b"x"))).status)
             self.assertEqual(
                 (0, 2), (head.driver.counts["attempts connection lost"], self.shelves[0].connections)
