--- a/gorsethread/faults/branchmutants.py
+++ b/gorsethread/faults/branchmutants.py
@@ -155,7 +155,7 @@
 
 @mutant("branch: what the other head has queued is taken for over")
 def _not_waited_for(head: Head) -> None:
-    _of_branch(head, lambda branch: setattr(branch.queue, "_is_other_finished", lambda number: True))
+    _of_branch(head, lambda branch: setattr(branch.queue, "_is_standby_write_finished", lambda number: True))
 
 
 @mutant("branch: a client that comes again is not known")
@@ -175,13 +175,13 @@
 def _any_stream(head: Head) -> None:
     if head.holding is not None:
         holding: Any = head.holding
-        honest = holding._on_put
+        honest = holding._on_store_records
 
         async def put(stream: Any, origin: int, m: Any) -> None:
             holding.replica_of(origin).stream = stream
             await honest(stream, origin, m)
 
-        holding._on_put = put
+        holding._on_store_records = put
 
 
 @mutant("main site: what is in effect is not known")
--- a/gorsethread/gateway/driver.py
+++ b/gorsethread/gateway/driver.py
@@ -26,7 +26,7 @@
     AttemptEnded,
     AttemptOutcome,
     RequestOutcome,
-    RequestTaken,
+    RequestReceived,
     SchedulerSettings,
 )
 from gorsethread.scheduling.scheduler import Scheduler
@@ -124,7 +124,7 @@
         taken_at = self.transport.now() if awaited else arrived
         arrival = Arrival(volume, request_class, int(units), shard, key is not None, arrived, taken_at)
         self.accounting.taken(request.id, arrival)
-        taken = RequestTaken(
+        taken = RequestReceived(
             request.id,
             request_class,
             service_tier,
@@ -136,7 +136,7 @@
             gateways,
             is_retry,
         )
-        self.happened("request_taken", taken)
+        self.happened("request_received", taken)
         return request
 
     def _next_id(self) -> int:
@@ -250,7 +250,7 @@
         assert request.extent is not None
         released = self.first_writes.ended(request.extent, outcome)
         if released and self.placement_log is not None:
-            self.placement_log.freed(request.extent)
+            self.placement_log.released(request.extent)
 
     def _close(self, request: OpenRequest) -> None:
         if request.answered and not request.out:
@@ -330,16 +330,16 @@
                 link.cancel(attempt)
             self._ended(attempt, AttemptOutcome.CANCELLED, EMPTY_RESULT)
 
-    def reject(self, request: int, return_after: float) -> None:
+    def reject(self, request: int, retry_after: float) -> None:
         """Ends a request whose client may try again, best after so many seconds (0: no advice)."""
         if self.recorder:
-            self.recorder(("act", "reject", request, return_after))
+            self.recorder(("act", "reject", request, retry_after))
         found = self.open.get(request)
         if found is not None and not found.answered:
             found.answered = True
             self.accounting.answered(found.id, RequestOutcome.REJECTED, self.transport.now())
             self.counts["rejected"] += 1
-            found.client.rejected(return_after)
+            found.client.rejected(retry_after)
             self._close(found)
 
     def fail(self, request: int) -> None:
