--- a/tests/test_idle_shelves.py
+++ b/tests/test_idle_shelves.py
@@ -64,7 +64,7 @@
                 )
                 clock.advance_to(clock.time + 0.001)
                 f = links[n % 2].held.pop()
-                f.over = True
+                f.ended = True
                 driver._ended(f, AttemptOutcome.SUCCEEDED, EMPTY_RESULT)
                 clock.advance_to(clock.time + 0.001)
         finally:
