--- a/gorsethread/durable_log/log_store.py
+++ b/gorsethread/durable_log/log_store.py
@@ -304,7 +304,7 @@
             retry_after=round(retry_after, 2),
         )
         self._close_segment()
-        self.transport.at(now + retry_after, self._wake_writer)
+        self.transport.call_at(now + retry_after, self._wake_writer)
 
     def _close_segment(self) -> None:
         if self._active is not None:
--- a/gorsethread/durable_log/segment_files.py
+++ b/gorsethread/durable_log/segment_files.py
@@ -48,7 +48,7 @@
         await transport.sleep(0.0)
     data = b"".join(parts)
     path = f"{folder}/{segment_file_name(header.incarnation, header.segment)}"
-    await transport.keep(path, data)
+    await transport.save_durably(path, data)
     return WrittenSegment(path, header.segment, seed, len(data))
 
 
@@ -78,7 +78,7 @@
 
 def remove_old_segments(transport: Transport, folder: str) -> None:
     """Remove all but the SEGMENTS_KEPT newest segments."""
-    identified = [(parse_segment_file_name(name), name) for name in transport.names(folder)]
+    identified = [(parse_segment_file_name(name), name) for name in transport.list_files(folder)]
     ordered = sorted((segment_id, name) for segment_id, name in identified if segment_id is not None)
     for _, name in ordered[:-SEGMENTS_KEPT]:
         transport.remove(f"{folder}/{name}")
@@ -87,7 +87,7 @@
 def load_segments(transport: Transport, folder: str) -> dict[str, bytes]:
     """Return the bytes of the segments of a folder by their file names."""
     segments: dict[str, bytes] = {}
-    for name in transport.names(folder):
+    for name in transport.list_files(folder):
         if parse_segment_file_name(name) is None:
             continue
         data = transport.load(f"{folder}/{name}")
--- a/gorsethread/http_gateway/backend_link.py
+++ b/gorsethread/http_gateway/backend_link.py
@@ -190,7 +190,7 @@
         if connection.end_timer is not None:
             connection.end_timer.cancel()
         when = self.transport.now() + END_TIMEOUT_SECONDS
-        connection.end_timer = self.transport.at(when, lambda: self._end_overdue(connection))
+        connection.end_timer = self.transport.call_at(when, lambda: self._end_overdue(connection))
 
     def _end_overdue(self, connection: BackendConnection) -> None:
         if not connection.closed and connection.codec.ends_with_connection:
@@ -242,7 +242,7 @@
         now = self.transport.now()
         idle_before = now - REUSE_DELAY_SECONDS if self.pool.reuse_trust.allows_reuse(now) else -1.0
         for connection in reversed(list(self.idle_connections)):
-            if not connection.stream.quiet():
+            if not connection.stream.is_idle():
                 self.close_connection(connection)
             elif (
                 connection.idle_since <= idle_before
--- a/gorsethread/http_gateway/gateway.py
+++ b/gorsethread/http_gateway/gateway.py
@@ -133,7 +133,7 @@
         if self.configuration.pushed:
             # Waits for the agent's list: by an older one, requests could go to draining or gone backends.
             self.discovery.on_first_call_ended = self._serve_unless_started
-            self.transport.at(self.transport.now() + FIRST_LIST_SECONDS, self._serve_unless_started)
+            self.transport.call_at(self.transport.now() + FIRST_LIST_SECONDS, self._serve_unless_started)
         self.discovery.start(self.configuration.known_endpoints)
         if not self.configuration.pushed:
             self._serve()
@@ -211,12 +211,12 @@
         if not self.ended:
             self.clients.sweep()
             self.pool.sweep()
-            self.transport.at(self.transport.now() + SWEEP_INTERVAL_SECONDS, self._sweep)
+            self.transport.call_at(self.transport.now() + SWEEP_INTERVAL_SECONDS, self._sweep)
 
     def _report(self) -> None:
         if not self.ended:
             self._log_counts("counts")
-            self.transport.at(self.transport.now() + REPORT_INTERVAL_SECONDS, self._report)
+            self.transport.call_at(self.transport.now() + REPORT_INTERVAL_SECONDS, self._report)
 
     def _log_counts(self, event: str) -> None:
         counts = {name.replace(" ", "_"): count for name, count in sorted(self.driver.counts.items())}
