--- a/gorsethread/cli/accounts.py
+++ b/gorsethread/cli/accounts.py
@@ -11,12 +11,12 @@
 from rich.console import Console
 from rich.table import Table as RichTable
 
-from gorsethread.accounts import causes, report
-from gorsethread.accounts.causes import Findings
-from gorsethread.accounts.known import known_of
-from gorsethread.accounts.snapshots import SUFFIX, BadSnapshot, decode
-from gorsethread.accounts.window import Span, Window
 from gorsethread.cli.options import SitePath, site_at
+from gorsethread.latency_attribution import causes, report
+from gorsethread.latency_attribution.causes import Findings
+from gorsethread.latency_attribution.site_baseline import known_of
+from gorsethread.latency_attribution.snapshots import SUFFIX, BadSnapshot, decode
+from gorsethread.latency_attribution.window import Span, Window
 
 app = typer.Typer(
     name="accounts",
@@ -100,7 +100,8 @@
     answer: report.Answer, found: Findings, title: str, html: str, as_json: bool, volume: int | None = None
 ) -> None:
     if html:
-        from gorsethread.accounts.page import page  # plots take a second to load, and most calls draw none
+        # Plots take a second to load, and most calls draw none.
+        from gorsethread.latency_attribution.page import page
 
         Path(html).write_text(page(title, answer, found, volume))
     if as_json:
--- a/gorsethread/cli/branch.py
+++ b/gorsethread/cli/branch.py
@@ -8,9 +8,9 @@
 
 from gorsethread.cli.options import SitePath, site_at, tell, write_json
 from gorsethread.errors import GorsethreadError
-from gorsethread.head.peers import fleet_of
-from gorsethread.lab.asking import NoAnswer, ask_branch
-from gorsethread.sitefile.reading import split_address
+from gorsethread.experiments.operator_queries import NoAnswer, ask_branch
+from gorsethread.nvme_gateway.peers import fleet_of
+from gorsethread.site_config.reading import split_address
 from gorsethread.transport.real import RealTransport, run
 
 app = typer.Typer(name="branch", no_args_is_help=True, help="What a branch holds for the main site.")
--- a/gorsethread/cli/faults.py
+++ b/gorsethread/cli/faults.py
@@ -9,9 +9,13 @@
 from rich.table import Table
 
 from gorsethread.cli.options import SitePath, site_at, tell, write_json
-from gorsethread.faults.mutants import MUTANTS
-from gorsethread.faults.recordsmutants import KEPT_MUTANTS
-from gorsethread.faults.runs import (
+from gorsethread.experiments.script_comparison import beside
+from gorsethread.harness.process_faults import unplayable
+from gorsethread.harness.site import PARTIES, PLAYED
+from gorsethread.simulation.durable_log_mutants import KEPT_MUTANTS
+from gorsethread.simulation.http_mutants import WEB_MUTANTS
+from gorsethread.simulation.mutants import MUTANTS
+from gorsethread.simulation.runs import (
     Summary,
     drawn,
     play,
@@ -21,14 +25,10 @@
     until_caught,
     zero_of,
 )
-from gorsethread.faults.script import KINDS, BadScript, Script, read_script
-from gorsethread.faults.states import STATES, WEB_STATES
-from gorsethread.faults.webmutants import WEB_MUTANTS
-from gorsethread.faults.world import misfits
-from gorsethread.harness.cast import unplayable
-from gorsethread.harness.site import PARTIES, PLAYED
-from gorsethread.lab.scripted import beside
-from gorsethread.sitefile import site_pb2 as pb
+from gorsethread.simulation.script import KINDS, BadScript, Script, read_script
+from gorsethread.simulation.site_simulation import misfits
+from gorsethread.simulation.states import STATES, WEB_STATES
+from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.sampling import wall_seconds
 
 DEFAULT_SITE = Path("deploy/site.txtpb")
--- a/gorsethread/cli/fleet.py
+++ b/gorsethread/cli/fleet.py
@@ -10,12 +10,12 @@
 from rich.table import Table
 
 from gorsethread.cli.options import write_json
-from gorsethread.head.fleet import FleetSide
-from gorsethread.head.peers import fleet_of
-from gorsethread.lab.asking import NoAnswer, Shown, ask, ask_past
+from gorsethread.experiments.operator_queries import NoAnswer, Shown, ask, ask_past
 from gorsethread.logs import log_for, start_logs
 from gorsethread.membership.gossip_messages import Address, MemberRecord, MemberState
-from gorsethread.sitefile.reading import BadSite, read_site, split_address
+from gorsethread.nvme_gateway.membership_service import FleetSide
+from gorsethread.nvme_gateway.peers import fleet_of
+from gorsethread.site_config.reading import BadSite, read_site, split_address
 from gorsethread.transport.real import RealTransport, run
 
 app = typer.Typer(name="fleet", no_args_is_help=True, help="What heads know of each other.")
--- a/gorsethread/cli/lab.py
+++ b/gorsethread/cli/lab.py
@@ -14,23 +14,23 @@
 from rich.table import Table
 
 from gorsethread.cli.options import SitePath, site_at, tell, write_json
-from gorsethread.faults.script import BadScript, Script, read_script
+from gorsethread.experiments.branch import script_of as branch_script
+from gorsethread.experiments.durable_log import NotThere
+from gorsethread.experiments.durable_log import compared as compared_records
+from gorsethread.experiments.durable_log import cost as cost_of_records
+from gorsethread.experiments.latency_attribution import experiment
+from gorsethread.experiments.membership import jobs_for, page, pooled
+from gorsethread.experiments.membership_processes import PARTIES, PLAYED, RealFleet
+from gorsethread.experiments.perfect_information import VARIANTS, compared
+from gorsethread.experiments.recovery import KINDS, in_world, on_processes, shown
+from gorsethread.experiments.slow_start_leases import Trial, script_of
+from gorsethread.experiments.sockets import compare
 from gorsethread.harness.branches import BranchTrial
-from gorsethread.harness.cast import unplayable
+from gorsethread.harness.process_faults import unplayable
 from gorsethread.harness.processes import Processes
-from gorsethread.lab.accounts import experiment
-from gorsethread.lab.allseeing import VARIANTS, compared
-from gorsethread.lab.branch import script_of as branch_script
-from gorsethread.lab.fleet import PARTIES, PLAYED, RealFleet
-from gorsethread.lab.lending import Trial, script_of
-from gorsethread.lab.records import NotThere
-from gorsethread.lab.records import compared as compared_records
-from gorsethread.lab.records import cost as cost_of_records
-from gorsethread.lab.returning import KINDS, in_world, on_processes, shown
-from gorsethread.lab.sockets import compare
-from gorsethread.lab.views import jobs_for, page, pooled
 from gorsethread.logs import log_for, start_logs
-from gorsethread.sitefile import site_pb2 as pb
+from gorsethread.simulation.script import BadScript, Script, read_script
+from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.real import RealTransport, run
 
 app = typer.Typer(name="lab", no_args_is_help=True, help="Experiments on loopback, with figures.")
--- a/gorsethread/cli/main.py
+++ b/gorsethread/cli/main.py
@@ -17,19 +17,19 @@
 from gorsethread.cli import accounts, branch, faults, fleet, lab, records
 from gorsethread.cli.options import SitePath, site_at, write_json
 from gorsethread.errors import GorsethreadError
-from gorsethread.faults.planted import plant as plant_break
-from gorsethread.head.program import Head
-from gorsethread.lab import bench as benches
-from gorsethread.lab.alternate import Alternating
-from gorsethread.lab.day import TROUBLES, Day, DayPlan, DayResult
-from gorsethread.lab.peers import Load, Relay, Sink
-from gorsethread.lab.turns import TurnLoad
+from gorsethread.experiments import bench as benches
+from gorsethread.experiments.alternate import Alternating
+from gorsethread.experiments.alternating_load import TurnLoad
+from gorsethread.experiments.bench_peers import Load, Relay, Sink
+from gorsethread.experiments.day import TROUBLES, Day, DayPlan, DayResult
+from gorsethread.fakes.backend import Shelf
+from gorsethread.fakes.client import LoadClient, Surge
+from gorsethread.fakes.discovery import NodeList
+from gorsethread.fakes.record import Recorder, read_script
 from gorsethread.logs import log_for, start_logs
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.standins.client import LoadClient, Surge
-from gorsethread.standins.nodelist import NodeList
-from gorsethread.standins.record import Recorder, read_script
-from gorsethread.standins.shelf import Shelf
+from gorsethread.nvme_gateway.gateway import Head
+from gorsethread.simulation.rule_mutants import plant as plant_break
+from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.real import RealTransport, run
 from gorsethread.transport.sampling import Sampler
 
--- a/gorsethread/cli/options.py
+++ b/gorsethread/cli/options.py
@@ -8,8 +8,8 @@
 import typer
 
 from gorsethread.errors import GorsethreadError
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.sitefile.reading import BadSite, read_site
+from gorsethread.site_config import site_pb2 as pb
+from gorsethread.site_config.reading import BadSite, read_site
 
 SitePath = Annotated[Path, typer.Option("--site", help="The site file (protobuf text format).")]
 
--- a/gorsethread/lab/alternate.py
+++ b/gorsethread/experiments/alternate.py
@@ -4,7 +4,7 @@
 import statistics
 from typing import Any
 
-from gorsethread.head.program import Head
+from gorsethread.nvme_gateway.gateway import Head
 
 STRETCH = 0.2  # seconds
 SETTLING = 4  # stretches at the start that don't count
--- a/gorsethread/lab/turns.py
+++ b/gorsethread/experiments/alternating_load.py
@@ -9,12 +9,12 @@
 
 import psutil
 
+from gorsethread.fakes.client import stamped
 from gorsethread.nvme.command import Completion, Opcode, io_command
 from gorsethread.nvme.subsystem import BLOCK
-from gorsethread.queues.dial import Association, Names, dial
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.sitefile.reading import split_address
-from gorsethread.standins.client import stamped
+from gorsethread.nvme_transport.host_connection import Association, Names, dial
+from gorsethread.site_config import site_pb2 as pb
+from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import Transport
 
 STRETCH = 0.5  # seconds
--- a/gorsethread/lab/bench.py
+++ b/gorsethread/experiments/bench.py
@@ -11,12 +11,12 @@
 import msgspec
 import psutil
 
+from gorsethread.experiments.alternating_load import in_turn
+from gorsethread.experiments.latency_attribution import footprint
+from gorsethread.fakes.discovery import Register
 from gorsethread.harness.processes import Processes, resized
-from gorsethread.lab.accounts import footprint
-from gorsethread.lab.turns import in_turn
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.sitefile.reading import parse_site, split_address
-from gorsethread.standins.nodelist import Register
+from gorsethread.site_config import site_pb2 as pb
+from gorsethread.site_config.reading import parse_site, split_address
 from gorsethread.transport.base import Stream, Transport, Unreachable
 
 SINKS = 3  # shelves with a process of their own
--- a/gorsethread/lab/peers.py
+++ b/gorsethread/experiments/bench_peers.py
@@ -5,18 +5,18 @@
 
 from hdrh.histogram import HdrHistogram
 
+from gorsethread.fakes.backend import Shelf
+from gorsethread.fakes.client import stamped
 from gorsethread.gateway.attempts import Attempt, AttemptResult
-from gorsethread.head.links import BackendLink, Order
-from gorsethread.head.placement import SitePlacement
 from gorsethread.nvme.command import Completion, Opcode, Status, io_command
 from gorsethread.nvme.subsystem import BLOCK, Namespace, Subsystem
-from gorsethread.queues.dial import Association, Names, dial
-from gorsethread.queues.serve import IoCommand, QueueServer
+from gorsethread.nvme_gateway.backend_link import BackendLink, Order
+from gorsethread.nvme_gateway.extent_placement import SitePlacement
+from gorsethread.nvme_transport.controller_server import IoCommand, QueueServer
+from gorsethread.nvme_transport.host_connection import Association, Names, dial
 from gorsethread.scheduling.model import AttemptOutcome
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.sitefile.reading import split_address
-from gorsethread.standins.client import stamped
-from gorsethread.standins.shelf import Shelf
+from gorsethread.site_config import site_pb2 as pb
+from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import Transport
 
 LOWEST, HIGHEST, DIGITS = 1, 60_000_000, 3  # of a histogram, microseconds
--- a/gorsethread/lab/branch.py
+++ b/gorsethread/experiments/branch.py
@@ -1,7 +1,7 @@
 """A branch whose link goes again and again, with real heads: what it accepted meanwhile is in effect in the
 end, once, in causal order, or waits for a person."""
 
-from gorsethread.faults.script import Act, Script
+from gorsethread.simulation.script import Act, Script
 from gorsethread.transport.program import SeededRandom
 
 CYCLE = 20.0  # seconds from one cut to the next
--- a/gorsethread/lab/day.py
+++ b/gorsethread/experiments/day.py
@@ -12,18 +12,18 @@
 import msgspec
 import psutil
 
-from gorsethread.accounts import causes, report
-from gorsethread.accounts.known import known_of
-from gorsethread.accounts.snapshots import SUFFIX, decode
+from gorsethread.fakes.client import Surge
+from gorsethread.fakes.discovery import Order
+from gorsethread.fakes.record import Fault, Recorder
 from gorsethread.harness.processes import Processes, resized
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.sitefile.reading import split_address
-from gorsethread.standins.client import Surge
-from gorsethread.standins.nodelist import Order
-from gorsethread.standins.record import Fault, Recorder
+from gorsethread.invariants.history_checker import Verdict, Witness
+from gorsethread.latency_attribution import causes, report
+from gorsethread.latency_attribution.site_baseline import known_of
+from gorsethread.latency_attribution.snapshots import SUFFIX, decode
+from gorsethread.site_config import site_pb2 as pb
+from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import RandomStream, Unreachable
 from gorsethread.transport.real import RealTransport
-from gorsethread.witness.judge import Verdict, Witness
 
 TROUBLES = ("heads", "hang", "errors", "pause", "slow", "drain", "kill", "surge", "late")
 START_UP = 3.0  # seconds from the first process to the first transaction
--- a/gorsethread/lab/records.py
+++ b/gorsethread/experiments/durable_log.py
@@ -16,8 +16,8 @@
 from gorsethread.durable_log.records import ExtentPlaced, Record
 from gorsethread.durable_log.segments import LogEntry
 from gorsethread.errors import GorsethreadError
-from gorsethread.lab.bench import DEPTH, LOADS, Stand
-from gorsethread.lab.turns import in_turn
+from gorsethread.experiments.alternating_load import in_turn
+from gorsethread.experiments.bench import DEPTH, LOADS, Stand
 from gorsethread.transport.base import Transport
 
 STRETCH = 0.5  # seconds
--- a/gorsethread/lab/accounts.py
+++ b/gorsethread/experiments/latency_attribution.py
@@ -10,14 +10,14 @@
 from pathlib import Path
 from typing import Any
 
-from gorsethread.accounts import report
-from gorsethread.accounts.lives import Accounts
-from gorsethread.accounts.stages import STAGES, Stage
-from gorsethread.accounts.window import Window
-from gorsethread.lab.day import Day, DayPlan
+from gorsethread.experiments.day import Day, DayPlan
+from gorsethread.fakes.client import Surge
+from gorsethread.latency_attribution import report
+from gorsethread.latency_attribution.request_attribution import Accounts
+from gorsethread.latency_attribution.stages import STAGES, Stage
+from gorsethread.latency_attribution.window import Window
 from gorsethread.scheduling.model import RequestOutcome
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.standins.client import Surge
+from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.program import SeededRandom
 from gorsethread.transport.real import RealTransport
 
--- a/gorsethread/lab/crowd/machine.py
+++ b/gorsethread/experiments/many_gateways/backend.py
@@ -5,14 +5,14 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from gorsethread.lab.crowd.day import COLD, Ask
+from gorsethread.experiments.many_gateways.workload import COLD, Ask
 from gorsethread.scheduling.model import (
     AttemptOutcome,
 )
 
 if TYPE_CHECKING:
-    from gorsethread.lab.crowd.gateway import ModelGateway
-    from gorsethread.lab.crowd.world import World
+    from gorsethread.experiments.many_gateways.gateway import ModelGateway
+    from gorsethread.experiments.many_gateways.simulation import World
 
 WAY = 0.001  # seconds from a head to a shelf or back
 FALLS = 4.0  # times what a cold shelf can do in the span: so much sent in it pushes it over
--- a/gorsethread/lab/crowd/gateway.py
+++ b/gorsethread/experiments/many_gateways/gateway.py
@@ -5,8 +5,8 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from gorsethread.lab.crowd.day import Ask
-from gorsethread.lab.crowd.machine import WAY, Sent
+from gorsethread.experiments.many_gateways.backend import WAY, Sent
+from gorsethread.experiments.many_gateways.workload import Ask
 from gorsethread.scheduling.model import (
     AttemptEnded,
     AttemptOutcome,
@@ -15,7 +15,7 @@
 from gorsethread.scheduling.scheduler import Scheduler
 
 if TYPE_CHECKING:
-    from gorsethread.lab.crowd.world import World
+    from gorsethread.experiments.many_gateways.simulation import World
 
 DEADLINES = (14.6, 18.0, 36.5)
 RESTART = 0.5  # seconds that a head is away
--- a/gorsethread/lab/crowd/score.py
+++ b/gorsethread/experiments/many_gateways/score.py
@@ -4,10 +4,10 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from gorsethread.lab.crowd.day import PROFILES, UNIT_WORK, Ask, Day
+from gorsethread.experiments.many_gateways.workload import PROFILES, UNIT_WORK, Ask, Day
 
 if TYPE_CHECKING:
-    from gorsethread.lab.crowd.world import World
+    from gorsethread.experiments.many_gateways.simulation import World
 
 USABLE = 0.9  # of what a shelf can do, the part that is dealt out as due
 BEYOND = 0.08  # what units beyond their volume's share earn
--- a/gorsethread/lab/crowd/world.py
+++ b/gorsethread/experiments/many_gateways/simulation.py
@@ -6,12 +6,12 @@
 from functools import partial
 from typing import Any
 
-from gorsethread.faults.coldpart import borne
-from gorsethread.lab.crowd.day import COLD, Ask, Day
-from gorsethread.lab.crowd.gateway import ModelGateway
-from gorsethread.lab.crowd.machine import ModelBackend
-from gorsethread.lab.crowd.score import Score, score
+from gorsethread.experiments.many_gateways.backend import ModelBackend
+from gorsethread.experiments.many_gateways.gateway import ModelGateway
+from gorsethread.experiments.many_gateways.score import Score, score
+from gorsethread.experiments.many_gateways.workload import COLD, Ask, Day
 from gorsethread.scheduling.scheduler import Scheduler
+from gorsethread.simulation.slow_start_checker import borne
 from gorsethread.transport.base import RandomStream
 from gorsethread.transport.program import SeededRandom
 
--- a/gorsethread/lab/views.py
+++ b/gorsethread/experiments/membership.py
@@ -17,8 +17,6 @@
 matplotlib.use("svg")
 from matplotlib.figure import Figure  # noqa: E402
 
-from gorsethread.faults.fleet import FleetWorld, bound, drawn  # noqa: E402
-from gorsethread.faults.script import read_script  # noqa: E402
 from gorsethread.membership.failure_detector import ProbeTiming  # noqa: E402
 from gorsethread.membership.gossip_messages import (  # noqa: E402
     Address,
@@ -29,6 +27,8 @@
 )
 from gorsethread.membership.member_table import Change  # noqa: E402
 from gorsethread.membership.membership_view import MembershipView  # noqa: E402
+from gorsethread.simulation.membership_simulation import FleetWorld, bound, drawn  # noqa: E402
+from gorsethread.simulation.script import read_script  # noqa: E402
 
 LOST_AT = 60.0  # seconds from the start of all until one head is gone for good
 WATCHED = 60.0  # seconds after that
--- a/gorsethread/lab/fleet.py
+++ b/gorsethread/experiments/membership_processes.py
@@ -10,13 +10,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from gorsethread.faults.fleet import bound
-from gorsethread.faults.script import Script
-from gorsethread.harness.cast import Cast
+from gorsethread.experiments.operator_queries import NoAnswer, Shown, ask
+from gorsethread.harness.process_faults import Cast
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.relay import DatagramRelay
-from gorsethread.lab.asking import NoAnswer, Shown, ask
 from gorsethread.membership.gossip_messages import MemberState
+from gorsethread.simulation.membership_simulation import bound
+from gorsethread.simulation.script import Script
 from gorsethread.transport.base import Transport
 from gorsethread.transport.real import free_ports
 
--- a/gorsethread/lab/allseeing.py
+++ b/gorsethread/experiments/perfect_information.py
@@ -8,9 +8,9 @@
 from functools import partial
 from typing import Any
 
-from gorsethread.lab.crowd.day import UNIT_WORK, Scene, draw
-from gorsethread.lab.crowd.score import USABLE, Score
-from gorsethread.lab.crowd.world import World
+from gorsethread.experiments.many_gateways.score import USABLE, Score
+from gorsethread.experiments.many_gateways.simulation import World
+from gorsethread.experiments.many_gateways.workload import UNIT_WORK, Scene, draw
 from gorsethread.scheduling.concurrency_limits import MAX_WAIT_PART, MIN_RATE, UNLIMITED_RATE
 from gorsethread.scheduling.model import AttemptOutcome, Backend, Request
 from gorsethread.scheduling.scheduler import Scheduler
--- a/gorsethread/lab/returning.py
+++ b/gorsethread/experiments/recovery.py
@@ -9,12 +9,12 @@
 from pathlib import Path
 from typing import Any
 
-from gorsethread.faults.recordsworld import RecordsWorld
-from gorsethread.faults.script import Act, Script
-from gorsethread.harness.kept import KeptTrial
+from gorsethread.fakes.backend import Shelf
+from gorsethread.harness.durable_log_trial import KeptTrial
 from gorsethread.harness.processes import Processes
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.standins.shelf import Shelf
+from gorsethread.simulation.durable_log_simulation import RecordsWorld
+from gorsethread.simulation.script import Act, Script
+from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.base import Stream
 from gorsethread.transport.real import RealTransport
 
--- a/gorsethread/lab/scripted.py
+++ b/gorsethread/experiments/script_comparison.py
@@ -5,14 +5,14 @@
 from pathlib import Path
 from typing import Any
 
-from gorsethread.faults.script import Script
-from gorsethread.faults.world import play
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.site import SiteTrial
+from gorsethread.invariants.history_checker import Verdict
 from gorsethread.logs import log_for, start_logs
-from gorsethread.sitefile import site_pb2 as pb
+from gorsethread.simulation.script import Script
+from gorsethread.simulation.site_simulation import play
+from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.real import RealTransport
-from gorsethread.witness.judge import Verdict
 
 
 def beside(site: pb.Site, script: Script) -> dict[str, Any]:
--- a/gorsethread/lab/lending.py
+++ b/gorsethread/experiments/slow_start_leases.py
@@ -7,15 +7,15 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from gorsethread.faults.coldpart import Falls, borne
-from gorsethread.faults.script import Script, read_script
 from gorsethread.harness import service
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.service import ServiceTrial
+from gorsethread.invariants.history_checker import Verdict
 from gorsethread.scheduling.model import SlowStartRule
-from gorsethread.sitefile import site_pb2 as pb
+from gorsethread.simulation.script import Script, read_script
+from gorsethread.simulation.slow_start_checker import Falls, borne
+from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.real import RealTransport
-from gorsethread.witness.judge import Verdict
 
 LENT_UNITS = 3.0  # a head, that a cold shelf bears: less than a transaction may have
 JITTER = 0.1  # seconds that a forward may be under way, by which a window seen here may be shorter
--- a/gorsethread/standins/shelf.py
+++ b/gorsethread/fakes/backend.py
@@ -6,15 +6,15 @@
 
 import msgspec
 
-from gorsethread.head.facts import Sorter, units_of
+from gorsethread.fakes.backend_model import Job, Machine
+from gorsethread.fakes.discovery import Register
+from gorsethread.fakes.record import Fault, Recorder
 from gorsethread.nvme.command import Completion, Opcode, Status, tell_service
 from gorsethread.nvme.subsystem import BLOCK, Namespace, Subsystem
-from gorsethread.queues.serve import IoCommand, QueueServer
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.sitefile.reading import split_address
-from gorsethread.standins.machine import Job, Machine
-from gorsethread.standins.nodelist import Register
-from gorsethread.standins.record import Fault, Recorder
+from gorsethread.nvme_gateway.scheduler_settings import Sorter, units_of
+from gorsethread.nvme_transport.controller_server import IoCommand, QueueServer
+from gorsethread.site_config import site_pb2 as pb
+from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import Blocks, Stream, StreamClosed, Timer, Transport, Unreachable
 
 HEAD_NAME = ":head:"
--- a/gorsethread/standins/machine.py
+++ b/gorsethread/fakes/backend_model.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from gorsethread.sitefile import site_pb2 as pb
+from gorsethread.site_config import site_pb2 as pb
 
 
 @dataclass(slots=True, eq=False)
--- a/gorsethread/standins/client.py
+++ b/gorsethread/fakes/client.py
@@ -10,13 +10,13 @@
 
 import msgspec
 
-from gorsethread.head.facts import Sorter, units_of
+from gorsethread.fakes.record import Recorder
 from gorsethread.nvme.command import Completion, Opcode, Status, io_command
 from gorsethread.nvme.subsystem import BLOCK
-from gorsethread.queues.dial import Association, Names, dial
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.sitefile.reading import split_address
-from gorsethread.standins.record import Recorder
+from gorsethread.nvme_gateway.scheduler_settings import Sorter, units_of
+from gorsethread.nvme_transport.host_connection import Association, Names, dial
+from gorsethread.site_config import site_pb2 as pb
+from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import Timer, Transport, Unreachable
 
 QUEUE = 128
--- a/gorsethread/standins/nodelist.py
+++ b/gorsethread/fakes/discovery.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from gorsethread.head.listing import Ask, Listed, Told
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.sitefile.reading import split_address
-from gorsethread.standins.record import Fault, Recorder
+from gorsethread.fakes.record import Fault, Recorder
+from gorsethread.nvme_gateway.discovery import Ask, Listed, Told
+from gorsethread.site_config import site_pb2 as pb
+from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import Stream, StreamClosed, Transport
 
 LINE_MOST = 65536
--- a/gorsethread/standins/web/backend.py
+++ b/gorsethread/fakes/web/backend.py
@@ -3,14 +3,14 @@
 from collections.abc import Callable
 from typing import Any
 
+from gorsethread.fakes.backend import HEAD_NAME, Held, Shelf
+from gorsethread.fakes.record import Fault
+from gorsethread.fakes.web.messages import ATTEMPTS, HEADS_FROM, body_of, id_of
 from gorsethread.http1.framing import InvalidRequestError
 from gorsethread.http1.server_codec import Request, ServerCodec, closing_response
 from gorsethread.nvme.command import Command, Completion, Opcode, Status, io_command, told_service
 from gorsethread.nvme.subsystem import BLOCK
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.standins.record import Fault
-from gorsethread.standins.shelf import HEAD_NAME, Held, Shelf
-from gorsethread.standins.web.words import ATTEMPTS, HEADS_FROM, body_of, id_of
+from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.base import Stream, StreamClosed
 
 GOOD = -3  # of a shelf's noises, those that hold a whole answer in front
--- a/gorsethread/standins/web/bad_clients.py
+++ b/gorsethread/fakes/web/bad_clients.py
@@ -1,8 +1,8 @@
 """Fake clients that send what is no request."""
 
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.sitefile.reading import split_address
-from gorsethread.standins.record import Recorder
+from gorsethread.fakes.record import Recorder
+from gorsethread.site_config import site_pb2 as pb
+from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import RandomStream, StreamClosed, Transport, Unreachable
 
 OWED_WITHIN = 3.5  # seconds from connecting in which a bad client is owed an error or a close
--- a/gorsethread/standins/web/clients.py
+++ b/gorsethread/fakes/web/clients.py
@@ -3,14 +3,14 @@
 from collections.abc import Callable
 from typing import Any
 
+from gorsethread.fakes.client import LoadClient, Transaction, Try
+from gorsethread.fakes.web.messages import body_of, id_of
 from gorsethread.http1.client_codec import ClientCodec, Response
 from gorsethread.http1.framing import InvalidResponseError
 from gorsethread.nvme.command import Completion, Opcode, Status
 from gorsethread.nvme.subsystem import BLOCK
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.sitefile.reading import split_address
-from gorsethread.standins.client import LoadClient, Transaction, Try
-from gorsethread.standins.web.words import body_of, id_of
+from gorsethread.site_config import site_pb2 as pb
+from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import Stream, StreamClosed, Unreachable
 
 MAY_CLOSE = 1.9  # seconds a connection must have stood idle for a head to be free to end it
--- a/gorsethread/standins/web/discovery.py
+++ b/gorsethread/fakes/web/discovery.py
@@ -5,12 +5,12 @@
 
 import msgspec
 
+from gorsethread.fakes.discovery import CHANGES_KEPT, NodeList, Register
+from gorsethread.fakes.record import Fault
+from gorsethread.fakes.web.messages import HEADS_FROM, instance
 from gorsethread.http1.framing import InvalidRequestError
 from gorsethread.http1.server_codec import ServerCodec
-from gorsethread.sitefile.reading import split_address
-from gorsethread.standins.nodelist import CHANGES_KEPT, NodeList, Register
-from gorsethread.standins.record import Fault
-from gorsethread.standins.web.words import HEADS_FROM, instance
+from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import Listener, Stream, StreamClosed
 
 
--- a/gorsethread/standins/web/words.py
+++ b/gorsethread/fakes/web/messages.py
@@ -2,8 +2,8 @@
 
 from typing import Any
 
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.sitefile.reading import split_address
+from gorsethread.site_config import site_pb2 as pb
+from gorsethread.site_config.reading import split_address
 
 HEADS_FROM = 8000  # the port at which a shelf or discovery is reached by head 0; the next ones follow
 ATTEMPTS = 4  # of a client's transaction, told apart in an id
--- a/gorsethread/gateway/interfaces.py
+++ b/gorsethread/gateway/interfaces.py
@@ -86,7 +86,7 @@
 
 
 class RequestAccounting(Protocol):
-    """Receives the events of each request, to account for its latency (gorsethread/accounts/lives.py)."""
+    """Receives the events of each request, to account for its latency (latency_attribution/)."""
 
     def begun(self, id: int, arrival: Arrival) -> None:
         """Records a request that was admitted and not sent in the same batch."""
--- a/gorsethread/harness/branches.py
+++ b/gorsethread/harness/branches.py
@@ -5,21 +5,21 @@
 from statistics import median
 from typing import Any
 
-from gorsethread.faults.branches import BranchClient, judge, on_disks
-from gorsethread.faults.script import Script
-from gorsethread.harness import kept
-from gorsethread.harness.kept import KeptTrial
+from gorsethread.harness import durable_log_trial
+from gorsethread.harness.durable_log_trial import KeptTrial
+from gorsethread.invariants.history_checker import Verdict
 from gorsethread.nvme_gateway.log_folders import own_log_folder
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.witness.judge import Verdict
+from gorsethread.simulation.branch_checks import BranchClient, judge, on_disks
+from gorsethread.simulation.script import Script
+from gorsethread.site_config import site_pb2 as pb
 
-PLAYED = (*kept.PLAYED, "link")
+PLAYED = (*durable_log_trial.PLAYED, "link")
 SETTLES_WITHIN = 60.0  # seconds after the last answer
 LOOK = 0.5  # seconds between looks at the disks
 
 
 @dataclass
-class Result(kept.Result):
+class Result(durable_log_trial.Result):
     """live_latency_ratio: of the main site's clients, the median wait while writes were replayed to that
     before the first cut; 0 where there were too few."""
 
--- a/gorsethread/harness/kept.py
+++ b/gorsethread/harness/durable_log_trial.py
@@ -10,18 +10,18 @@
 from typing import Any
 
 from gorsethread.durable_log.recovery import SEGMENT_SUFFIX
-from gorsethread.faults.kept import Forgetful, Numbers, rot
-from gorsethread.faults.recordsworld import parted
-from gorsethread.faults.script import Act, Script
+from gorsethread.fakes.client import LoadClient
 from gorsethread.harness import service, site
-from gorsethread.harness.cast import FOLDERS
+from gorsethread.harness.process_faults import FOLDERS
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.site import SiteTrial
+from gorsethread.invariants.history_checker import Verdict
 from gorsethread.nvme_gateway.log_folders import own_log_folder
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.standins.client import LoadClient
+from gorsethread.simulation.durable_log_checks import Forgetful, Numbers, rot
+from gorsethread.simulation.durable_log_simulation import parted
+from gorsethread.simulation.script import Act, Script
+from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.real import RealTransport
-from gorsethread.witness.judge import Verdict
 
 PLAYED = (*site.PLAYED, *FOLDERS)
 
--- a/gorsethread/harness/points.py
+++ b/gorsethread/harness/kill_points.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from pathlib import Path
 
-from gorsethread.faults.world import POINTS
+from gorsethread.simulation.site_simulation import POINTS
 
 CODE = """
 import importlib, os, pathlib, signal
--- a/gorsethread/harness/cast.py
+++ b/gorsethread/harness/process_faults.py
@@ -1,7 +1,7 @@
 """What a script does to real processes: started, killed, told to end, stopped, cut off, made lossy or slow.
 
 A party is named as in scripts; whoever puts a scene together says how it is started and who is in a room.
-Scripts are those of the virtual worlds (gorsethread/faults/script.py), so one may be played both ways.
+Scripts are those of the virtual worlds (gorsethread/simulation/script.py), so one may be played both ways.
 """
 
 import asyncio
@@ -11,9 +11,9 @@
 from pathlib import Path
 from typing import Any
 
-from gorsethread.faults.script import Act, Script
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.relay import Faults, StreamRelay, Way
+from gorsethread.simulation.script import Act, Script
 from gorsethread.transport.base import Transport
 
 ROOMS = 2
--- a/gorsethread/harness/processes.py
+++ b/gorsethread/harness/processes.py
@@ -10,8 +10,8 @@
 import psutil
 from google.protobuf import text_format
 
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.sitefile.sizing import needed, sized
+from gorsethread.site_config import site_pb2 as pb
+from gorsethread.site_config.sizing import needed, sized
 from gorsethread.transport.real import free_ports
 
 
--- a/gorsethread/harness/relay.py
+++ b/gorsethread/harness/relay.py
@@ -9,7 +9,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 
-from gorsethread.faults.fleet import DOUBLED, LATE_MOST, LATE_PART, LOST
+from gorsethread.simulation.membership_simulation import DOUBLED, LATE_MOST, LATE_PART, LOST
 from gorsethread.transport.base import (
     Datagrams,
     Listener,
--- a/gorsethread/harness/service.py
+++ b/gorsethread/harness/service.py
@@ -13,24 +13,24 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from gorsethread.faults.script import Act, Script
-from gorsethread.harness.cast import Cast
-from gorsethread.harness.points import planted
+from gorsethread.fakes.backend import Shelf
+from gorsethread.fakes.client import LoadClient, Surge
+from gorsethread.fakes.discovery import NodeList
+from gorsethread.fakes.record import Fault, Recorder
+from gorsethread.fakes.web.backend import WebShelf
+from gorsethread.fakes.web.clients import WebClient
+from gorsethread.fakes.web.discovery import WebList
+from gorsethread.fakes.web.messages import HEADS_FROM, instance, settings_of
+from gorsethread.harness.kill_points import planted
+from gorsethread.harness.process_faults import Cast
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.relay import DatagramRelay, StreamRelay
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.sitefile.sizing import sized
-from gorsethread.standins.client import LoadClient, Surge
-from gorsethread.standins.nodelist import NodeList
-from gorsethread.standins.record import Fault, Recorder
-from gorsethread.standins.shelf import Shelf
-from gorsethread.standins.web.backend import WebShelf
-from gorsethread.standins.web.clients import WebClient
-from gorsethread.standins.web.discovery import WebList
-from gorsethread.standins.web.words import HEADS_FROM, instance, settings_of
+from gorsethread.invariants.history_checker import Verdict, Witness
+from gorsethread.simulation.script import Act, Script
+from gorsethread.site_config import site_pb2 as pb
+from gorsethread.site_config.sizing import sized
 from gorsethread.transport.base import Transport, Unreachable
 from gorsethread.transport.real import RealTransport, free_ports
-from gorsethread.witness.judge import Verdict, Witness
 
 PLAYED = ("kill", "pause", "term", "cut", "lose", "drain", "refuse", "late", "reset", "mute", "stab")
 PARTIES = ("head", "room", "shelf", "list", "point")
--- a/gorsethread/harness/site.py
+++ b/gorsethread/harness/site.py
@@ -10,17 +10,17 @@
 from google.protobuf import text_format
 
 from gorsethread.durable_log import replication_messages
-from gorsethread.faults.script import Act, Script
-from gorsethread.harness.points import planted
+from gorsethread.fakes.backend import Shelf
+from gorsethread.fakes.client import LoadClient
+from gorsethread.fakes.discovery import NodeList
+from gorsethread.harness.kill_points import planted
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.service import ServiceTrial
-from gorsethread.head.listing import Ask
+from gorsethread.nvme_gateway.discovery import Ask
 from gorsethread.offline_writes import messages as offline_messages
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.sitefile.reading import split_address
-from gorsethread.standins.client import LoadClient
-from gorsethread.standins.nodelist import NodeList
-from gorsethread.standins.shelf import Shelf
+from gorsethread.simulation.script import Act, Script
+from gorsethread.site_config import site_pb2 as pb
+from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import Stream
 from gorsethread.transport.real import RealTransport, free_ports
 
--- a/gorsethread/witness/judge.py
+++ b/gorsethread/invariants/history_checker.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from gorsethread.sitefile import site_pb2 as pb
+from gorsethread.site_config import site_pb2 as pb
 
 SLACK = 0.25  # seconds
 MOMENT = 0.002  # seconds in which two connections' bytes may be read in either order
--- a/gorsethread/witness/online.py
+++ b/gorsethread/invariants/online_checker.py
@@ -9,8 +9,17 @@
 from collections import defaultdict, deque
 from dataclasses import dataclass, field
 
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.witness.judge import FINAL, MOMENT, NEVER_RAN, SLACK, Break, Identity, Record, left_at
+from gorsethread.invariants.history_checker import (
+    FINAL,
+    MOMENT,
+    NEVER_RAN,
+    SLACK,
+    Break,
+    Identity,
+    Record,
+    left_at,
+)
+from gorsethread.site_config import site_pb2 as pb
 
 
 @dataclass(slots=True)
--- a/gorsethread/accounts/ordinary.py
+++ b/gorsethread/latency_attribution/batch_counting.py
@@ -5,8 +5,8 @@
 
 import numpy
 
-from gorsethread.accounts.stages import UNKNOWN, Stage
-from gorsethread.accounts.window import Numbers, Window, sums
+from gorsethread.latency_attribution.stages import UNKNOWN, Stage
+from gorsethread.latency_attribution.window import Numbers, Window, sums
 from gorsethread.scheduling.model import RequestOutcome
 
 # Volume, profile, units, shelf, whom it waited behind; arrived, taken, sent, ended, and work as told (0:
--- a/gorsethread/accounts/causes.py
+++ b/gorsethread/latency_attribution/causes.py
@@ -11,8 +11,8 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from gorsethread.accounts.stages import HEAD, OTHERS, SHELF, UNKNOWN, WAITS, Stage
-from gorsethread.accounts.window import Blamed, Span, Window
+from gorsethread.latency_attribution.stages import HEAD, OTHERS, SHELF, UNKNOWN, WAITS, Stage
+from gorsethread.latency_attribution.window import Blamed, Span, Window
 
 SLOW_FROM = 1.5  # times the usual work for the same units from which a shelf is called slow
 SHIFT_FROM = 1.2  # from which part of the waiting there is the shelf's
--- a/gorsethread/accounts/page.py
+++ b/gorsethread/latency_attribution/page.py
@@ -10,9 +10,9 @@
 matplotlib.use("svg")
 from matplotlib.figure import Figure  # noqa: E402
 
-from gorsethread.accounts.causes import Findings  # noqa: E402
-from gorsethread.accounts.report import Answer  # noqa: E402
-from gorsethread.accounts.stages import HOLDER_WORDS, WORDS, Stage  # noqa: E402
+from gorsethread.latency_attribution.causes import Findings  # noqa: E402
+from gorsethread.latency_attribution.report import Answer  # noqa: E402
+from gorsethread.latency_attribution.stages import HOLDER_WORDS, WORDS, Stage  # noqa: E402
 
 # Okabe and Ito's colours, told apart by the colour-blind; hatches tell them apart in print.
 COLOURS = ("#0072B2", "#E69F00", "#009E73", "#D55E00", "#CC79A7", "#56B4E9", "#F0E442", "#000000")
--- a/gorsethread/accounts/report.py
+++ b/gorsethread/latency_attribution/report.py
@@ -6,9 +6,9 @@
 
 from hdrh.histogram import HdrHistogram
 
-from gorsethread.accounts.causes import QUIET_BELOW, SHIFT_FROM, SLOW_FROM, Findings, Known
-from gorsethread.accounts.sketch import ERROR, SURE, Sketch
-from gorsethread.accounts.stages import (
+from gorsethread.latency_attribution.causes import QUIET_BELOW, SHIFT_FROM, SLOW_FROM, Findings, Known
+from gorsethread.latency_attribution.sketch import ERROR, SURE, Sketch
+from gorsethread.latency_attribution.stages import (
     HEAD,
     HOLDER_WORDS,
     OTHERS,
@@ -20,7 +20,7 @@
     Stage,
     bucket_value,
 )
-from gorsethread.accounts.window import BUCKETS, Row
+from gorsethread.latency_attribution.window import BUCKETS, Row
 
 LONGEST_US = 3_600_000_000
 FEW = 30  # transactions under which an answer is called a guess
--- a/gorsethread/accounts/lives.py
+++ b/gorsethread/latency_attribution/request_attribution.py
@@ -9,9 +9,9 @@
 short.
 """
 
-from gorsethread.accounts.ordinary import ORDINARY, count
-from gorsethread.accounts.stages import HEAD, LIST, SHELF, STAGE_OF, STAGES, UNKNOWN, Stage
-from gorsethread.accounts.window import ShelfRow, Window, shares
+from gorsethread.latency_attribution.batch_counting import ORDINARY, count
+from gorsethread.latency_attribution.stages import HEAD, LIST, SHELF, STAGE_OF, STAGES, UNKNOWN, Stage
+from gorsethread.latency_attribution.window import ShelfRow, Window, shares
 from gorsethread.scheduling.model import AttemptOutcome, HoldReason, RequestOutcome
 
 LOOK_EVERY = 0.02  # seconds between looks at what holds the lanes
--- a/gorsethread/accounts/known.py
+++ b/gorsethread/latency_attribution/site_baseline.py
@@ -1,7 +1,7 @@
 """What the accounts need to know of a site."""
 
-from gorsethread.accounts.causes import Known
-from gorsethread.sitefile import site_pb2 as pb
+from gorsethread.latency_attribution.causes import Known
+from gorsethread.site_config import site_pb2 as pb
 
 
 def known_of(site: pb.Site) -> Known:
--- a/gorsethread/accounts/snapshots.py
+++ b/gorsethread/latency_attribution/snapshots.py
@@ -6,11 +6,11 @@
 import google_crc32c
 from google.protobuf.message import DecodeError
 
-from gorsethread.accounts import snapshot_pb2 as pb
-from gorsethread.accounts.sketch import Sketch
-from gorsethread.accounts.stages import STAGES
-from gorsethread.accounts.window import Blamed, Row, ShelfRow, Span, Window
 from gorsethread.errors import GorsethreadError
+from gorsethread.latency_attribution import snapshot_pb2 as pb
+from gorsethread.latency_attribution.sketch import Sketch
+from gorsethread.latency_attribution.stages import STAGES
+from gorsethread.latency_attribution.window import Blamed, Row, ShelfRow, Span, Window
 from gorsethread.scheduling.model import RequestOutcome
 
 MAGIC = b"GTACC"
--- a/gorsethread/accounts/window.py
+++ b/gorsethread/latency_attribution/window.py
@@ -10,8 +10,8 @@
 import numpy
 import numpy.typing
 
-from gorsethread.accounts.sketch import WIDTH, Sketch
-from gorsethread.accounts.stages import OTHERS, STAGES, UNKNOWN, WAITS
+from gorsethread.latency_attribution.sketch import WIDTH, Sketch
+from gorsethread.latency_attribution.stages import OTHERS, STAGES, UNKNOWN, WAITS
 from gorsethread.scheduling.model import RequestOutcome
 
 ROWS_MOST = 512  # volumes with a row of their own, by profile, in the window of one head
--- a/gorsethread/nvme_gateway/__init__.py
+++ b/gorsethread/nvme_gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The durable and offline parts of the NVMe/TCP gateway; its other parts are in gorsethread/head/."""
+"""The NVMe/TCP gateway: carries out the scheduler's decisions; offline/ has a branch's offline writes."""
--- a/gorsethread/head/links.py
+++ b/gorsethread/nvme_gateway/backend_link.py
@@ -10,7 +10,7 @@
 
 from gorsethread.gateway.attempts import EMPTY_RESULT, Attempt, AttemptResult
 from gorsethread.nvme.command import Command, Completion, Status, told_service
-from gorsethread.queues.dial import Association, Names, dial
+from gorsethread.nvme_transport.host_connection import Association, Names, dial
 from gorsethread.scheduling.model import AttemptOutcome
 from gorsethread.transport.base import Transport, Unreachable
 
--- a/gorsethread/head/clients.py
+++ b/gorsethread/nvme_gateway/client_side.py
@@ -5,12 +5,12 @@
 from gorsethread.gateway.driver import Driver
 from gorsethread.gateway.interfaces import UNPLACED, Extent, Placement, PlacementLog
 from gorsethread.gateway.open_requests import OpenRequest
-from gorsethread.head.facts import Sorter, units_of
-from gorsethread.head.links import Order
 from gorsethread.nvme.command import SGL_IN_CAPSULE, Completion, Opcode, Status
 from gorsethread.nvme.subsystem import BLOCK, Namespace, Subsystem
-from gorsethread.queues.serve import IoCommand
-from gorsethread.sitefile import site_pb2 as pb
+from gorsethread.nvme_gateway.backend_link import Order
+from gorsethread.nvme_gateway.scheduler_settings import Sorter, units_of
+from gorsethread.nvme_transport.controller_server import IoCommand
+from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.base import Timer, Transport
 
 MILLISECOND = 0.001
--- a/gorsethread/head/listing.py
+++ b/gorsethread/nvme_gateway/discovery.py
@@ -11,8 +11,8 @@
 
 from gorsethread.gateway.driver import Driver
 from gorsethread.gateway.open_requests import EndpointEntry
-from gorsethread.head.peers import PeerSide
-from gorsethread.sitefile.reading import split_address
+from gorsethread.nvme_gateway.peers import PeerSide
+from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import Stream, StreamClosed, Transport, Unreachable
 
 CONNECT_WITHIN = 1.0  # seconds
--- a/gorsethread/head/placement.py
+++ b/gorsethread/nvme_gateway/extent_placement.py
@@ -4,7 +4,7 @@
 from collections import OrderedDict
 
 from gorsethread.gateway.interfaces import UNPLACED
-from gorsethread.sitefile import site_pb2 as pb
+from gorsethread.site_config import site_pb2 as pb
 
 REMEMBERED_MOST = 1 << 20  # extents; the least used are forgotten first
 
--- a/gorsethread/head/program.py
+++ b/gorsethread/nvme_gateway/gateway.py
@@ -7,25 +7,25 @@
 from gorsethread.gateway.backend_links import BackendLinks
 from gorsethread.gateway.driver import Driver
 from gorsethread.gateway.interfaces import Extent
-from gorsethread.head.accounting import AccountBook
-from gorsethread.head.clients import ClientSide, Tenants
-from gorsethread.head.facts import start_facts
-from gorsethread.head.links import BackendLink
-from gorsethread.head.listing import ListFollower
-from gorsethread.head.peers import PeerSide
-from gorsethread.head.placement import SitePlacement
 from gorsethread.nvme.command import Opcode
 from gorsethread.nvme.subsystem import Subsystem
+from gorsethread.nvme_gateway.backend_link import BackendLink
+from gorsethread.nvme_gateway.client_side import ClientSide, Tenants
+from gorsethread.nvme_gateway.discovery import ListFollower
+from gorsethread.nvme_gateway.extent_placement import SitePlacement
+from gorsethread.nvme_gateway.latency_accounting import AccountBook
 from gorsethread.nvme_gateway.offline.offline_writes import OfflineWrites
 from gorsethread.nvme_gateway.offline.operator_queries import as_json
+from gorsethread.nvme_gateway.peers import PeerSide
 from gorsethread.nvme_gateway.replay_receiver import ReplayReceiver
 from gorsethread.nvme_gateway.replica_server import ReplicaServer
 from gorsethread.nvme_gateway.replicated_log import ReplicatedLog
-from gorsethread.queues.dial import Names
-from gorsethread.queues.serve import QueueServer
+from gorsethread.nvme_gateway.scheduler_settings import start_facts
+from gorsethread.nvme_transport.controller_server import QueueServer
+from gorsethread.nvme_transport.host_connection import Names
 from gorsethread.recovery.spacing import ConnectionSlots
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.sitefile.reading import split_address
+from gorsethread.site_config import site_pb2 as pb
+from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import Transport
 
 RETRY_DELAYS = (0.1, 0.3)  # beside the site's longest return time
--- a/gorsethread/head/accounting.py
+++ b/gorsethread/nvme_gateway/latency_accounting.py
@@ -2,12 +2,12 @@
 
 from typing import Any
 
-from gorsethread.accounts.lives import LOOK_EVERY, Accounts
-from gorsethread.accounts.snapshots import SUFFIX, encode
-from gorsethread.accounts.window import Span
 from gorsethread.gateway.driver import Driver
 from gorsethread.gateway.held_reasons import why_held
-from gorsethread.sitefile import site_pb2 as pb
+from gorsethread.latency_attribution.request_attribution import LOOK_EVERY, Accounts
+from gorsethread.latency_attribution.snapshots import SUFFIX, encode
+from gorsethread.latency_attribution.window import Span
+from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.base import Transport
 
 KEPT_MOST = 20_000  # files of one head; the oldest go first (at 10 s a window, about two days)
--- a/gorsethread/nvme_gateway/offline/branch_settings.py
+++ b/gorsethread/nvme_gateway/offline/branch_settings.py
@@ -2,11 +2,11 @@
 
 from dataclasses import dataclass
 
-from gorsethread.head.peers import fleet_of
+from gorsethread.nvme_gateway.peers import fleet_of
 from gorsethread.offline_writes.primaries import primary_order
 from gorsethread.offline_writes.queued_write import QueueLimits
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.sitefile.reading import split_address
+from gorsethread.site_config import site_pb2 as pb
+from gorsethread.site_config.reading import split_address
 
 Address = tuple[str, int]
 
--- a/gorsethread/nvme_gateway/offline/offline_writes.py
+++ b/gorsethread/nvme_gateway/offline/offline_writes.py
@@ -21,13 +21,13 @@
 from gorsethread.nvme_gateway.offline.standby_writes import StandbyWrites
 from gorsethread.nvme_gateway.offline.write_admission import BranchClient, ClientCommand, WriteAdmission
 from gorsethread.nvme_gateway.replicated_log import ReplicatedLog
+from gorsethread.nvme_transport.controller_server import IoCommand
 from gorsethread.offline_writes.epoch_fence import EpochFence
 from gorsethread.offline_writes.link_monitor import LinkMonitor, LinkState
 from gorsethread.offline_writes.messages import OperatorQuery, ReplayReply
 from gorsethread.offline_writes.write_queue import WriteQueue
 from gorsethread.offline_writes.writes import Position, WriteNumber
-from gorsethread.queues.serve import IoCommand
-from gorsethread.sitefile import site_pb2 as pb
+from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.base import Transport
 
 TICK_INTERVAL = 0.1  # seconds
--- a/gorsethread/head/peers.py
+++ b/gorsethread/nvme_gateway/peers.py
@@ -7,7 +7,6 @@
 from zlib import crc32
 
 from gorsethread.gateway.peer_messages import MAX_MESSAGE_CHARACTERS, SendAllowance
-from gorsethread.head.fleet import FleetSide
 from gorsethread.membership.backend_news import RESEND_INTERVAL, BackendNews, BackendNewsTable
 from gorsethread.membership.gossip_messages import (
     Address,
@@ -16,8 +15,9 @@
     MemberState,
     MessageKind,
 )
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.sitefile.reading import split_address
+from gorsethread.nvme_gateway.membership_service import FleetSide
+from gorsethread.site_config import site_pb2 as pb
+from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import Transport
 
 PIECE = 6  # pieces of news in a datagram
--- a/gorsethread/nvme_gateway/replay_execution.py
+++ b/gorsethread/nvme_gateway/replay_execution.py
@@ -5,15 +5,15 @@
 from gorsethread.gateway.driver import Driver
 from gorsethread.gateway.interfaces import Extent, Placement
 from gorsethread.gateway.open_requests import OpenRequest
-from gorsethread.head.facts import Sorter, units_of
-from gorsethread.head.links import Order
 from gorsethread.nvme.command import Command, Opcode, io_command
 from gorsethread.nvme.subsystem import BLOCK
+from gorsethread.nvme_gateway.backend_link import Order
+from gorsethread.nvme_gateway.scheduler_settings import Sorter, units_of
 from gorsethread.offline_writes.applied_writes import ReplayOutcome
 from gorsethread.offline_writes.base_versions import block_digests, combined_version
 from gorsethread.offline_writes.messages import ReplayWrite
 from gorsethread.recovery.stages import RETRY_AFTER as RETRY_AFTER_FAILURE
-from gorsethread.sitefile import site_pb2 as pb
+from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.base import Transport
 
 MIN_TIMEOUT = 0.001  # seconds
--- a/gorsethread/nvme_gateway/replay_receiver.py
+++ b/gorsethread/nvme_gateway/replay_receiver.py
@@ -17,7 +17,7 @@
 from gorsethread.offline_writes.writes import WriteNumber
 from gorsethread.recovery.stages import RETRY_AFTER as RETRY_AFTER_RECOVERY
 from gorsethread.recovery.stages import Stage as RecoveryStage
-from gorsethread.sitefile import site_pb2 as pb
+from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.base import Stream, Transport
 
 
--- a/gorsethread/nvme_gateway/replica_server.py
+++ b/gorsethread/nvme_gateway/replica_server.py
@@ -20,11 +20,11 @@
 from gorsethread.durable_log.replication_messages import ProtocolError
 from gorsethread.durable_log.segment_files import load_misplaced_records
 from gorsethread.errors import GorsethreadError
-from gorsethread.head.peers import fleet_of
 from gorsethread.nvme_gateway.log_folders import own_log_folder, replica_folder
+from gorsethread.nvme_gateway.peers import fleet_of
 from gorsethread.offline_writes import messages as offline_messages
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.sitefile.reading import split_address
+from gorsethread.site_config import site_pb2 as pb
+from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import Stream, StreamClosed, Timer, Transport
 
 MAX_STREAMS_PER_GATEWAY = 4  # one that replicates, one that polls, and two earlier ones that have not ended
--- a/gorsethread/nvme_gateway/replicated_log.py
+++ b/gorsethread/nvme_gateway/replicated_log.py
@@ -19,14 +19,14 @@
 )
 from gorsethread.durable_log.replication import ReplicationSender
 from gorsethread.durable_log.segment_files import load_misplaced_records
-from gorsethread.head.placement import SitePlacement
+from gorsethread.nvme_gateway.extent_placement import SitePlacement
 from gorsethread.nvme_gateway.log_folders import own_log_folder, replica_folder
 from gorsethread.nvme_gateway.recovery_client import RecoveryClient
 from gorsethread.nvme_gateway.replication_client import ReplicationClient
 from gorsethread.nvme_gateway.replication_topology import CONNECT_TIMEOUT, topology_of
 from gorsethread.recovery.spacing import spread_retry_after
 from gorsethread.recovery.stages import RETRY_AFTER, OwnRecords, RecoveryStages, Stage
-from gorsethread.sitefile import site_pb2 as pb
+from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.base import Transport
 
 __all__ = ["CONNECT_TIMEOUT", "ReplicatedLog"]
--- a/gorsethread/nvme_gateway/replication_topology.py
+++ b/gorsethread/nvme_gateway/replication_topology.py
@@ -3,9 +3,9 @@
 from dataclasses import dataclass
 
 from gorsethread.durable_log.replica_placement import FailureDomain
-from gorsethread.head.peers import fleet_of
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.sitefile.reading import split_address
+from gorsethread.nvme_gateway.peers import fleet_of
+from gorsethread.site_config import site_pb2 as pb
+from gorsethread.site_config.reading import split_address
 
 CONNECT_TIMEOUT = 1.0  # seconds within which a connection to another gateway must be established
 ANSWER_TIMEOUT = 3.0  # seconds that another gateway's answer may take
--- a/gorsethread/head/facts.py
+++ b/gorsethread/nvme_gateway/scheduler_settings.py
@@ -10,7 +10,7 @@
     ServiceTier,
     SlowStartRule,
 )
-from gorsethread.sitefile import site_pb2 as pb
+from gorsethread.site_config import site_pb2 as pb
 
 EFFECTS = {pb.REDOABLE: Effect.IDEMPOTENT, pb.LABELLED: Effect.KEYED, pb.IRREVERSIBLE: Effect.NON_IDEMPOTENT}
 GROUPS = {
--- a/gorsethread/faults/branches.py
+++ b/gorsethread/simulation/branch_checks.py
@@ -7,10 +7,10 @@
 
 from gorsethread.durable_log.records import WRITE_PROGRESS, WriteProgress, WriteQueued
 from gorsethread.durable_log.recovery import parse_segment_file_name, recover
+from gorsethread.fakes.client import LoadClient
 from gorsethread.nvme.command import Opcode
 from gorsethread.nvme.subsystem import BLOCK
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.standins.client import LoadClient
+from gorsethread.site_config import site_pb2 as pb
 
 ROAMS = 0.04  # of the transactions at a branch, which come to a head of the main site instead
 
--- a/gorsethread/faults/branchmutants.py
+++ b/gorsethread/simulation/branch_mutants.py
@@ -4,14 +4,14 @@
 from typing import Any
 
 from gorsethread.durable_log.records import Tombstone, WriteApplied, WriteQueued
-from gorsethread.faults.planting import kept_in
-from gorsethread.head.program import Head
 from gorsethread.nvme.command import Opcode
+from gorsethread.nvme_gateway.gateway import Head
 from gorsethread.nvme_gateway.replay_receiver import ReplayReceiver
 from gorsethread.nvme_gateway.replicated_log import ReplicatedLog
 from gorsethread.offline_writes.applied_writes import AppliedWrites, ReplayOutcome
 from gorsethread.offline_writes.messages import ReplayWrite
 from gorsethread.offline_writes.writes import ClientContext, WriteNumber
+from gorsethread.simulation.mutant_registry import kept_in
 
 BRANCH_MUTANTS: dict[str, Callable[[Head], None]] = {}
 mutant = kept_in(BRANCH_MUTANTS)
--- a/gorsethread/faults/branchworld.py
+++ b/gorsethread/simulation/branch_simulation.py
@@ -3,10 +3,10 @@
 
 from typing import Any
 
-from gorsethread.faults.branches import Accepted, BranchClient, judge, on_disks
-from gorsethread.faults.recordsworld import RecordsWorld
-from gorsethread.faults.script import Act
 from gorsethread.nvme_gateway.log_folders import own_log_folder
+from gorsethread.simulation.branch_checks import Accepted, BranchClient, judge, on_disks
+from gorsethread.simulation.durable_log_simulation import RecordsWorld
+from gorsethread.simulation.script import Act
 
 
 class BranchWorld(RecordsWorld):
--- a/gorsethread/faults/kept.py
+++ b/gorsethread/simulation/durable_log_checks.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 from gorsethread.durable_log.segments import read_segment
+from gorsethread.fakes.client import LoadClient
 from gorsethread.nvme.command import Status
-from gorsethread.standins.client import LoadClient
 
 
 class Forgetful(LoadClient):
--- a/gorsethread/faults/recordsmutants.py
+++ b/gorsethread/simulation/durable_log_mutants.py
@@ -6,10 +6,10 @@
 
 from gorsethread.durable_log import replication_messages
 from gorsethread.durable_log.records import NO_SEQUENCE, Record, RecordTable
-from gorsethread.faults.planting import kept_in
-from gorsethread.head.program import Head
+from gorsethread.nvme_gateway.gateway import Head
 from gorsethread.nvme_gateway.replicated_log import ReplicatedLog
 from gorsethread.recovery.stages import RecoveryStages
+from gorsethread.simulation.mutant_registry import kept_in
 
 KEPT_MUTANTS: dict[str, Callable[[Head], None]] = {}
 mutant = kept_in(KEPT_MUTANTS)
--- a/gorsethread/faults/recordsworld.py
+++ b/gorsethread/simulation/durable_log_simulation.py
@@ -8,13 +8,13 @@
 from typing import Any
 
 from gorsethread.durable_log.recovery import SEGMENT_SUFFIX
-from gorsethread.faults.kept import Forgetful, Numbers, rot
-from gorsethread.faults.script import Act, Script
-from gorsethread.faults.world import World
+from gorsethread.fakes.client import LoadClient
 from gorsethread.nvme.subsystem import BLOCK
 from gorsethread.nvme_gateway.log_folders import own_log_folder
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.standins.client import LoadClient
+from gorsethread.simulation.durable_log_checks import Forgetful, Numbers, rot
+from gorsethread.simulation.script import Act, Script
+from gorsethread.simulation.site_simulation import World
+from gorsethread.site_config import site_pb2 as pb
 
 LOOKED_BACK = 0.25  # seconds between the copies of disks that `older` may bring back
 
--- a/gorsethread/faults/webmutants.py
+++ b/gorsethread/simulation/http_mutants.py
@@ -6,13 +6,13 @@
 
 import h11
 
-from gorsethread.faults.planting import kept_in, told_as
 from gorsethread.gateway.open_requests import EndpointEntry
 from gorsethread.http1 import client_codec, server_codec
 from gorsethread.http_gateway import backend_link
 from gorsethread.http_gateway.endpoint_list import ListAnswer
 from gorsethread.http_gateway.gateway import Gateway
 from gorsethread.scheduling.model import AttemptOutcome, Backend
+from gorsethread.simulation.mutant_registry import kept_in, told_as
 
 Change = Callable[[Gateway], None]
 WEB_MUTANTS: dict[str, Change] = {}
--- a/gorsethread/faults/webworld.py
+++ b/gorsethread/simulation/http_simulation.py
@@ -4,9 +4,11 @@
 import json
 from typing import Any
 
-from gorsethread.faults.script import Act
-from gorsethread.faults.states import WEB_STATES
-from gorsethread.faults.world import Remembering, Silent, World
+from gorsethread.fakes.web.backend import WebShelf
+from gorsethread.fakes.web.bad_clients import OWED_WITHIN, RudeClient
+from gorsethread.fakes.web.clients import WebClient, WebLink, WebTry
+from gorsethread.fakes.web.discovery import WebList
+from gorsethread.fakes.web.messages import HEADS_FROM, instance, settings_of
 from gorsethread.http_gateway.configuration import read_configuration
 from gorsethread.http_gateway.endpoint_list import backend_number
 from gorsethread.http_gateway.gateway import (
@@ -15,14 +17,12 @@
     MAX_COUNTED_WAIT_SECONDS,
     Gateway,
 )
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.sitefile.reading import split_address
-from gorsethread.standins.web.backend import WebShelf
-from gorsethread.standins.web.bad_clients import OWED_WITHIN, RudeClient
-from gorsethread.standins.web.clients import WebClient, WebLink, WebTry
-from gorsethread.standins.web.discovery import WebList
-from gorsethread.standins.web.words import HEADS_FROM, instance, settings_of
-from gorsethread.witness.judge import MOMENT
+from gorsethread.invariants.history_checker import MOMENT
+from gorsethread.simulation.script import Act
+from gorsethread.simulation.site_simulation import Remembering, Silent, World
+from gorsethread.simulation.states import WEB_STATES
+from gorsethread.site_config import site_pb2 as pb
+from gorsethread.site_config.reading import split_address
 
 PEERS_AT = 7946
 FULL_PART = 0.9  # of the connections a head may hold: so many fill it
--- a/gorsethread/faults/fleet.py
+++ b/gorsethread/simulation/membership_simulation.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from gorsethread.faults.script import Act, Script
 from gorsethread.membership.failure_detector import ProbeTiming
 from gorsethread.membership.gossip_messages import Address, MemberRecord, MemberState, decode, encode
 from gorsethread.membership.membership_view import MembershipView
+from gorsethread.simulation.script import Act, Script
 from gorsethread.transport.program import SeededRandom
 
 FLEET = 4711
--- a/gorsethread/faults/mutants.py
+++ b/gorsethread/simulation/mutants.py
@@ -4,17 +4,17 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from gorsethread.faults.planted import plant
-from gorsethread.faults.planting import kept_in, sometimes, told_as
 from gorsethread.gateway.attempts import Attempt
 from gorsethread.gateway.first_writes import PlacementCheck
 from gorsethread.gateway.interfaces import Extent
 from gorsethread.gateway.open_requests import EndpointEntry, OpenRequest
-from gorsethread.head.links import BackendLink
-from gorsethread.head.program import Head
 from gorsethread.nvme.command import Completion, Status
+from gorsethread.nvme_gateway.backend_link import BackendLink
+from gorsethread.nvme_gateway.gateway import Head
 from gorsethread.scheduling.model import AttemptOutcome
 from gorsethread.scheduling.retries import MAX_ATTEMPTS
+from gorsethread.simulation.mutant_registry import kept_in, sometimes, told_as
+from gorsethread.simulation.rule_mutants import plant
 
 Change = Callable[[Head], None]
 MOST_FORWARDS = 8  # forwards of one transaction; without an end such a world would hardly get on
--- a/gorsethread/faults/planted.py
+++ b/gorsethread/simulation/rule_mutants.py
@@ -6,7 +6,7 @@
 from gorsethread.gateway.attempts import Attempt, AttemptResult
 from gorsethread.gateway.driver import Driver
 from gorsethread.gateway.open_requests import EndpointEntry, OpenRequest
-from gorsethread.head.program import Head
+from gorsethread.nvme_gateway.gateway import Head
 from gorsethread.scheduling.model import AttemptOutcome, Effect
 
 MANY = 40
--- a/gorsethread/faults/runs.py
+++ b/gorsethread/simulation/runs.py
@@ -9,18 +9,18 @@
 from dataclasses import dataclass, field, replace
 from functools import partial
 
-from gorsethread.faults.branchmutants import BRANCH_MUTANTS
-from gorsethread.faults.branchworld import BranchWorld
-from gorsethread.faults.draw import BranchDraw, Draw
-from gorsethread.faults.mutants import MUTANTS
-from gorsethread.faults.recordsmutants import KEPT_MUTANTS
-from gorsethread.faults.recordsworld import RecordsWorld
-from gorsethread.faults.script import KINDS, Script
-from gorsethread.faults.states import STATES, WEB_STATES
-from gorsethread.faults.webmutants import WEB_MUTANTS
-from gorsethread.faults.webworld import WebWorld
-from gorsethread.faults.world import START_UP, Outcome, World
-from gorsethread.sitefile import site_pb2 as pb
+from gorsethread.simulation.branch_mutants import BRANCH_MUTANTS
+from gorsethread.simulation.branch_simulation import BranchWorld
+from gorsethread.simulation.durable_log_mutants import KEPT_MUTANTS
+from gorsethread.simulation.durable_log_simulation import RecordsWorld
+from gorsethread.simulation.http_mutants import WEB_MUTANTS
+from gorsethread.simulation.http_simulation import WebWorld
+from gorsethread.simulation.mutants import MUTANTS
+from gorsethread.simulation.script import KINDS, Script
+from gorsethread.simulation.script_generator import BranchDraw, Draw
+from gorsethread.simulation.site_simulation import START_UP, Outcome, World
+from gorsethread.simulation.states import STATES, WEB_STATES
+from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.sampling import cpu_seconds
 
 NOT_ON_THE_PLATFORM = ("disk", "wall")
--- a/gorsethread/faults/draw.py
+++ b/gorsethread/simulation/script_generator.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from gorsethread.faults.script import KEPT_POINTS, POINTS, Act, Clock, Script
-from gorsethread.sitefile import site_pb2 as pb
+from gorsethread.simulation.script import KEPT_POINTS, POINTS, Act, Clock, Script
+from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.program import SeededRandom
 
 LAST = 0.55  # part of the time after which nothing new strikes
--- a/gorsethread/faults/world.py
+++ b/gorsethread/simulation/site_simulation.py
@@ -11,23 +11,23 @@
 
 import msgspec
 
-from gorsethread.accounts.snapshots import decode
-from gorsethread.faults.coldpart import ColdPart
-from gorsethread.faults.script import KEPT_POINTS, KINDS, Act, Clock, Script
-from gorsethread.faults.states import STATES, met
-from gorsethread.head.program import Head
+from gorsethread.fakes.backend import Shelf
+from gorsethread.fakes.client import LoadClient, Surge
+from gorsethread.fakes.discovery import NodeList, Order
+from gorsethread.fakes.record import Fault, Recorder
+from gorsethread.invariants.history_checker import Break, Verdict, Witness
+from gorsethread.invariants.online_checker import OnlineWitness
+from gorsethread.latency_attribution.snapshots import decode
+from gorsethread.nvme_gateway.gateway import Head
 from gorsethread.scheduling.model import SlowStartRule
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.sitefile.reading import split_address
-from gorsethread.sitefile.sizing import sized
-from gorsethread.standins.client import LoadClient, Surge
-from gorsethread.standins.nodelist import NodeList, Order
-from gorsethread.standins.record import Fault, Recorder
-from gorsethread.standins.shelf import Shelf
+from gorsethread.simulation.script import KEPT_POINTS, KINDS, Act, Clock, Script
+from gorsethread.simulation.slow_start_checker import ColdPart
+from gorsethread.simulation.states import STATES, met
+from gorsethread.site_config import site_pb2 as pb
+from gorsethread.site_config.reading import split_address
+from gorsethread.site_config.sizing import sized
 from gorsethread.transport.base import StreamClosed, Unreachable
 from gorsethread.transport.virtual import MAX_RESEND_DELAY, Disk, Network, VirtualLoop, VirtualTransport
-from gorsethread.witness.judge import Break, Verdict, Witness
-from gorsethread.witness.online import OnlineWitness
 
 EXACT = 0.03  # seconds of slack for the judges, as the world knows when each byte left and came
 START_UP = 2.0  # seconds from the first process to the first transaction
--- a/gorsethread/sitefile/reading.py
+++ b/gorsethread/site_config/reading.py
@@ -9,7 +9,7 @@
 from google.protobuf.message import Message
 
 from gorsethread.errors import InvalidInputError
-from gorsethread.sitefile import site_pb2 as pb
+from gorsethread.site_config import site_pb2 as pb
 
 
 class BadSite(InvalidInputError):
--- a/gorsethread/sitefile/sizing.py
+++ b/gorsethread/site_config/sizing.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from gorsethread.sitefile import site_pb2 as pb
+from gorsethread.site_config import site_pb2 as pb
 
 
 def needed(site: pb.Site, heads: int, shelves: int) -> int:
--- a/gorsethread/transport/sampling.py
+++ b/gorsethread/transport/sampling.py
@@ -13,8 +13,16 @@
     ("/tornado/", "transport"),
     ("/asyncio/", "transport"),
     ("/selectors.py", "transport"),
-    ("/gorsethread/queues/", "queues"),
-    ("/gorsethread/head/", "head"),
+    ("/gorsethread/nvme_transport/", "queues"),
+    ("/gorsethread/nvme_gateway/backend_link.py", "head"),
+    ("/gorsethread/nvme_gateway/client_side.py", "head"),
+    ("/gorsethread/nvme_gateway/discovery.py", "head"),
+    ("/gorsethread/nvme_gateway/extent_placement.py", "head"),
+    ("/gorsethread/nvme_gateway/gateway.py", "head"),
+    ("/gorsethread/nvme_gateway/latency_accounting.py", "head"),
+    ("/gorsethread/nvme_gateway/membership_service.py", "head"),
+    ("/gorsethread/nvme_gateway/peers.py", "head"),
+    ("/gorsethread/nvme_gateway/scheduler_settings.py", "head"),
     ("/gorsethread/", "other"),
 )
 
--- a/tests/durable_log/test_records.py
+++ b/tests/durable_log/test_records.py
@@ -38,7 +38,7 @@
     encode_segment,
     read_segment,
 )
-from gorsethread.faults.world import Silent
+from gorsethread.simulation.site_simulation import Silent
 from gorsethread.transport.real import RealTransport
 from gorsethread.transport.virtual import Disk as VirtualDisk
 from gorsethread.transport.virtual import Network, VirtualLoop, VirtualTransport
--- a/tests/http_gateway/test_program.py
+++ b/tests/http_gateway/test_program.py
@@ -62,8 +62,8 @@
         code = (
             "import sys, gorsethread.http_gateway.__main__ as m; print(*sorted(n for n in sys.modules if "
             "n.split('.')[0] in ('typer', 'numpy', 'matplotlib', 'google') or n.startswith(("
-            "'gorsethread.nvme', 'gorsethread.queues', 'gorsethread.sitefile', 'gorsethread.accounts', "
-            "'gorsethread.lab', 'gorsethread.cli'))))"
+            "'gorsethread.nvme', 'gorsethread.nvme_transport', 'gorsethread.site_config', "
+            "'gorsethread.latency_attribution', 'gorsethread.experiments', 'gorsethread.cli'))))"
         )
         done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=30)
         self.assertEqual("\n", done.stdout, done.stderr)
--- a/tests/membership/test_backend_news.py
+++ b/tests/membership/test_backend_news.py
@@ -6,8 +6,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gorsethread.faults.script import read_script
-from gorsethread.faults.world import World
 from gorsethread.membership.backend_news import (
     RETENTION_SECONDS,
     STATES_BY_NAME,
@@ -16,7 +14,9 @@
     BackendNewsTable,
     BackendState,
 )
-from gorsethread.sitefile.reading import read_site
+from gorsethread.simulation.script import read_script
+from gorsethread.simulation.site_simulation import World
+from gorsethread.site_config.reading import read_site
 
 SITE = read_site(Path(__file__).parents[2] / "deploy" / "site.txtpb")
 LIST_INCARNATION = 7
--- a/tests/membership/test_membership_view.py
+++ b/tests/membership/test_membership_view.py
@@ -8,9 +8,6 @@
 from hypothesis import strategies as st
 from minicheck import Protocol, check_safety
 
-from gorsethread.faults.fleet import FleetWorld, drawn
-from gorsethread.faults.script import read_script
-from gorsethread.faults.viewmutants import VIEW_MUTANTS
 from gorsethread.membership.failure_detector import RelayedPing
 from gorsethread.membership.gossip_messages import (
     GossipDecodeError,
@@ -24,6 +21,9 @@
 from gorsethread.membership.member_state import supersedes
 from gorsethread.membership.member_table import HISTORY_MAX
 from gorsethread.membership.membership_view import MembershipView
+from gorsethread.simulation.membership_mutants import VIEW_MUTANTS
+from gorsethread.simulation.membership_simulation import FleetWorld, drawn
+from gorsethread.simulation.script import read_script
 
 ADDRESS = ("10.0.0.1", 1000)
 RECORDS = st.builds(
--- a/tests/queues.py
+++ b/tests/queue_model.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from gorsethread.accounts.causes import Findings, Known, find
-from gorsethread.accounts.lives import LOOK_EVERY, Accounts
-from gorsethread.accounts.window import Span, Window
+from gorsethread.latency_attribution.causes import Findings, Known, find
+from gorsethread.latency_attribution.request_attribution import LOOK_EVERY, Accounts
+from gorsethread.latency_attribution.window import Span, Window
 from gorsethread.scheduling.model import AttemptOutcome, HoldReason, RequestOutcome
 
 UNIT_TIME = 0.01
--- a/tests/recovery/test_spacing.py
+++ b/tests/recovery/test_spacing.py
@@ -12,7 +12,7 @@
 from typer.testing import CliRunner
 
 from gorsethread.cli.main import app
-from gorsethread.lab.returning import full_after, in_world, most_in_a_second, script_of, shown
+from gorsethread.experiments.recovery import full_after, in_world, most_in_a_second, script_of, shown
 from gorsethread.recovery.spacing import (
     INITIAL_POLLS_PER_SECOND,
     MAX_POLLS_PER_SECOND,
@@ -21,7 +21,7 @@
     PollOrder,
     spread_retry_after,
 )
-from gorsethread.sitefile.reading import BadSite, parse_site, read_site
+from gorsethread.site_config.reading import BadSite, parse_site, read_site
 
 PATH = Path(__file__).parent.parent.parent / "deploy" / "site.txtpb"
 SITE = read_site(PATH)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -5,22 +5,22 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
+from gorsethread.fakes.backend import Shelf
+from gorsethread.fakes.client import stamped
+from gorsethread.fakes.discovery import NodeList
+from gorsethread.fakes.record import Recorder
 from gorsethread.harness.processes import resized
-from gorsethread.head.program import Head
+from gorsethread.invariants.history_checker import Witness
 from gorsethread.logs import log_for, start_logs
 from gorsethread.nvme.command import Completion, Opcode, io_command
 from gorsethread.nvme.subsystem import BLOCK
-from gorsethread.queues.dial import Association, Names, dial
-from gorsethread.queues.serve import IoCommand
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.sitefile.reading import parse_site, split_address
-from gorsethread.standins.client import stamped
-from gorsethread.standins.nodelist import NodeList
-from gorsethread.standins.record import Recorder
-from gorsethread.standins.shelf import Shelf
+from gorsethread.nvme_gateway.gateway import Head
+from gorsethread.nvme_transport.controller_server import IoCommand
+from gorsethread.nvme_transport.host_connection import Association, Names, dial
+from gorsethread.site_config import site_pb2 as pb
+from gorsethread.site_config.reading import parse_site, split_address
 from gorsethread.transport.base import Stream
 from gorsethread.transport.real import RealTransport
-from gorsethread.witness.judge import Witness
 
 SITE = """
 name: "test" subsystem: "nqn.2026-12.org.gorsethread:test"
--- a/tests/scheduling/test_same_decisions.py
+++ b/tests/scheduling/test_same_decisions.py
@@ -6,20 +6,20 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from gorsethread.accounts.lives import Accounts
 from gorsethread.gateway.attempts import EMPTY_RESULT, Attempt, AttemptResult
 from gorsethread.gateway.driver import Driver
 from gorsethread.gateway.held_reasons import why_held
 from gorsethread.gateway.scheduler_settings import EFFECTS, IDEMPOTENCY_SCOPES
-from gorsethread.head.facts import start_facts
-from gorsethread.head.links import Order
-from gorsethread.head.placement import SitePlacement
+from gorsethread.latency_attribution.request_attribution import Accounts
 from gorsethread.logs import log_for, start_logs
 from gorsethread.nvme.command import Opcode, io_command
+from gorsethread.nvme_gateway.backend_link import Order
+from gorsethread.nvme_gateway.extent_placement import SitePlacement
+from gorsethread.nvme_gateway.scheduler_settings import start_facts
 from gorsethread.scheduling.model import AttemptOutcome, SchedulerSettings
 from gorsethread.simulator_adapter.events import ATTEMPT_OUTCOMES
 from gorsethread.simulator_adapter.instances import Instances
-from gorsethread.sitefile.reading import parse_site
+from gorsethread.site_config.reading import parse_site
 from tests.rig import SITE
 from tests.virtual import ManualClock
 
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -1,5 +1,5 @@
 """A whole day with every process on its own: a good head keeps the rules. What depends on the moment, as
-planted breaks, is tried on the virtual clock (tests/test_faults.py)."""
+planted breaks, is tried on the virtual clock (tests/test_simulation.py)."""
 
 import json
 import subprocess
--- a/tests/test_durable_log.py
+++ b/tests/test_durable_log.py
@@ -16,18 +16,18 @@
 from gorsethread.durable_log import replication_messages
 from gorsethread.durable_log.log_store import LogStore
 from gorsethread.durable_log.records import ExtentPlaced, Record
-from gorsethread.faults.recordsmutants import KEPT_MUTANTS
-from gorsethread.faults.recordsworld import RecordsWorld
-from gorsethread.faults.runs import play, play_many
-from gorsethread.faults.script import read_script
-from gorsethread.harness.cast import unplayable
-from gorsethread.harness.kept import PLAYED, KeptTrial, Result
+from gorsethread.harness.durable_log_trial import PLAYED, KeptTrial, Result
+from gorsethread.harness.process_faults import unplayable
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.site import PARTIES
-from gorsethread.head.peers import fleet_of
 from gorsethread.logs import log_for, start_logs
+from gorsethread.nvme_gateway.peers import fleet_of
 from gorsethread.recovery.stages import Stage
-from gorsethread.sitefile.reading import parse_site, read_site
+from gorsethread.simulation.durable_log_mutants import KEPT_MUTANTS
+from gorsethread.simulation.durable_log_simulation import RecordsWorld
+from gorsethread.simulation.runs import play, play_many
+from gorsethread.simulation.script import read_script
+from gorsethread.site_config.reading import parse_site, read_site
 from gorsethread.transport.real import RealTransport
 from gorsethread.transport.virtual import VirtualTransport
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,13 +12,10 @@
 import pytest
 
 from gorsethread.cli.fleet import record_as_json
-from gorsethread.faults.script import read_script
-from gorsethread.harness.cast import unplayable
+from gorsethread.experiments.membership_processes import FLEET, PARTIES, PLAYED, RealFleet
+from gorsethread.experiments.operator_queries import NoAnswer, Shown, ask, ask_past
+from gorsethread.harness.process_faults import unplayable
 from gorsethread.harness.processes import Processes, resized
-from gorsethread.head.fleet import FleetSide
-from gorsethread.head.peers import fleet_of
-from gorsethread.lab.asking import NoAnswer, Shown, ask, ask_past
-from gorsethread.lab.fleet import FLEET, PARTIES, PLAYED, RealFleet
 from gorsethread.logs import log_for, start_logs
 from gorsethread.membership.gossip_messages import (
     GossipMessage,
@@ -27,8 +24,11 @@
     MessageKind,
     encode,
 )
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.sitefile.reading import read_site, split_address
+from gorsethread.nvme_gateway.membership_service import FleetSide
+from gorsethread.nvme_gateway.peers import fleet_of
+from gorsethread.simulation.script import read_script
+from gorsethread.site_config import site_pb2 as pb
+from gorsethread.site_config.reading import read_site, split_address
 from gorsethread.transport.real import RealTransport
 from gorsethread.transport.virtual import Disk, Network, VirtualLoop, VirtualTransport
 
--- a/tests/test_harness.py
+++ b/tests/test_harness.py
@@ -10,16 +10,16 @@
 
 import pytest
 
-from gorsethread.faults.runs import play
-from gorsethread.faults.script import read_script
 from gorsethread.harness import site
-from gorsethread.harness.cast import Cast, unplayable
+from gorsethread.harness.process_faults import Cast, unplayable
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.relay import Faults, StreamRelay
 from gorsethread.harness.service import PARTIES, PLAYED, ServiceTrial
 from gorsethread.harness.site import SiteTrial
 from gorsethread.logs import log_for, start_logs
-from gorsethread.sitefile.reading import read_site
+from gorsethread.simulation.runs import play
+from gorsethread.simulation.script import read_script
+from gorsethread.site_config.reading import read_site
 from gorsethread.transport.base import Stream, StreamClosed, Unreachable
 from gorsethread.transport.real import RealTransport
 from gorsethread.transport.virtual import Disk, Network, NetworkConditions, VirtualLoop, VirtualTransport
@@ -320,7 +320,7 @@
             cast = Cast(RealTransport(1), processes, 1, start, lambda line: None)
             await start("head 0")
             script = read_script("heads 1\n0 stab head-0 -> point-take by 2 for 1\n")
-            with mock.patch("gorsethread.harness.cast.REACHED_WITHIN", 0.1):
+            with mock.patch("gorsethread.harness.process_faults.REACHED_WITHIN", 0.1):
                 await cast.do(script.acts[0])
                 await asyncio.gather(*cast._later)
             self.assertEqual("2", cast.flag(script.acts[0]).read_text())
--- a/tests/test_webworld.py
+++ b/tests/test_http_simulation.py
@@ -5,12 +5,12 @@
 
 import pytest
 
-from gorsethread.faults.draw import Draw
-from gorsethread.faults.runs import drawn, play, play_many
-from gorsethread.faults.script import read_script
-from gorsethread.faults.webmutants import WEB_MUTANTS
-from gorsethread.faults.world import misfits
-from gorsethread.sitefile.reading import read_site
+from gorsethread.simulation.http_mutants import WEB_MUTANTS
+from gorsethread.simulation.runs import drawn, play, play_many
+from gorsethread.simulation.script import read_script
+from gorsethread.simulation.script_generator import Draw
+from gorsethread.simulation.site_simulation import misfits
+from gorsethread.site_config.reading import read_site
 
 SITE = read_site(Path(__file__).parent.parent / "deploy" / "site.txtpb")
 SPOILT = "2 spoil shelf-0 by 0.5 for 5\n2 spoil shelf-2 by 0.5 for 5"
--- a/tests/test_idle_shelves.py
+++ b/tests/test_idle_backends.py
@@ -7,13 +7,13 @@
 
 from gorsethread.gateway.attempts import EMPTY_RESULT
 from gorsethread.gateway.driver import Driver
-from gorsethread.head.facts import start_facts
-from gorsethread.head.links import Order
-from gorsethread.head.placement import SitePlacement
 from gorsethread.logs import log_for, start_logs
 from gorsethread.nvme.command import Opcode, io_command
+from gorsethread.nvme_gateway.backend_link import Order
+from gorsethread.nvme_gateway.extent_placement import SitePlacement
+from gorsethread.nvme_gateway.scheduler_settings import start_facts
 from gorsethread.scheduling.model import AttemptOutcome
-from gorsethread.sitefile.reading import parse_site
+from gorsethread.site_config.reading import parse_site
 from tests.rig import SITE
 from tests.scheduling.test_same_decisions import Deaf, Link_
 from tests.virtual import ManualClock
--- a/tests/test_witness.py
+++ b/tests/test_invariants.py
@@ -3,9 +3,9 @@
 import unittest
 from typing import Any
 
-from gorsethread.sitefile.reading import parse_site
-from gorsethread.witness.judge import Verdict, Witness
-from gorsethread.witness.online import OnlineWitness
+from gorsethread.invariants.history_checker import Verdict, Witness
+from gorsethread.invariants.online_checker import OnlineWitness
+from gorsethread.site_config.reading import parse_site
 from tests.rig import SITE
 
 Seen = dict[str, Any]
--- a/tests/test_accounts.py
+++ b/tests/test_latency_attribution.py
@@ -11,17 +11,17 @@
 from hypothesis import strategies as st
 from typer.testing import CliRunner
 
-from gorsethread.accounts import report
-from gorsethread.accounts.causes import find
-from gorsethread.accounts.lives import Accounts
-from gorsethread.accounts.page import page
-from gorsethread.accounts.sketch import DEPTH, ERROR, SURE, WIDTH, Sketch
-from gorsethread.accounts.snapshots import FRAME, MAGIC, BadSnapshot, decode, encode
-from gorsethread.accounts.stages import OTHERS, STAGES, WORDS, Stage, bucket_of, bucket_value
-from gorsethread.accounts.window import BLAMES_MOST, BUCKETS, ROWS_MOST, Span, Window
 from gorsethread.cli.main import app
+from gorsethread.latency_attribution import report
+from gorsethread.latency_attribution.causes import find
+from gorsethread.latency_attribution.page import page
+from gorsethread.latency_attribution.request_attribution import Accounts
+from gorsethread.latency_attribution.sketch import DEPTH, ERROR, SURE, WIDTH, Sketch
+from gorsethread.latency_attribution.snapshots import FRAME, MAGIC, BadSnapshot, decode, encode
+from gorsethread.latency_attribution.stages import OTHERS, STAGES, WORDS, Stage, bucket_of, bucket_value
+from gorsethread.latency_attribution.window import BLAMES_MOST, BUCKETS, ROWS_MOST, Span, Window
 from gorsethread.scheduling.model import AttemptOutcome, HoldReason, RequestOutcome
-from tests.queues import KNOWN, QueueDay
+from tests.queue_model import KNOWN, QueueDay
 
 ENDINGS = [AttemptOutcome.SUCCEEDED] * 3 + list(AttemptOutcome)
 EVENTS = st.lists(
--- a/tests/test_accounts_running.py
+++ b/tests/test_latency_attribution_running.py
@@ -4,12 +4,12 @@
 import tempfile
 from pathlib import Path
 
-from gorsethread.accounts.snapshots import decode
-from gorsethread.accounts.stages import SHELF, Stage
-from gorsethread.accounts.window import Window
-from gorsethread.head.program import Head
+from gorsethread.latency_attribution.snapshots import decode
+from gorsethread.latency_attribution.stages import SHELF, Stage
+from gorsethread.latency_attribution.window import Window
 from gorsethread.logs import log_for
 from gorsethread.nvme.command import Opcode
+from gorsethread.nvme_gateway.gateway import Head
 from gorsethread.scheduling.model import RequestOutcome
 from tests.rig import Rig
 
--- a/tests/test_causes.py
+++ b/tests/test_latency_causes.py
@@ -3,11 +3,11 @@
 import unittest
 from collections.abc import Iterable
 
-from gorsethread.accounts import report
-from gorsethread.accounts.causes import Findings, find
-from gorsethread.accounts.stages import HEAD, SHELF, Stage
-from gorsethread.accounts.window import Window
-from tests.queues import KNOWN, QueueDay
+from gorsethread.latency_attribution import report
+from gorsethread.latency_attribution.causes import Findings, find
+from gorsethread.latency_attribution.stages import HEAD, SHELF, Stage
+from gorsethread.latency_attribution.window import Window
+from tests.queue_model import KNOWN, QueueDay
 
 
 def quiet_day(seed: int = 1, **how: float) -> QueueDay:
--- a/tests/test_crowd.py
+++ b/tests/test_many_gateways.py
@@ -2,9 +2,9 @@
 
 import unittest
 
-from gorsethread.lab.crowd.day import Ask, Day, Scene, Store, draw
-from gorsethread.lab.crowd.score import due_units
-from gorsethread.lab.crowd.world import World
+from gorsethread.experiments.many_gateways.score import due_units
+from gorsethread.experiments.many_gateways.simulation import World
+from gorsethread.experiments.many_gateways.workload import Ask, Day, Scene, Store, draw
 from gorsethread.scheduling.scheduler import Scheduler
 
 
--- a/tests/test_head.py
+++ b/tests/test_nvme_gateway.py
@@ -8,16 +8,16 @@
 from pathlib import Path
 from typing import Any
 
+from gorsethread.fakes.client import stamped
+from gorsethread.fakes.discovery import Order
 from gorsethread.gateway.attempts import Attempt, AttemptResult
 from gorsethread.gateway.driver import attempt_count
-from gorsethread.head.links import BackendLink
-from gorsethread.head.links import Order as Sent
 from gorsethread.nvme.command import Command, Completion, Opcode, Status, connect, connect_data, io_command
 from gorsethread.nvme.pdu import Encoder, PduType, initialize
-from gorsethread.queues.serve import IoCommand
+from gorsethread.nvme_gateway.backend_link import BackendLink
+from gorsethread.nvme_gateway.backend_link import Order as Sent
+from gorsethread.nvme_transport.controller_server import IoCommand
 from gorsethread.scheduling.model import AttemptOutcome
-from gorsethread.standins.client import stamped
-from gorsethread.standins.nodelist import Order
 from gorsethread.transport.base import StreamClosed
 from tests.rig import Rig
 
--- a/tests/test_offline_writes.py
+++ b/tests/test_offline_writes.py
@@ -14,20 +14,20 @@
 
 from gorsethread.cli.main import app
 from gorsethread.durable_log.replication_messages import encode
-from gorsethread.faults.branchmutants import BRANCH_MUTANTS
-from gorsethread.faults.branchworld import BranchWorld
-from gorsethread.faults.runs import drawn, play, play_many
-from gorsethread.faults.script import read_script
 from gorsethread.harness.branches import PLAYED, BranchTrial, Result
-from gorsethread.harness.cast import unplayable
+from gorsethread.harness.process_faults import unplayable
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.site import PARTIES
-from gorsethread.head.peers import fleet_of
 from gorsethread.logs import log_for, start_logs
+from gorsethread.nvme_gateway.peers import fleet_of
 from gorsethread.offline_writes import messages as offline_messages
 from gorsethread.offline_writes.messages import OperatorQuery
-from gorsethread.sitefile import site_pb2 as pb
-from gorsethread.sitefile.reading import BadSite, parse_site, read_site
+from gorsethread.simulation.branch_mutants import BRANCH_MUTANTS
+from gorsethread.simulation.branch_simulation import BranchWorld
+from gorsethread.simulation.runs import drawn, play, play_many
+from gorsethread.simulation.script import read_script
+from gorsethread.site_config import site_pb2 as pb
+from gorsethread.site_config.reading import BadSite, parse_site, read_site
 from gorsethread.transport.base import StreamClosed
 from gorsethread.transport.real import RealTransport
 from gorsethread.transport.virtual import VirtualTransport
--- a/tests/test_faults.py
+++ b/tests/test_simulation.py
@@ -8,14 +8,14 @@
 from pathlib import Path
 from typing import Any
 
-from gorsethread.accounts.snapshots import decode
-from gorsethread.faults.draw import Draw
-from gorsethread.faults.planted import plant
-from gorsethread.faults.runs import play_many, shrink
-from gorsethread.faults.script import BadScript, read_script
-from gorsethread.faults.world import ACCOUNTS, Outcome, World, misfits, play
-from gorsethread.head.program import Head
-from gorsethread.sitefile.reading import read_site
+from gorsethread.latency_attribution.snapshots import decode
+from gorsethread.nvme_gateway.gateway import Head
+from gorsethread.simulation.rule_mutants import plant
+from gorsethread.simulation.runs import play_many, shrink
+from gorsethread.simulation.script import BadScript, read_script
+from gorsethread.simulation.script_generator import Draw
+from gorsethread.simulation.site_simulation import ACCOUNTS, Outcome, World, misfits, play
+from gorsethread.site_config.reading import read_site
 
 SITE = read_site(Path(__file__).parent.parent / "deploy" / "site.txtpb")
 # Rule: what must happen for its planted break to show.
@@ -61,7 +61,7 @@
         text = str(Draw(3, [v.number for v in SITE.volume], [t.name for t in SITE.tenant]).script())
         digests = {play(SITE, read_script(text)).digest}
         code = (
-            "import sys; from tests.test_faults import *; "
+            "import sys; from tests.test_simulation import *; "
             "print(play(SITE, read_script(sys.stdin.read())).digest)"
         )
         for seed in ("1", "77"):
--- a/tests/test_site.py
+++ b/tests/test_site_config.py
@@ -5,9 +5,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gorsethread.head.facts import Sorter, start_facts
 from gorsethread.nvme.command import Opcode
-from gorsethread.sitefile.reading import BadSite, parse_site
+from gorsethread.nvme_gateway.scheduler_settings import Sorter, start_facts
+from gorsethread.site_config.reading import BadSite, parse_site
 from tests.rig import SITE
 
 
--- a/tests/test_lending.py
+++ b/tests/test_slow_start_leases.py
@@ -18,16 +18,15 @@
 from hypothesis import strategies as st
 from minicheck import Protocol, check_safety
 
-from gorsethread.faults.coldpart import Falls
+from gorsethread.experiments.many_gateways.score import Score
+from gorsethread.experiments.many_gateways.simulation import World
+from gorsethread.experiments.many_gateways.workload import Scene, draw
+from gorsethread.experiments.perfect_information import EvenParts
+from gorsethread.experiments.slow_start_leases import LENT_UNITS, Result, Trial, script_of
 from gorsethread.gateway.peer_messages import MAX_MESSAGES_PER_SECOND, PeerMessages
 from gorsethread.harness.processes import Processes
 from gorsethread.http_gateway.addresses import UnusableConfigurationError
 from gorsethread.http_gateway.configuration import Configuration, read_configuration
-from gorsethread.lab.allseeing import EvenParts
-from gorsethread.lab.crowd.day import Scene, draw
-from gorsethread.lab.crowd.score import Score
-from gorsethread.lab.crowd.world import World
-from gorsethread.lab.lending import LENT_UNITS, Result, Trial, script_of
 from gorsethread.logs import log_for, start_logs
 from gorsethread.membership.gossip_messages import GossipMessage, MessageKind, encode
 from gorsethread.scheduling.model import (
@@ -42,8 +41,9 @@
     Volume,
 )
 from gorsethread.scheduling.scheduler import Scheduler
+from gorsethread.simulation.slow_start_checker import Falls
 from gorsethread.simulator_adapter.instances import Instances
-from gorsethread.sitefile.reading import read_site
+from gorsethread.site_config.reading import read_site
 from gorsethread.transport.real import RealTransport
 from gorsethread.transport.virtual import Disk, Network, NetworkConditions, VirtualLoop, VirtualTransport
 from tests.harness import SCHEDULER_SETTINGS, RecordingActions, SchedulerTestCase
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -3,7 +3,7 @@
 import json
 import unittest
 
-from gorsethread.lab.sockets import compare
+from gorsethread.experiments.sockets import compare
 
 
 def line(event: str, **counts: int) -> str:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -13,12 +13,12 @@
 import pytest
 from google.protobuf.json_format import MessageToDict
 
-from gorsethread.accounts import snapshot_pb2
-from gorsethread.accounts.snapshots import FRAME, decode, encode
 from gorsethread.durable_log.log_store import LogStore
 from gorsethread.durable_log.recovery import recover
+from gorsethread.latency_attribution import snapshot_pb2
+from gorsethread.latency_attribution.snapshots import FRAME, decode, encode
 from gorsethread.logs import log_for
-from gorsethread.sitefile.reading import read_site
+from gorsethread.site_config.reading import read_site
 from gorsethread.transport.real import RealTransport
 
 FIXTURES = Path(__file__).parent / "fixtures"
