--- a/gorsethread/gateway/interfaces.py
+++ b/gorsethread/gateway/interfaces.py
@@ -22,7 +22,7 @@
 class Arrival(NamedTuple):
     """A request's description for the latency accounts. Times are in seconds of the gateway's clock.
 
-    arrived is when its command arrived, taken when it was complete and admitted to the scheduler.
+    arrived is when its command arrived, admitted is when it was complete and passed to the scheduler.
     """
 
     volume: Any
@@ -31,7 +31,7 @@
     shard: int
     keyed: bool
     arrived: float
-    taken: float
+    admitted: float
 
 
 class Client(Protocol):
--- a/gorsethread/http_gateway/client_connection.py
+++ b/gorsethread/http_gateway/client_connection.py
@@ -19,9 +19,7 @@
 # Bytes received behind an open request; above this, reading pauses.
 MAX_AHEAD_BYTES = READ_AHEAD_BYTES_MAX - MAX_READ_BYTES
 MAX_UNSENT_BYTES = 262_144  # bytes of unread answers; above this, no further request is handled
-MAX_DROPPED_BYTES = (
-    262_144  # bytes read and dropped after this side has ended; above this, the connection is closed
-)
+MAX_DROPPED_BYTES = 262_144  # bytes dropped after this side has ended; above this, the connection is closed
 MAX_REASON_LENGTH = 40  # characters of a counted reason
 
 
--- a/gorsethread/http_gateway/client_side.py
+++ b/gorsethread/http_gateway/client_side.py
@@ -21,9 +21,8 @@
 MIN_IDLE_SECONDS = 2.0  # without an open request, after which the platform lets a gateway close a connection
 MAX_IDLE_SECONDS = 6.0  # without an open request, until the gateway closes a connection
 CROWDED_FRACTION = 0.25  # of max_connections; from here on, idle ones are closed after MIN_IDLE_SECONDS
-LINGER_SECONDS = (
-    0.25  # after this side has ended a connection, until it is closed if the client does not end it
-)
+# After this side has ended a connection, until it is closed if the client does not end it.
+LINGER_SECONDS = 0.25
 UNREAD_LINGER_SECONDS = 2.0  # the same while the client has not read all of its answer
 SHUTDOWN_LINGER_SECONDS = 0.05  # the same after the time by which the program has to end
 FIRST_REQUEST_SECONDS = 0.15  # after connecting, the first request may still be in transit
--- a/gorsethread/http_gateway/connection_pool.py
+++ b/gorsethread/http_gateway/connection_pool.py
@@ -10,9 +10,8 @@
 from gorsethread.http_gateway.connection_reuse import ReuseTrust
 from gorsethread.transport.base import Transport
 
-IDLE_TIMEOUT_FRACTION = (
-    0.8  # of the backends' idle timeout, so that the gateway closes an idle connection first
-)
+# Of the backends' idle timeout, so that the gateway closes an idle connection before the backend does.
+IDLE_TIMEOUT_FRACTION = 0.8
 MAX_REPORTED_REASONS = 8  # the most frequent reasons in one report
 
 
--- a/tests/http_gateway/test_discovery.py
+++ b/tests/http_gateway/test_discovery.py
@@ -116,7 +116,7 @@
 
         self.run_scenario(work)
 
-    def test_a_discovery_that_restarts_elsewhere_is_watched_again(self) -> None:
+    def test_a_discovery_that_restarts_after_its_machine_vanished_is_watched_again(self) -> None:
         async def work() -> None:
             gateway = self.start()
             await self.wait(0.2)
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -175,7 +175,7 @@
         with self.assertRaises(InvalidResponseError):
             codec.feed(b"H")
 
-    def test_invalid_responses(self) -> None:
+    def test_invalid_responses_are_rejected(self) -> None:
         for data in (
             b"\xff\xfe noise \r\n\r\n",
             b"HTTP/1.1 200 OK\r\nX: " + b"y" * 40_000,
