--- a/tests/test_durable_log.py
+++ b/tests/test_durable_log.py
@@ -75,7 +75,7 @@
 9 older head-0 by 4 for 0.5
 11.5 swap head-1 <-> head-2 for 0.5
 """
-# Gateways killed while they record a placement, flush it, replicate it and greet a replica's owner.
+# Gateways killed while they record a placement, flush it, report it as durable and answer an owner's Hello.
 KILLS_AT_POINTS = """
 seed 6
 heads 3
