--- a/gorsethread/faults/world.py
+++ b/gorsethread/faults/world.py
@@ -25,7 +25,7 @@
 from gorsethread.standins.record import Fault, Recorder
 from gorsethread.standins.shelf import Shelf
 from gorsethread.transport.base import StreamClosed, Unreachable
-from gorsethread.transport.virtual import RESEND, Disk, Network, VirtualLoop, VirtualTransport
+from gorsethread.transport.virtual import MAX_RESEND_DELAY, Disk, Network, VirtualLoop, VirtualTransport
 from gorsethread.witness.judge import Break, Verdict, Witness
 from gorsethread.witness.online import OnlineWitness
 
@@ -138,7 +138,7 @@
             self._world.telling(facts)
             return
         if event == "arrived":
-            facts["left"] = self._world.network.left_at
+            facts["left"] = self._world.network.last_read_sent_at
         self._world.saw(self._name, event, facts)
 
 
@@ -201,8 +201,8 @@
         if script.seed % 2:
             # So little that one head lends it, over a network that loses, doubles and delays its messages.
             cold.units = LENT_UNITS * script.heads
-            self.network.weather = replace(
-                self.network.weather, lost=0.05, doubled=0.05, late=0.05, late_most=1.0
+            self.network.conditions = replace(
+                self.network.conditions, lost=0.05, doubled=0.05, late=0.05, max_late_delay=1.0
             )
         self.cold_part = ColdPart(
             SlowStartRule(cold.units, cold.span, cold.warm_after, cold.first_part), self._defect
@@ -224,12 +224,12 @@
         record = {"t": self.loop.time(), "who": who, "e": event, **facts}
         self.records.append(record)
         self.online.take(record)
-        self.network.saw(who, event, *facts.values())
+        self.network.add_to_digest(who, event, *facts.values())
 
     def telling(self, facts: dict[str, Any]) -> None:
         """News left the list; a head is told when it has come."""
-        if self.network.wrote:
-            self._news.setdefault(self.network.wrote, []).append((self.loop.time(), facts))
+        if self.network.last_written_pipe:
+            self._news.setdefault(self.network.last_written_pipe, []).append((self.loop.time(), facts))
 
     def _arrived(self, one: str, other: str, count: int, left: float, way: int) -> None:
         if one == "list" and way in self._news:
@@ -238,7 +238,7 @@
             if later := [entry for entry in news if entry[0] > left]:
                 self._news[way] = later
             if come:
-                self.processes[other].gate(lambda: self._told(come))
+                self.processes[other].deliver(lambda: self._told(come))
         for crash in [c for c in self._crashes if c[:2] == (other, one) and c[2] <= count]:
             self._crashes.remove(crash)
             # The message is there, and what the process makes of it at once; then it is gone.
@@ -423,11 +423,11 @@
                 for tenant in self.clients:
                     self._apart(f"client {tenant}", name, act.seconds)
             process.pause()
-            self.loop.call_later(act.seconds, process.go_on)
+            self.loop.call_later(act.seconds, process.resume)
         elif kind == "cut":
             for one, other in self._pairs(act):
                 self.network.cut(one, other)
-                self._apart(one, other, act.seconds + RESEND)  # what was held comes by then
+                self._apart(one, other, act.seconds + MAX_RESEND_DELAY)  # what was held comes by then
                 self.loop.call_later(act.seconds, self.network.heal, one, other)
         elif kind == "reset":
             for one, other in self._pairs(act):
@@ -444,8 +444,8 @@
             self.day.spawn(self._order(int(name.split(" ")[1]), "draining"))
             self.loop.call_later(act.seconds, self._undrain, int(name.split(" ")[1]))
         elif kind == "connects":
-            self.network.slow_connects[name] = act.by
-            self.loop.call_later(act.seconds, self.network.slow_connects.pop, name, None)
+            self.network.extra_connect_delay[name] = act.by
+            self.loop.call_later(act.seconds, self.network.extra_connect_delay.pop, name, None)
         elif kind == "disk":
             self.disk.broken.add(name)
             self.loop.call_later(act.seconds, self.disk.broken.discard, name)
@@ -621,7 +621,7 @@
 
     def _check_accounts(self) -> None:
         """Every window that a head kept can be read, and each life in it is the sum of its stages."""
-        for name in self.day.names(ACCOUNTS):
+        for name in self.day.list_files(ACCOUNTS):
             raw = self.day.load(f"{ACCOUNTS}/{name}")
             window = decode(raw or b"", self.site.name)
             if window.remainders or window.disorders:
--- a/gorsethread/http_gateway/client_side.py
+++ b/gorsethread/http_gateway/client_side.py
@@ -84,14 +84,14 @@
         if ended is not None:
             return ended
         free = [c for c in self.connections if not c.codec.open and not c.codec.partial]
-        silent = next((c for c in free if not c.served and c.stream.quiet()), None)
+        silent = next((c for c in free if not c.served and c.stream.is_idle()), None)
         if silent is not None:
             return silent
         idle_before = self.transport.now() - MIN_IDLE_SECONDS
         idle = sorted(
             (c for c in free if c.served and c.state_since <= idle_before), key=lambda c: c.state_since
         )
-        return next((c for c in idle if c.stream.quiet()), None)
+        return next((c for c in idle if c.stream.is_idle()), None)
 
     async def on_stream(self, stream: Stream) -> None:
         """Serves an admitted connection until it ends."""
@@ -180,7 +180,7 @@
                     connection.refuse(InvalidRequestError(408, "a request that does not become complete"))
             elif (
                 connection.state_since <= now - (max_idle if connection.served else REQUEST_TIMEOUT_SECONDS)
-                and connection.stream.quiet()
+                and connection.stream.is_idle()
             ):
                 connection.end()
 
@@ -207,7 +207,7 @@
                 if past_end:
                     connection.refuse(InvalidRequestError(503, "a request not complete before the end"))
             elif past_end or (
-                connection.stream.quiet()
+                connection.stream.is_idle()
                 and (connection.served or connection.state_since <= now - FIRST_REQUEST_SECONDS)
             ):
                 connection.end()
--- a/gorsethread/http_gateway/endpoint_updates.py
+++ b/gorsethread/http_gateway/endpoint_updates.py
@@ -29,7 +29,7 @@
         self.known: dict[int, Instance] = {}
         # Unix time minus the gateway's clock, to convert the start times that discovery sends. It is fixed,
         # so that a start that is listed twice converts to the same time.
-        self._unix_offset = transport.wall() - transport.now()
+        self._unix_offset = transport.wall_time() - transport.now()
 
     def apply(self, instances: list[Instance], complete: bool, remembered: bool) -> None:
         """Applies a complete list, or changes of the current one.
--- a/gorsethread/nvme_gateway/recovery_client.py
+++ b/gorsethread/nvme_gateway/recovery_client.py
@@ -90,7 +90,7 @@
         self.stream = stream
         self.ended = False
         self._received = RecordTable()  # as bounded as the table of the gateway that sends the records
-        self.timeout = client.transport.at(client.transport.now() + ANSWER_TIMEOUT, stream.close)
+        self.timeout = client.transport.call_at(client.transport.now() + ANSWER_TIMEOUT, stream.close)
 
     def send_hello(self) -> None:
         topology = self.client.topology
@@ -110,7 +110,7 @@
     def _on_records(self, message: replication_messages.FetchedRecords) -> None:
         transport = self.client.transport
         self.timeout.cancel()
-        self.timeout = transport.at(transport.now() + ANSWER_TIMEOUT, self.stream.close)
+        self.timeout = transport.call_at(transport.now() + ANSWER_TIMEOUT, self.stream.close)
         for record in replication_messages.to_records(message.entries):
             self._received.apply(record)
         if not message.more:
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -45,7 +45,7 @@
 from gorsethread.simulator_adapter.instances import Instances
 from gorsethread.sitefile.reading import read_site
 from gorsethread.transport.real import RealTransport
-from gorsethread.transport.virtual import Disk, Network, VirtualLoop, VirtualTransport, Weather
+from gorsethread.transport.virtual import Disk, Network, NetworkConditions, VirtualLoop, VirtualTransport
 from tests.harness import SCHEDULER_SETTINGS, RecordingActions, SchedulerTestCase
 from tests.live import SETTINGS, GatewayTest, make_config
 from tests.scheduling.test_same_decisions import simulator_setup
@@ -511,7 +511,7 @@
     def test_messages_from_outside_the_fleet_are_dropped_and_the_send_rate_is_limited(self) -> None:
         loop = VirtualLoop()
         self.addCleanup(loop.close)
-        network = Network(loop, 5, Weather())
+        network = Network(loop, 5, NetworkConditions())
         addresses = tuple((f"head{n}", 7946) for n in range(3))
         received: list[tuple[int, str]] = []
         gateways = [
