--- a/tests/offline_writes/test_cores.py
+++ b/tests/offline_writes/test_cores.py
@@ -461,7 +461,7 @@
         branch_failures: int = 1,
         main_site_crashes: int = 1,
         skip_queries: bool = False,
-        plant: Callable[[AppliedWrites], None] = lambda applied_writes: None,
+        mutate: Callable[[AppliedWrites], None] = lambda applied_writes: None,
         keep_dependencies: bool = True,
         writes: int = 2,
     ) -> dict[str, Any]:
@@ -492,7 +492,7 @@
                 *({(1, sequence) for sequence in sequences} for sequences in (applied, unknown, running)),
                 {(1, sequence): token for sequence, token in send_tokens},
             )
-            plant(applied_writes)
+            mutate(applied_writes)
             return applied_writes
 
         def dump_main_site(applied_writes: AppliedWrites) -> Any:
@@ -511,19 +511,23 @@
 
         def transitions(state: Any) -> list[tuple[str, Any]]:
             queued, main, in_flight, ran, done, failures, crashes = state
-            found: list[tuple[str, Any]] = []
+            next_states: list[tuple[str, Any]] = []
             queue = load_queue(queued)
             for number, query_first in queue.ready_writes():
                 queue = load_queue(queued)
                 if query_first and not skip_queries:
                     queue.mark_queried(number)
                     more = in_flight | {("ask", number.sequence, 0)}
-                    found.append(("query", (dump_queue(queue), main, more, ran, done, failures, crashes)))
+                    next_states.append(
+                        ("query", (dump_queue(queue), main, more, ran, done, failures, crashes))
+                    )
                 else:
                     queue.mark_sent(number)
                     token = queue._writes[number].send_token(0)
                     more = in_flight | {("send", number.sequence, token)}
-                    found.append(("send", (dump_queue(queue), main, more, ran, done, failures, crashes)))
+                    next_states.append(
+                        ("send", (dump_queue(queue), main, more, ran, done, failures, crashes))
+                    )
             for message in in_flight:
                 kind, sequence, token = message
                 rest, number = in_flight - {message}, write_number(sequence)
@@ -532,7 +536,7 @@
                     outcome = main_site.handle_write(number, token, 1, False)
                     no_reply = kind == "old send" or outcome in (ReplayOutcome.START, ReplayOutcome.PENDING)
                     more = rest if no_reply else rest | {(outcome.name, sequence, token)}
-                    found.append(
+                    next_states.append(
                         (
                             "write arrives",
                             (queued, dump_main_site(main_site), more, ran, done, failures, crashes),
@@ -542,7 +546,7 @@
                     outcome, detail = main_site.handle_query(number, 1, False)
                     if outcome is not ReplayOutcome.PENDING or kind == "old ask":
                         more = rest if kind == "old ask" else rest | {(outcome.name, sequence, detail)}
-                        found.append(
+                        next_states.append(
                             (
                                 "query arrives",
                                 (queued, dump_main_site(main_site), more, ran, done, failures, crashes),
@@ -560,14 +564,14 @@
                         queue.mark_token_refused(number, token)
                     else:
                         queue.mark_rejected(number, token)
-                    found.append(
+                    next_states.append(
                         ("answer arrives", (dump_queue(queue), main, rest, ran, done, failures, crashes))
                     )
-                    found.append(("answer lost", (queued, main, rest, ran, done, failures, crashes)))
+                    next_states.append(("answer lost", (queued, main, rest, ran, done, failures, crashes)))
             for sequence in main[3]:
                 token = dict(main[4]).get(sequence, 0)
                 if sequence not in done:  # the backend runs it now, or never receives it
-                    found.append(
+                    next_states.append(
                         (
                             "backend runs it",
                             (queued, main, in_flight, (*ran, sequence), (*done, sequence), failures, crashes),
@@ -578,7 +582,7 @@
                 main_site.finish(write_number(sequence), outcome)
                 more = in_flight | {(outcome.name, sequence, token)}
                 rest = tuple(each for each in done if each != sequence)
-                found.append(
+                next_states.append(
                     (
                         "write ends",
                         (queued, dump_main_site(main_site), more, ran, rest, failures, crashes),
@@ -593,7 +597,7 @@
                     for message in in_flight
                     if message[0].endswith(("send", "ask"))
                 )
-                found.append(
+                next_states.append(
                     (
                         "branch crash or disconnect",
                         (dump_queue(queue), main, old, ran, done, failures - 1, crashes),
@@ -604,7 +608,7 @@
                 queue = load_queue(queued)
                 queue.mark_connection_lost()
                 restarted = load_main_site((incarnation + 1, applied, (*unknown, *running), (), ()))
-                found.append(
+                next_states.append(
                     (
                         "main site crash",
                         (
@@ -618,7 +622,7 @@
                         ),
                     )
                 )
-            return found
+            return next_states
 
         def causal_order(state: Any) -> bool:
             return 2 not in state["ran"] or 1 in state["ran"][: state["ran"].index(2)]
@@ -668,8 +672,8 @@
         def forget_unknown(applied_writes: AppliedWrites) -> None:
             applied_writes._branches[1].unknown.clear()
 
-        self.assertFalse(self.check(1, 0, plant=forget_applied)["properties"]["applied once"]["holds"])
-        self.assertFalse(self.check(0, 1, plant=forget_unknown)["properties"]["applied once"]["holds"])
+        self.assertFalse(self.check(1, 0, mutate=forget_applied)["properties"]["applied once"]["holds"])
+        self.assertFalse(self.check(0, 1, mutate=forget_unknown)["properties"]["applied once"]["holds"])
         self.assertFalse(
             self.check(0, 0, keep_dependencies=False)["properties"]["causal order"]["holds"],
             "replayed without regard to dependencies",
