--- a/gorsethread/http_gateway/client_connection.py
+++ b/gorsethread/http_gateway/client_connection.py
@@ -12,12 +12,12 @@
 from gorsethread.gateway.open_requests import OpenRequest
 from gorsethread.http1.framing import READ_AHEAD_BYTES_MAX, Headers, InvalidRequestError
 from gorsethread.http1.server_codec import Request, ServerCodec, closing_response
-from gorsethread.transport.base import READ_MOST, Stream, StreamClosed, Transport
+from gorsethread.transport.base import MAX_READ_BYTES, Stream, StreamClosed, Transport
 
 PAUSE_SECONDS = 0.25  # after an invalid request, until the connection's next request is read
 RECHECK_SECONDS = 0.02  # between checks of a client that is too far ahead or does not read its answers
 # Bytes received behind an open request; above this, reading pauses.
-MAX_AHEAD_BYTES = READ_AHEAD_BYTES_MAX - READ_MOST
+MAX_AHEAD_BYTES = READ_AHEAD_BYTES_MAX - MAX_READ_BYTES
 MAX_UNSENT_BYTES = 262_144  # bytes of unread answers; above this, no further request is handled
 MAX_DROPPED_BYTES = (
     262_144  # bytes read and dropped after this side has ended; above this, the connection is closed
@@ -116,7 +116,7 @@
         if not keeps_alive:
             self.end()
         elif self.codec.partial:
-            self.side.transport.soon(self.proceed)
+            self.side.transport.call_soon(self.proceed)
 
     def _is_last(self) -> bool:
         """Returns whether the answer being sent is the connection's last one.
@@ -125,7 +125,7 @@
         """
         if not self.side.ending:
             return False
-        return self.side.is_past_end() or (not self.codec.bytes_ahead and self.stream.quiet())
+        return self.side.is_past_end() or (not self.codec.bytes_ahead and self.stream.is_idle())
 
     def refuse(self, error: InvalidRequestError) -> None:
         """Answers an invalid request, or one that is too late, with an error and ends the connection."""
@@ -202,7 +202,7 @@
         if not self._recheck_due:
             self._recheck_due = True
             transport = self.side.transport
-            transport.at(transport.now() + RECHECK_SECONDS, self._recheck)
+            transport.call_at(transport.now() + RECHECK_SECONDS, self._recheck)
         return True
 
     def _recheck(self) -> None:
--- a/gorsethread/http_gateway/discovery.py
+++ b/gorsethread/http_gateway/discovery.py
@@ -170,7 +170,7 @@
         stream.write(codec.request(b"GET", self._target(), [(b"host", host)], b""))
         # A machine that vanished does not end the connection: without a timeout the gateway would learn of no
         # drain.
-        timer = self.transport.at(self._call_began + CALL_TIMEOUT_SECONDS, stream.close)
+        timer = self.transport.call_at(self._call_began + CALL_TIMEOUT_SECONDS, stream.close)
         try:
             return await read_answer(stream, codec)
         finally:
--- a/gorsethread/nvme_gateway/replication_client.py
+++ b/gorsethread/nvme_gateway/replication_client.py
@@ -79,7 +79,7 @@
         The number must be higher than those of earlier calls.
         """
         self._unreplicated.append((number, on_replicated))
-        self.transport.at(
+        self.transport.call_at(
             self.transport.now() + REPLICATION_TIMEOUT, lambda: self._report_until(number, False)
         )
 
@@ -105,7 +105,7 @@
             self.transport.spawn(self._keep_connected(gateway))
         if added or removed:
             self.log.info("replicas chosen", gateways=sorted(self.sender.replicas))
-        self.transport.at(self.transport.now() + CHOICE_INTERVAL, self._choose_replicas)
+        self.transport.call_at(self.transport.now() + CHOICE_INTERVAL, self._choose_replicas)
 
     async def _keep_connected(self, peer: int) -> None:
         delay = MIN_RECONNECT_DELAY
@@ -169,7 +169,7 @@
         behind = self.sender.confirmed(peer, last)
         self._report_until(self.sender.replicated, True)
         if behind:
-            self.transport.at(self.transport.now() + CATCH_UP_PAUSE, lambda: self._send_next(peer))
+            self.transport.call_at(self.transport.now() + CATCH_UP_PAUSE, lambda: self._send_next(peer))
         else:
             self._send_next(peer)
 
@@ -213,4 +213,4 @@
         answer_due = replica is None or replica.in_flight or replica.confirmed is None
         if answer_due and now - self._last_message_at > ANSWER_TIMEOUT:
             self._stream.close()
-        client.transport.at(now + WATCH_INTERVAL, self.check)
+        client.transport.call_at(now + WATCH_INTERVAL, self.check)
--- a/tests/crossing/test_discovery.py
+++ b/tests/crossing/test_discovery.py
@@ -306,7 +306,7 @@
             # The event loop reads sockets before it runs due callbacks, and resumes the reader one iteration
             # later.
             watch.send(self.list_response(50, False, self.instance(0, self.backends[0], "gone")))
-            transport.at(transport.now(), lambda: gateway.discovery.move_to((HOST, new.port)))
+            transport.call_at(transport.now(), lambda: gateway.discovery.move_to((HOST, new.port)))
             await transport.sleep(0.1)
             self.assertEqual(1, gateway.discovery.version)
             self.assertEqual(2, len(gateway.discovery.updates.known))
--- a/tests/http_gateway/test_backends.py
+++ b/tests/http_gateway/test_backends.py
@@ -2,7 +2,7 @@
 
 from gorsethread.http1.server_codec import Request
 from gorsethread.transport.base import Stream
-from gorsethread.transport.virtual import Weather
+from gorsethread.transport.virtual import NetworkConditions
 from tests.live import FakeBackend, GatewayTest, instance, request_bytes, response_bytes
 
 
@@ -186,7 +186,7 @@
             gateway = self.start()
             await self.call(request_bytes("150"))
             link = next(link for link in gateway.pool.links.values() if link.idle_connections)
-            link.idle_connections[0].stream._ended = "closed by peer"  # type: ignore[attr-defined]  # no task knows yet
+            link.idle_connections[0].stream._end_reason = "closed by peer"  # type: ignore[attr-defined]  # no task knows yet
             self.assertEqual(200, (await self.call(request_bytes("151", "post", body=b"x"))).status)
             self.assertEqual(
                 (0, 2), (gateway.driver.counts["attempts connection lost"], self.backends[0].connections)
@@ -197,7 +197,7 @@
     def test_a_request_is_retried_if_its_connection_ends_before_its_last_byte_is_written(self) -> None:
         async def work() -> None:
             gateway = self.start()
-            self.network.weather = Weather(window=1000, split=0.0)
+            self.network.conditions = NetworkConditions(window=1000, split=0.0)
             backend, original_on_stream = self.backends[0], self.backends[0].on_stream
 
             async def close_unread(stream: Stream) -> None:
@@ -221,7 +221,7 @@
     def test_a_request_whose_client_left_before_the_connection_is_up_is_not_sent(self) -> None:
         async def work() -> None:
             self.start()
-            self.network.slow_connects["shelf0"] = 0.05
+            self.network.extra_connect_delay["shelf0"] = 0.05
             client = await self.call(request_bytes("153", "post", body=b"x"), 0.05)
             client.stream.close()
             await self.wait(0.5)
--- a/tests/http_gateway/test_discovery.py
+++ b/tests/http_gateway/test_discovery.py
@@ -105,7 +105,7 @@
         async def work() -> None:
             gateway = self.start()
             await self.wait(0.2)
-            started, now = self.client_process.wall() * 1000, self.transport.now()
+            started, now = self.client_process.wall_time() * 1000, self.transport.now()
             for _ in range(2):
                 self.discovery.publish(instance(0, started=started))
                 await self.wait(0.7)
--- a/tests/live.py
+++ b/tests/live.py
@@ -10,7 +10,7 @@
 from gorsethread.http_gateway.gateway import Gateway
 from gorsethread.logs import log_for, start_logs
 from gorsethread.transport.base import Stream, StreamClosed
-from gorsethread.transport.virtual import Disk, Network, VirtualLoop, VirtualTransport, Weather
+from gorsethread.transport.virtual import Disk, Network, NetworkConditions, VirtualLoop, VirtualTransport
 
 GATEWAY_ADDRESS, DISCOVERY_ADDRESS = ("head", 1), ("list", 1)
 CONFIG_PATH = "config.json"
@@ -244,7 +244,7 @@
         start_logs(True, "critical")
         self.loop = VirtualLoop()
         self.addCleanup(self.loop.close)
-        self.network = Network(self.loop, 3, Weather(split=0.0))
+        self.network = Network(self.loop, 3, NetworkConditions(split=0.0))
         self.disk = Disk()
         self.processes: list[VirtualTransport] = []
         self.client_process = self.process("user")
@@ -298,7 +298,7 @@
 
     def age(self, seconds: float) -> float:
         """Returns the Unix time of so many seconds ago, in milliseconds."""
-        return (self.client_process.wall() - seconds) * 1000
+        return (self.client_process.wall_time() - seconds) * 1000
 
 
 async def _sleep(loop: VirtualLoop, seconds: float) -> None:
--- a/tests/scheduling/test_same_decisions.py
+++ b/tests/scheduling/test_same_decisions.py
@@ -21,7 +21,7 @@
 from gorsethread.simulator_adapter.instances import Instances
 from gorsethread.sitefile.reading import parse_site
 from tests.rig import SITE
-from tests.virtual import Clockwork
+from tests.virtual import ManualClock
 
 
 @dataclass
@@ -191,7 +191,7 @@
         """Runs the driver alone with random events; returns its record and the scheduler's actions."""
         start_logs(False, "critical")
         generator = random.Random(seed)
-        clock = Clockwork()
+        clock = ManualClock()
         site = parse_site(SITE)
         recorded: list[tuple[Any, ...]] = []
         driver = Driver(clock, start_facts(site), seed, SitePlacement(site), lambda: None, log_for())  # type: ignore[arg-type]
@@ -201,10 +201,10 @@
         driver.shards.update({0: 0, 1: 1})
         if accounts:
             driver.accounting.accounts = Accounts([profile.promised for profile in site.profile], clock.time)
-        clock.settle()
+        clock.run_ready()
         driver.endpoints_listed([(0, 0, 0, True, 0.0), (1, 0, 1, True, 0.0)], True, True)
         for step in range(600):
-            clock.move(clock.time + generator.random() * 0.02)
+            clock.advance_to(clock.time + generator.random() * 0.02)
             if accounts:
                 self.ask_why_held(driver)
             draw = generator.random()
@@ -236,7 +236,7 @@
                             else EMPTY_RESULT
                         )
                         driver._ended(attempt, outcome, result)
-        clock.move(clock.time + 3.0)
+        clock.advance_to(clock.time + 3.0)
         self.assertEqual({}, driver.open_requests, "every request has ended")
         self.assertEqual({}, driver.first_writes.pending)
         if driver.accounting.accounts:
