--- a/gorsethread/durable_log/segment_files.py
+++ b/gorsethread/durable_log/segment_files.py
@@ -57,7 +57,7 @@
 
     def __init__(self, transport: Transport, segment: WrittenSegment) -> None:
         """Open the file of a written segment; raises OSError where that fails."""
-        self._journal = transport.journal(segment.path)
+        self._file = transport.open_append_only(segment.path)
         self._seed = segment.seed
         self.size = segment.size  # bytes
         self.initial_size = segment.size  # bytes; the growth since then decides when compaction is due
@@ -68,12 +68,12 @@
 
     async def append(self, data: bytes) -> None:
         """Write and flush what encode() returned; raises OSError where that fails."""
-        await self._journal.add(data)
+        await self._file.append(data)
         self.size += len(data)
 
     def close(self) -> None:
         """Close the file."""
-        self._journal.close()
+        self._file.close()
 
 
 def remove_old_segments(transport: Transport, folder: str) -> None:
--- a/gorsethread/harness/relay.py
+++ b/gorsethread/harness/relay.py
@@ -56,7 +56,7 @@
     def __init__(
         self, transport: Transport, faults: Faults, public: dict[str, int], private: dict[str, int]
     ) -> None:
-        self.transport, self.chance, self.faults = transport, transport.chance("relay"), faults
+        self.transport, self.chance, self.faults = transport, transport.random_stream("relay"), faults
         self.private = private
         self.bytes = self.datagrams = 0
         self._senders = {port: name for name, port in private.items()}
--- a/gorsethread/head/fleet.py
+++ b/gorsethread/head/fleet.py
@@ -49,7 +49,9 @@
             state=MemberState.ALIVE,
             reported_by=me.member,
         )
-        self.view = MembershipView(me, contacts, transport.now(), transport.chance("view").random, pace)
+        self.view = MembershipView(
+            me, contacts, transport.now(), transport.random_stream("view").random, pace
+        )
         self.wrong: Counter[str] = Counter()  # by reason; as many as there are reasons
         # What else comes from peers on this port, by kind; what is of no kind here is dropped.
         self.also: dict[int, Callable[[Address, GossipMessage], None]] = {}
--- a/gorsethread/head/peers.py
+++ b/gorsethread/head/peers.py
@@ -44,7 +44,7 @@
         self.heads = sorted(h.number for h in site.head)
         self.list = crc32(repr(self.heads).encode())
         self.core = BackendNewsTable(
-            head, self.addresses, transport.chance(f"peers of head {head}").randrange
+            head, self.addresses, transport.random_stream(f"peers of head {head}").randrange
         )
         self.driver: Any = None
         self.news, self.told = SendAllowance(TELLINGS_MOST), SendAllowance()
--- a/gorsethread/http_gateway/discovery.py
+++ b/gorsethread/http_gateway/discovery.py
@@ -61,7 +61,7 @@
         self.updates = updates
         self.wait = wait
         self.log = log
-        self.chance = transport.chance("discovery")
+        self.chance = transport.random_stream("discovery")
         self.version = 0
         self.stopped = False
         # Called once, after the first answer or failure; None if not set, or after that call.
--- a/gorsethread/lab/accounts.py
+++ b/gorsethread/lab/accounts.py
@@ -41,7 +41,7 @@
     truth = Truth(frozenset(), frozenset())
 
     def _write_script(self) -> None:
-        chance = self.transport.chance(f"accounts {self.plan.seed}")
+        chance = self.transport.random_stream(f"accounts {self.plan.seed}")
         shelf = chance.randrange(self.plan.shelves)
         volume = self.site.volume[chance.randrange(len(self.site.volume))]
         at, length = self._at(BEGINS), self.plan.seconds
--- a/gorsethread/lab/day.py
+++ b/gorsethread/lab/day.py
@@ -97,7 +97,7 @@
         self.site = resized(site, plan.heads, plan.shelves)
         self.processes = Processes(folder, self.site)
         self.recorder = Recorder(transport, "day", str(self.processes.record("day")))
-        self.chance: RandomStream = transport.chance("day")
+        self.chance: RandomStream = transport.random_stream("day")
         self.happened: list[str] = []
         self.zero = 0.0
         self.scripts: dict[str, list[Fault]] = {}
--- a/gorsethread/lab/peers.py
+++ b/gorsethread/lab/peers.py
@@ -98,7 +98,7 @@
     ) -> None:
         self.transport, self.site, self.depth, self.rate = transport, site, depth, rate
         self.first, self.until = start_at, start_at + seconds
-        self.chance = transport.chance("load")
+        self.chance = transport.random_stream("load")
         self.histogram = HdrHistogram(LOWEST, HIGHEST, DIGITS)
         self.own = HdrHistogram(LOWEST, HIGHEST, DIGITS)  # how late this load itself sent what was due
         self.done = self.failed = self.out = 0
--- a/gorsethread/lab/turns.py
+++ b/gorsethread/lab/turns.py
@@ -36,7 +36,7 @@
     ) -> None:
         self.transport, self.sites, self.depth = transport, sites, depth
         self.start_at, self.stretches = start_at, stretches
-        self.chance = transport.chance("turns")
+        self.chance = transport.random_stream("turns")
         self.honoured = [0] * stretches
         self.failed = self.out = 0
         self.stretch = -1
--- a/gorsethread/nvme_gateway/offline/write_admission.py
+++ b/gorsethread/nvme_gateway/offline/write_admission.py
@@ -143,7 +143,7 @@
         self._dead_letters = dead_letters
         self._history = history
         self._is_finished = is_finished
-        self._random = transport.chance("branch")
+        self._random = transport.random_stream("branch")
         self._pending: dict[WriteNumber, PendingAdmission] = {}
 
     def is_pending(self, number: WriteNumber) -> bool:
--- a/gorsethread/nvme_gateway/replicated_log.py
+++ b/gorsethread/nvme_gateway/replicated_log.py
@@ -75,7 +75,7 @@
         self.recovery_client: RecoveryClient
         self.incarnation = 0
         self.stopped = False
-        self._random = transport.chance("promises")
+        self._random = transport.random_stream("promises")
         self._position = 0
         self._placing: dict[ExtentKey, list[OnDurable]] = {}
 
--- a/gorsethread/standins/client.py
+++ b/gorsethread/standins/client.py
@@ -249,7 +249,7 @@
         self.transport, self.site, self.tenant = transport, site, tenant
         self.recorder, self.log = recorder, log
         self.factor, self.start_at, self.by, self.surges = factor, start_at, by, surges
-        self.chance = transport.chance(f"client {tenant}")
+        self.chance = transport.random_stream(f"client {tenant}")
         self.me = next(t for t in site.tenant if t.name == tenant)
         self.volumes = [v for v in site.volume if v.tenant == tenant]
         self.plans = {p.name: p for p in site.plan}
--- a/gorsethread/standins/nodelist.py
+++ b/gorsethread/standins/nodelist.py
@@ -51,7 +51,7 @@
     ) -> None:
         self.transport, self.site, self.recorder, self.log = transport, site, recorder, log
         self.script = script
-        self.chance = transport.chance("list")
+        self.chance = transport.random_stream("list")
         self.version = 1
         self.life = int(transport.wall_time() * 1e6)  # versions of another life of the list don't compare
         self.entries: dict[int, tuple[Register, str, float]] = {}  # shelf: what it said, its state, since
--- a/gorsethread/standins/record.py
+++ b/gorsethread/standins/record.py
@@ -15,7 +15,7 @@
 
     def __init__(self, transport: Transport, who: str, path: str) -> None:
         self._transport, self._who = transport, who
-        self._append: Callable[[bytes], None] | None = transport.append(path) if path else None
+        self._append: Callable[[bytes], None] | None = transport.open_appender(path) if path else None
 
     def saw(self, event: str, **facts: Any) -> None:
         if self._append:
--- a/gorsethread/standins/shelf.py
+++ b/gorsethread/standins/shelf.py
@@ -15,7 +15,7 @@
 from gorsethread.standins.machine import Job, Machine
 from gorsethread.standins.nodelist import Register
 from gorsethread.standins.record import Fault, Recorder
-from gorsethread.transport.base import Blocks, Stream, StreamClosed, Timer, Transport, Unreachable
+from gorsethread.transport.base import RandomAccessFile, Stream, StreamClosed, Timer, Transport, Unreachable
 
 HEAD_NAME = ":head:"
 
@@ -47,7 +47,7 @@
         self.transport, self.site, self.number = transport, site, number
         self.recorder, self.folder, self.log = recorder, folder, log
         self.me = next(s for s in site.shelf if s.number == number)
-        self.chance = transport.chance(f"shelf {number}")
+        self.chance = transport.random_stream(f"shelf {number}")
         self.start_id = int(transport.now() * 1e6)
         self.machine = Machine(site.machine, site.rules.cold, transport.now(), warm)
         self.warm = warm
@@ -60,7 +60,7 @@
             site.subsystem, self._admits, f"shelf-{number}", "gorsethread stand-in", site.links.largest_bytes
         )
         self.server = QueueServer(transport, self.subsystem, self, 4096, log)
-        self.files: dict[int, Blocks] = {}  # one a volume
+        self.files: dict[int, RandomAccessFile] = {}  # one a volume
         self.silent: list[IoCommand] = []  # came while it stood still; emptied as it moves again
         # labelled writes done, emptied as their time to be remembered passes
         self.labels: dict[int, float] = {}
@@ -251,9 +251,11 @@
         self._file(io.command.nsid).write(io.command.first_block * BLOCK, io.owned.data)
         self.recorder.saw("ran", shelf=self.number, label=io.command.label, attempt=io.command.attempt)
 
-    def _file(self, volume: int) -> Blocks:
+    def _file(self, volume: int) -> RandomAccessFile:
         if volume not in self.files:
-            self.files[volume] = self.transport.blocks(f"{self.folder}/shard-{self.me.shard}-volume-{volume}")
+            self.files[volume] = self.transport.open_random_access(
+                f"{self.folder}/shard-{self.me.shard}-volume-{volume}"
+            )
         return self.files[volume]
 
     def _count(self, volume: int, head: int, units: int, now: float) -> tuple[int, int]:
--- a/gorsethread/standins/web/bad_clients.py
+++ b/gorsethread/standins/web/bad_clients.py
@@ -13,7 +13,7 @@
 
     def __init__(self, transport: Transport, site: pb.Site, recorder: Recorder) -> None:
         self.transport, self.site, self.recorder = transport, site, recorder
-        self.chance: RandomStream = transport.chance("rude")
+        self.chance: RandomStream = transport.random_stream("rude")
         profile, plan = site.profile[0].name, site.plan[0].name
         good = (
             f"GET /{profile}/0000000100000001 HTTP/1.1\r\nHost: a\r\n"
--- a/gorsethread/transport/base.py
+++ b/gorsethread/transport/base.py
@@ -123,7 +123,7 @@
     def close(self) -> None: ...
 
 
-class Blocks(Protocol):
+class RandomAccessFile(Protocol):
     """A file for random access, whose contents survive the process even when it is killed."""
 
     def read(self, offset: int, length: int) -> bytes:
@@ -133,13 +133,13 @@
     def write(self, offset: int, data: bytes) -> None: ...
 
 
-class Journal(Protocol):
+class AppendOnlyFile(Protocol):
     """An append-only file.
 
-    After an OSError it is unknown how much of the data is in the file, so later calls of add() fail too.
+    After an OSError it is unknown how much of the data is in the file, so later calls of append() fail too.
     """
 
-    async def add(self, data: bytes) -> None:
+    async def append(self, data: bytes) -> None:
         """Appends data and returns once it would survive a loss of power.
 
         Only one call may be in progress.
@@ -236,7 +236,7 @@
         """Calls act each time the process is asked to reload its configuration (SIGHUP)."""
         ...
 
-    def chance(self, name: str) -> RandomStream:
+    def random_stream(self, name: str) -> RandomStream:
         """Returns the stream of random numbers of that name."""
         ...
 
@@ -259,7 +259,7 @@
         """
         ...
 
-    def journal(self, path: str) -> Journal:
+    def open_append_only(self, path: str) -> AppendOnlyFile:
         """Opens an existing file to append to it.
 
         Raises:
@@ -288,11 +288,11 @@
         """Removes a file, if it exists."""
         ...
 
-    def blocks(self, path: str) -> Blocks:
+    def open_random_access(self, path: str) -> RandomAccessFile:
         """Opens a file for random access, and creates it if it is missing."""
         ...
 
-    def append(self, path: str) -> Callable[[bytes], None]:
+    def open_appender(self, path: str) -> Callable[[bytes], None]:
         """Opens a file for appending and returns the function that appends to it.
 
         Each call writes all of its data before it returns, so killing the process loses nothing written
--- a/gorsethread/transport/real.py
+++ b/gorsethread/transport/real.py
@@ -230,7 +230,7 @@
             self._socket.close()
 
 
-class FileBlocks:
+class RealRandomAccessFile:
     """A file for random access."""
 
     def __init__(self, path: str) -> None:
@@ -253,7 +253,7 @@
         view = view[os.write(file, view) :]
 
 
-class RealJournal:
+class RealAppendOnlyFile:
     """An append-only file, written and flushed on a thread so that a slow disk does not block the loop."""
 
     def __init__(self, disk: Executor, path: str) -> None:
@@ -261,17 +261,17 @@
         self._file = os.open(path, os.O_WRONLY | os.O_APPEND)
         self._broken = False
 
-    async def add(self, data: bytes) -> None:
+    async def append(self, data: bytes) -> None:
         if self._broken:
             raise OSError(errno.EIO, "an earlier write failed")
         try:
-            await asyncio.get_running_loop().run_in_executor(self._disk, self._add, data)
+            await asyncio.get_running_loop().run_in_executor(self._disk, self._append, data)
         except OSError:
             # After a failed flush the system may drop the dirty pages, and the next flush would then succeed.
             self._broken = True
             raise
 
-    def _add(self, data: bytes) -> None:
+    def _append(self, data: bytes) -> None:
         _write_all(self._file, data)
         os.fdatasync(self._file)
 
@@ -405,7 +405,7 @@
             raise
         return RealDatagrams(self._loop, bound, on_datagram)
 
-    def chance(self, name: str) -> RandomStream:
+    def random_stream(self, name: str) -> RandomStream:
         return SeededRandom(f"{self._seed}/{name}")
 
     def load(self, path: str) -> bytes | None:
@@ -430,8 +430,8 @@
     async def save_durably(self, path: str, data: bytes) -> None:
         await self._loop.run_in_executor(self._disk_executor(), _save_durably, path, data)
 
-    def journal(self, path: str) -> RealJournal:
-        return RealJournal(self._disk_executor(), path)
+    def open_append_only(self, path: str) -> RealAppendOnlyFile:
+        return RealAppendOnlyFile(self._disk_executor(), path)
 
     def lock(self, path: str) -> Callable[[], None] | None:
         Path(path).parent.mkdir(parents=True, exist_ok=True)
@@ -453,10 +453,10 @@
         with contextlib.suppress(OSError):
             Path(path).unlink()
 
-    def blocks(self, path: str) -> FileBlocks:
-        return FileBlocks(path)
+    def open_random_access(self, path: str) -> RealRandomAccessFile:
+        return RealRandomAccessFile(path)
 
-    def append(self, path: str) -> Callable[[bytes], None]:
+    def open_appender(self, path: str) -> Callable[[bytes], None]:
         file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
 
         def add(data: bytes) -> None:
--- a/gorsethread/transport/virtual/datagrams.py
+++ b/gorsethread/transport/virtual/datagrams.py
@@ -35,13 +35,13 @@
         destination = network.ports.get(to)
         if destination is None or not self.transport.alive:
             return
-        chance = network.chance(f"datagrams {own_name} {destination.transport.name}")
-        for _ in range(2 if chance.random() < conditions.doubled else 1):
-            if chance.random() < conditions.lost or not network.reaches(own_name, destination.transport.name):
+        random = network.random_stream(f"datagrams {own_name} {destination.transport.name}")
+        for _ in range(2 if random.random() < conditions.doubled else 1):
+            if random.random() < conditions.lost or not network.reaches(own_name, destination.transport.name):
                 continue
-            delay = chance.uniform(conditions.min_delay, conditions.max_delay)
-            late = chance.random() < conditions.late
-            delay += chance.uniform(0.0, conditions.max_late_delay) if late else 0.0
+            delay = random.uniform(conditions.min_delay, conditions.max_delay)
+            late = random.random() < conditions.late
+            delay += random.uniform(0.0, conditions.max_late_delay) if late else 0.0
             network.loop.call_later(delay, self._arrive, to, data)
 
     def _arrive(self, to: tuple[str, int], data: bytes) -> None:
--- a/gorsethread/transport/virtual/disk.py
+++ b/gorsethread/transport/virtual/disk.py
@@ -23,7 +23,7 @@
         self.locks: dict[str, VirtualTransport] = {}
 
 
-class VirtualBlocks:
+class VirtualRandomAccessFile:
     """A simulated file for random access."""
 
     def __init__(self, file: bytearray) -> None:
@@ -38,30 +38,30 @@
         self._file[offset : offset + len(data)] = data
 
 
-class VirtualJournal:
+class VirtualAppendOnlyFile:
     """A simulated append-only file; a write in progress when its process ends is cut at a random byte."""
 
     def __init__(self, transport: "VirtualTransport", path: str, file: bytearray) -> None:
         self.transport, self.path, self._file = transport, path, file
-        self.adding = b""  # of the call of add() in progress
-        self._chance = transport.chance(f"journal {path}")
+        self._appending = b""  # of the call of append() in progress
+        self._random = transport.random_stream(f"journal {path}")
         self._broken = False
 
-    async def add(self, data: bytes) -> None:
-        self.adding = data
-        await self.transport.flush(self._chance)
-        self.adding = b""
+    async def append(self, data: bytes) -> None:
+        self._appending = data
+        await self.transport.flush(self._random)
+        self._appending = b""
         if self._broken or self.transport.name in self.transport.disk.broken:
             if not self._broken:
-                self._file.extend(data[: self._chance.randrange(len(data) + 1)])
+                self._file.extend(data[: self._random.randrange(len(data) + 1)])
             self._broken = True
             raise OSError(28, "No space left on device", self.path)
         self._file.extend(data)
 
     def tear_write(self) -> None:
         """Keeps a random part of the write in progress, because the process ends now."""
-        self._file.extend(self.adding[: self._chance.randrange(len(self.adding) + 1)])
-        self.adding = b""
+        self._file.extend(self._appending[: self._random.randrange(len(self._appending) + 1)])
+        self._appending = b""
 
     def close(self) -> None:
-        self.transport.journals.pop(self.path, None)
+        self.transport.append_only_files.pop(self.path, None)
--- a/gorsethread/transport/virtual/network.py
+++ b/gorsethread/transport/virtual/network.py
@@ -70,7 +70,7 @@
         self.extra_connect_delay: dict[str, float] = {}
         self.pipes: dict[int, Pipe] = {}
         self._stalled: dict[tuple[str, str], dict[int, Pipe]] = {}
-        self._draws: dict[str, SeededRandom] = {}
+        self._random_streams: dict[str, SeededRandom] = {}
         self._last_port = FIRST_PORT
         self._last_number = 0
         self.digest = xxhash.xxh3_64(seed=0)
@@ -81,11 +81,11 @@
         self.last_read_sent_at = 0.0
         self.last_written_pipe = 0
 
-    def chance(self, name: str) -> SeededRandom:
+    def random_stream(self, name: str) -> SeededRandom:
         """Returns the stream of random numbers of that name, which is made at its first use."""
-        if name not in self._draws:
-            self._draws[name] = SeededRandom(f"{self.seed}/{name}")
-        return self._draws[name]
+        if name not in self._random_streams:
+            self._random_streams[name] = SeededRandom(f"{self.seed}/{name}")
+        return self._random_streams[name]
 
     def next_number(self) -> int:
         """Returns a number that no pipe has had yet."""
--- a/gorsethread/transport/virtual/process.py
+++ b/gorsethread/transport/virtual/process.py
@@ -7,7 +7,7 @@
 from gorsethread.transport.base import Stream, Unreachable
 from gorsethread.transport.program import Program, SeededRandom
 from gorsethread.transport.virtual.datagrams import VirtualDatagrams
-from gorsethread.transport.virtual.disk import Disk, VirtualBlocks, VirtualJournal
+from gorsethread.transport.virtual.disk import Disk, VirtualAppendOnlyFile, VirtualRandomAccessFile
 from gorsethread.transport.virtual.loop import START_TIME, VirtualTimer, wake
 from gorsethread.transport.virtual.network import Network
 from gorsethread.transport.virtual.streams import Pipe, VirtualListener, VirtualStream
@@ -31,7 +31,7 @@
         alive: Whether the process runs.
         paused: Whether events from outside are held until resume().
         streams: The open ends of connections of this process.
-        journals: Append-only files by path; removed when they are closed.
+        append_only_files: Append-only files by path; removed when they are closed.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self._tasks: dict[int, asyncio.Task[None]] = {}  # a task that ends is removed
         self._listeners: list[VirtualListener] = []
         self._ports: list[VirtualDatagrams] = []
-        self.journals: dict[str, VirtualJournal] = {}
+        self.append_only_files: dict[str, VirtualAppendOnlyFile] = {}
         self._spawned = 0
         self._on_terminate: Callable[[], None] = self.finish
         self._on_reload: Callable[[], None] = self.kill  # the default action of SIGHUP
@@ -89,8 +89,8 @@
 
     def _die(self) -> None:
         if self.alive:
-            for journal in self.journals.values():
-                journal.tear_write()
+            for file in self.append_only_files.values():
+                file.tear_write()
         self.alive = False
         self._held_events.clear()
         for listener in self._listeners:
@@ -146,10 +146,10 @@
     async def connect(self, host: str, port: int, within: float) -> Stream:
         network, address = self.network, (host, port)
         deadline, retry_delay = network.loop.time() + within, SYN_RETRY_DELAY
-        chance = network.chance(f"connects {self.name}")
+        random = network.random_stream(f"connects {self.name}")
         while True:
             owner = network.machines.get(address, "")
-            delay = chance.uniform(network.conditions.min_delay, network.conditions.max_delay)
+            delay = random.uniform(network.conditions.min_delay, network.conditions.max_delay)
             delay += network.extra_connect_delay.get(owner, 0.0)
             reached = network.reaches(self.name, owner) and network.reaches(owner, self.name)
             wait = 2 * delay if reached else retry_delay
@@ -213,8 +213,8 @@
         """Sends SIGHUP to the process."""
         self.deliver(self._on_reload)
 
-    def chance(self, name: str) -> SeededRandom:
-        return self.network.chance(f"{self.name}: {name}")
+    def random_stream(self, name: str) -> SeededRandom:
+        return self.network.random_stream(f"{self.name}: {name}")
 
     def load(self, path: str) -> bytes | None:
         file = self.disk.files.get(path)
@@ -226,19 +226,19 @@
         if self.alive:
             self.disk.files[path] = bytearray(data)
 
-    async def flush(self, chance: SeededRandom) -> None:
+    async def flush(self, random: SeededRandom) -> None:
         """Waits for as long as a flush to the disk of this process takes."""
-        await self.sleep(chance.uniform(*FLUSH_SECONDS) + self.disk.slow.get(self.name, 0.0))
+        await self.sleep(random.uniform(*FLUSH_SECONDS) + self.disk.slow.get(self.name, 0.0))
 
     async def save_durably(self, path: str, data: bytes) -> None:
-        await self.flush(self.chance(f"keep {path}"))
+        await self.flush(self.random_stream(f"keep {path}"))
         self.save(path, data)
 
-    def journal(self, path: str) -> VirtualJournal:
+    def open_append_only(self, path: str) -> VirtualAppendOnlyFile:
         if path not in self.disk.files:
             raise OSError(2, "No such file or directory", path)
-        journal = self.journals[path] = VirtualJournal(self, path, self.disk.files[path])
-        return journal
+        file = self.append_only_files[path] = VirtualAppendOnlyFile(self, path, self.disk.files[path])
+        return file
 
     def lock(self, path: str) -> Callable[[], None] | None:
         holder = self.disk.locks.get(path)
@@ -259,10 +259,10 @@
     def remove(self, path: str) -> None:
         self.disk.files.pop(path, None)
 
-    def blocks(self, path: str) -> VirtualBlocks:
-        return VirtualBlocks(self.disk.files.setdefault(path, bytearray()))
+    def open_random_access(self, path: str) -> VirtualRandomAccessFile:
+        return VirtualRandomAccessFile(self.disk.files.setdefault(path, bytearray()))
 
-    def append(self, path: str) -> Callable[[bytes], None]:
+    def open_appender(self, path: str) -> Callable[[bytes], None]:
         file = self.disk.files.setdefault(path, bytearray())
 
         def add(data: bytes) -> None:
--- a/gorsethread/transport/virtual/streams.py
+++ b/gorsethread/transport/virtual/streams.py
@@ -37,8 +37,8 @@
 
     def send(self, data: bytes) -> None:
         conditions, now = self.network.conditions, self.network.loop.time()
-        chance = self.network.chance(f"way {self.sender.owner.name} {self.receiver.owner.name}")
-        delay = chance.uniform(conditions.min_delay, conditions.max_delay) + len(data) / conditions.bandwidth
+        random = self.network.random_stream(f"way {self.sender.owner.name} {self.receiver.owner.name}")
+        delay = random.uniform(conditions.min_delay, conditions.max_delay) + len(data) / conditions.bandwidth
         self._last_arrival = max(self._last_arrival, now + delay)
         self.in_flight.append((self._last_arrival, now, data))
         self.size += len(data)
@@ -78,8 +78,8 @@
         """Sends lost segments again after a cut has healed, with the delay of TCP's retransmission."""
         if self._timer_set or not self.in_flight:
             return
-        chance = self.network.chance(f"way {self.sender.owner.name} {self.receiver.owner.name}")
-        resent_at = self.network.loop.time() + chance.uniform(0.01, MAX_RESEND_DELAY)
+        random = self.network.random_stream(f"way {self.sender.owner.name} {self.receiver.owner.name}")
+        resent_at = self.network.loop.time() + random.uniform(0.01, MAX_RESEND_DELAY)
         self.in_flight = deque((max(resent_at, at), sent_at, data) for at, sent_at, data in self.in_flight)
         self._last_arrival = max(self._last_arrival, resent_at)
         self._set_timer()
@@ -137,9 +137,9 @@
             await self._read_waiter
         sent_at, data = self._received.popleft()
         size = len(data)
-        chance = self.network.chance(f"reads {self.owner.name}")
-        if size > 1 and chance.random() < self.network.conditions.split:
-            size = 1 + chance.randrange(size - 1)
+        random = self.network.random_stream(f"reads {self.owner.name}")
+        if size > 1 and random.random() < self.network.conditions.split:
+            size = 1 + random.randrange(size - 1)
             self._received.appendleft((sent_at, data[size:]))
         self.unread -= size
         self.network.last_read_sent_at = sent_at
--- a/tests/durable_log/test_records.py
+++ b/tests/durable_log/test_records.py
@@ -467,7 +467,7 @@
             files = {p.name: p.read_bytes() for p in Path(folder).iterdir()}
             self.assertEqual(199, len(recover(files, FLEET, GATEWAY).table.records))
             with self.assertRaises(OSError):
-                transport.journal(f"{folder}/none")
+                transport.open_append_only(f"{folder}/none")
 
         with tempfile.TemporaryDirectory() as folder:
             asyncio.run(work(f"{folder}/records"))
