--- a/tests/test_idle_shelves.py
+++ b/tests/test_idle_shelves.py
@@ -15,7 +15,7 @@
 from gorsethread.scheduling.model import AttemptOutcome
 from gorsethread.sitefile.reading import parse_site
 from tests.rig import SITE
-from tests.scheduling.test_same_decisions import Deaf, Link_
+from tests.scheduling.test_same_decisions import FakeClient, FakeLink
 from tests.virtual import ManualClock
 
 
@@ -30,7 +30,7 @@
         start_logs(False, "critical")
         clock, site = ManualClock(), parse_site(SITE)
         driver = Driver(clock, start_facts(site), 1, SitePlacement(site), lambda: None, log_for())  # type: ignore[arg-type]
-        links = {n: Link_() for n in range(shelves)}
+        links = {n: FakeLink() for n in range(shelves)}
         driver.links.update(links)  # type: ignore[arg-type]
         driver.shards.update({n: n for n in range(shelves)})
         driver.endpoints_listed([(n, 0, n, True, 0.0) for n in range(shelves)], True, True)
@@ -48,7 +48,7 @@
         try:
             for n in range(100):
                 driver.admit(
-                    Deaf(),
+                    FakeClient(),
                     Order(io_command(Opcode.READ, 1)),
                     request_class=0,
                     service_tier=0,
@@ -63,7 +63,7 @@
                     arrived=clock.time,
                 )
                 clock.advance_to(clock.time + 0.001)
-                f = links[n % 2].held.pop()
+                f = links[n % 2].attempts.pop()
                 f.ended = True
                 driver._ended(f, AttemptOutcome.SUCCEEDED, EMPTY_RESULT)
                 clock.advance_to(clock.time + 0.001)
