--- a/gorsethread/transport/base.py
+++ b/gorsethread/transport/base.py
@@ -10,7 +10,7 @@
 from gorsethread.errors import GorsethreadError
 
 MAX_READ_BYTES = 65_536  # the most that one read of a stream returns
-MAX_DATAGRAM_BYTES = 256  # the operators' platform carries no longer datagrams between gateways
+MAX_DATAGRAM_BYTES = 256  # the operators' platform does not carry longer datagrams between gateways
 
 
 class StreamClosed(GorsethreadError):
