--- a/gorsethread/experiments/alternating_load.py
+++ b/gorsethread/experiments/alternating_load.py
@@ -72,7 +72,7 @@
             self.out -= 1
             if self.stretch != stretch:
                 return
-            if not completion.honoured:
+            if not completion.succeeded:
                 self.failed += 1
             elif self.transport.now() >= self.start_at + stretch * STRETCH + EDGE:
                 self.honoured[stretch] += 1
--- a/gorsethread/experiments/bench_peers.py
+++ b/gorsethread/experiments/bench_peers.py
@@ -151,7 +151,7 @@
         def done(completion: Completion, _: bytes) -> None:
             self.out -= 1
             self.last = self.transport.now()
-            if completion.honoured:
+            if completion.succeeded:
                 self.done += 1
                 self.histogram.record_value(max(1, round((self.last - due) * 1e6)))
             else:
--- a/gorsethread/fakes/backend.py
+++ b/gorsethread/fakes/backend.py
@@ -9,7 +9,7 @@
 from gorsethread.fakes.backend_model import Job, Machine
 from gorsethread.fakes.discovery import Register
 from gorsethread.fakes.record import Fault, Recorder
-from gorsethread.nvme.command import Completion, Opcode, Status, tell_service
+from gorsethread.nvme.command import Completion, Opcode, Status, pack_service_report
 from gorsethread.nvme.subsystem import BLOCK, Namespace, Subsystem
 from gorsethread.nvme_gateway.scheduler_settings import Sorter, units_of
 from gorsethread.nvme_transport.controller_server import IoCommand, QueueServer
@@ -193,7 +193,7 @@
             if ran:
                 self._apply(io)
             self._saw_end(io, "error", ran)
-            io.answer(Completion(0, Status.INTERNAL_ERROR, final=True))
+            io.answer(Completion(0, Status.INTERNAL_ERROR, do_not_retry=True))
             return
         if profile.effect == pb.LABELLED and c.label:
             if c.label in self.doing:
@@ -240,7 +240,7 @@
         else:
             got = self._file(c.nsid).read(c.first_block * BLOCK, c.blocks * BLOCK)
         elsewhere, usage = self._count(c.nsid, _head(io), io.owned.units, now)
-        dw0, dw1 = tell_service(elsewhere, usage, now - job.begun)
+        dw0, dw1 = pack_service_report(elsewhere, usage, now - job.begun)
         self._saw_end(io, "honoured", c.opcode == Opcode.WRITE)
         io.answer(Completion(0, dw0=dw0, dw1=dw1), got)
         for repeat in self.doing.pop(c.label, []):
--- a/gorsethread/fakes/client.py
+++ b/gorsethread/fakes/client.py
@@ -145,7 +145,7 @@
             t.first_block,
             t.blocks,
             hints=t.hints,
-            patience=t.by - now,
+            client_timeout=t.by - now,
             attempt=self.attempt,
             shard=shard,
             label=t.label,
@@ -215,9 +215,9 @@
             if completion.status != Status.ABORT_REQUESTED:
                 self.client.recorder.saw("answered late", label=self.t.label, attempt=self.attempt)
             return
-        if completion.honoured:
+        if completion.succeeded:
             self.ended("honoured", completion, data)
-        elif completion.pushed_back:
+        elif completion.rejected:
             self.ended("pushed back", completion, data)
         else:
             self.ended("given up", completion, data)
--- a/gorsethread/fakes/web/backend.py
+++ b/gorsethread/fakes/web/backend.py
@@ -8,7 +8,7 @@
 from gorsethread.fakes.web.messages import ATTEMPTS, HEADS_FROM, body_of, id_of
 from gorsethread.http1.framing import InvalidRequestError
 from gorsethread.http1.server_codec import Request, ServerCodec, closing_response
-from gorsethread.nvme.command import Command, Completion, Opcode, Status, io_command, told_service
+from gorsethread.nvme.command import Command, Completion, Opcode, Status, io_command, unpack_service_report
 from gorsethread.nvme.subsystem import BLOCK
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.base import Stream, StreamClosed
@@ -69,9 +69,9 @@
 
     def answer(self, io: WebIo, completion: Completion) -> None:
         self.io = None
-        if completion.pushed_back:
+        if completion.rejected:
             self.say(503, [(b"srv-declined", b"1")], b"")
-        elif not completion.honoured:
+        elif not completion.succeeded:
             self.say(500, [], b"")
         elif (noise := self.shelf.noise()) is not None:
             if noise in self.shelf.noises[GOOD:]:
@@ -81,7 +81,7 @@
             if noise is self.shelf.noises[ENDS]:
                 self.stream.close()
         else:
-            elsewhere, usage, _ = told_service(completion)
+            elsewhere, usage, _ = unpack_service_report(completion)
             headers = [(b"other-hosts", b"%d" % elsewhere), (b"volume-load", b"%d" % usage)]
             self.say(200, headers, self.shelf.body_for(io))
 
--- a/gorsethread/fakes/web/clients.py
+++ b/gorsethread/fakes/web/clients.py
@@ -176,7 +176,7 @@
             after = float(answer.header(b"retry-after") or 0.0)
             self.ended("pushed back", Completion(0, Status.COMMAND_INTERRUPTED, dw1=round(after * 1000)), b"")
         else:
-            self.ended("given up", Completion(0, Status.INTERNAL_ERROR, final=True), b"")
+            self.ended("given up", Completion(0, Status.INTERNAL_ERROR, do_not_retry=True), b"")
 
     def misread(self, data: bytes) -> int:
         return data.split(b" ")[0] != id_of(self.t.label, self.attempt).encode()
--- a/gorsethread/nvme/command.py
+++ b/gorsethread/nvme/command.py
@@ -125,12 +125,12 @@
         return self.cdw13 & 0xFF
 
     @property
-    def patience(self) -> float:
+    def client_timeout(self) -> float:
         """Seconds the client waits for this command; 0: as its profile says."""
         return self.cdw2 / 1000.0
 
     @property
-    def repeat(self) -> bool:
+    def is_retry(self) -> bool:
         return bool(self.cdw3 & 1)
 
     @property
@@ -139,7 +139,7 @@
         return self.cdw3 >> 1 & 0x7F
 
     @property
-    def named_shard(self) -> int:
+    def shard_hint(self) -> int:
         """The shard the client was told holds this extent; -1: it names none."""
         return (self.cdw3 >> 16) - 1
 
@@ -165,16 +165,16 @@
     blocks: int = 1,
     *,
     hints: int = 0,
-    patience: float = 0.0,
+    client_timeout: float = 0.0,
     attempt: int = 0,
     shard: int = -1,
     label: int = 0,
 ) -> Command:
-    """A Read, Write or Flush; patience in seconds, the free fields left 0 where not given."""
+    """A Read, Write or Flush; client_timeout in seconds, the free fields left 0 where not given."""
     return Command(
         opcode,
         nsid=volume,
-        cdw2=round(patience * 1000),
+        cdw2=round(client_timeout * 1000),
         metadata=label,
         cdw3=(1 if attempt else 0) | (attempt & 0x7F) << 1 | (shard + 1) << 16,
         cdw10=first_block & 0xFFFFFFFF,
@@ -189,7 +189,7 @@
 
     cid: int
     status: int = Status.SUCCESS
-    final: bool = False  # do not retry
+    do_not_retry: bool = False  # the DNR bit
     retry: int = 0
     dw0: int = 0
     dw1: int = 0
@@ -202,17 +202,17 @@
     def pack_as(self, cid: int, sq_head: int, queue: int) -> bytes:
         """The entry as a queue sends it for one of its commands."""
         code = (self.status & 0xFF) << 1 | (self.status >> 8 & 7) << 9
-        field = code | (self.retry & 3) << 12 | (0x8000 if self.final else 0)
+        field = code | (self.retry & 3) << 12 | (0x8000 if self.do_not_retry else 0)
         return CQE.pack(self.dw0, self.dw1, sq_head, queue, cid, field)
 
     @property
-    def honoured(self) -> bool:
+    def succeeded(self) -> bool:
         return self.status == Status.SUCCESS
 
     @property
-    def pushed_back(self) -> bool:
+    def rejected(self) -> bool:
         """Never ran and may come again: Command Interrupted with do-not-retry clear."""
-        return self.status == Status.COMMAND_INTERRUPTED and not self.final
+        return self.status == Status.COMMAND_INTERRUPTED and not self.do_not_retry
 
 
 def unpack_completion(raw: bytes) -> Completion:
@@ -224,11 +224,11 @@
 # What a shelf tells in the completion of a Read or Write: dw0 holds units served elsewhere (low half) and
 # usage (high half: 0 or 1 + percent), dw1 its own service time in microseconds. A head tells its clients
 # 1 + the shard that holds the extent in dw0, and the return time of a push-back in milliseconds in dw1.
-def tell_service(elsewhere: int, usage: int, seconds: float) -> tuple[int, int]:
+def pack_service_report(elsewhere: int, usage: int, seconds: float) -> tuple[int, int]:
     return min(elsewhere, 0xFFFF) | min(usage, 0xFFFF) << 16, min(round(seconds * 1e6), 0xFFFFFFFF)
 
 
-def told_service(c: Completion) -> tuple[int, int, float]:
+def unpack_service_report(c: Completion) -> tuple[int, int, float]:
     """Units served elsewhere, usage (0: none told), seconds in work at the shelf."""
     return c.dw0 & 0xFFFF, c.dw0 >> 16, c.dw1 / 1e6
 
--- a/gorsethread/nvme/controller_queue.py
+++ b/gorsethread/nvme/controller_queue.py
@@ -144,8 +144,8 @@
             self._decoder.agree(pdu.header_digest, pdu.data_digest)
             self._encoder.header_digest, self._encoder.data_digest = pdu.header_digest, pdu.data_digest
 
-    def _refuse(self, cid: int, status: Status, final: bool = True) -> None:
-        self.respond(Completion(cid, status, final))
+    def _refuse(self, cid: int, status: Status, do_not_retry: bool = True) -> None:
+        self.respond(Completion(cid, status, do_not_retry))
 
     def _take_command(self, command: Command, data: bytes, intact: bool) -> None:
         cid = command.cid
@@ -160,9 +160,9 @@
         over = len(self._open) >= self.size
         self._open.add(cid)
         if over:
-            self._refuse(cid, Status.COMMAND_INTERRUPTED, final=False)
+            self._refuse(cid, Status.COMMAND_INTERRUPTED, do_not_retry=False)
         elif not intact:
-            self._refuse(cid, Status.TRANSIENT_TRANSPORT_ERROR, final=False)
+            self._refuse(cid, Status.TRANSIENT_TRANSPORT_ERROR, do_not_retry=False)
         elif not command.to_controller or not command.sgl_length:
             # The opcode permits data to the controller; the length says whether there is any.
             if data:
@@ -234,4 +234,4 @@
             if incoming.intact:
                 self._taken(incoming.command, bytes(incoming.data))
             else:
-                self._refuse(pdu.cid, Status.TRANSIENT_TRANSPORT_ERROR, final=False)
+                self._refuse(pdu.cid, Status.TRANSIENT_TRANSPORT_ERROR, do_not_retry=False)
--- a/gorsethread/nvme/host_queue.py
+++ b/gorsethread/nvme/host_queue.py
@@ -139,7 +139,7 @@
             return
         if (
             out.incoming is not None
-            and completion.honoured
+            and completion.succeeded
             and (out.incoming and out.expected or not out.intact)
         ):
             wrong = Status.DATA_TRANSFER_ERROR if out.expected else Status.TRANSIENT_TRANSPORT_ERROR
--- a/gorsethread/nvme/subsystem.py
+++ b/gorsethread/nvme/subsystem.py
@@ -66,7 +66,7 @@
 
 
 def _fail(cid: int, status: Status) -> Answer:
-    return Answer(Completion(cid, status, final=True))
+    return Answer(Completion(cid, status, do_not_retry=True))
 
 
 class Subsystem:
--- a/gorsethread/nvme_gateway/backend_link.py
+++ b/gorsethread/nvme_gateway/backend_link.py
@@ -9,7 +9,7 @@
 from typing import Any, NamedTuple
 
 from gorsethread.gateway.attempts import EMPTY_RESULT, Attempt, AttemptResult
-from gorsethread.nvme.command import Command, Completion, Status, told_service
+from gorsethread.nvme.command import Command, Completion, Status, unpack_service_report
 from gorsethread.nvme_transport.host_connection import Association, Names, dial
 from gorsethread.scheduling.model import AttemptOutcome
 from gorsethread.transport.base import Transport, Unreachable
@@ -150,8 +150,8 @@
         self.out.pop(f.cid, None)
         if self.signs is not None:
             self.signs.answer_received()
-        elsewhere, usage, service = told_service(completion)
-        if completion.pushed_back:
+        elsewhere, usage, service = unpack_service_report(completion)
+        if completion.rejected:
             how = AttemptOutcome.REJECTED
         else:
             how = ENDINGS.get(completion.status, AttemptOutcome.ERROR)
--- a/gorsethread/nvme_gateway/client_side.py
+++ b/gorsethread/nvme_gateway/client_side.py
@@ -71,7 +71,7 @@
     def failed(self) -> None:
         self.taken = None
         self.side.log.debug("given up", volume=self.io.command.nsid)
-        self.io.answer(Completion(0, Status.INTERNAL_ERROR, final=True))
+        self.io.answer(Completion(0, Status.INTERNAL_ERROR, do_not_retry=True))
 
 
 class Known(NamedTuple):
@@ -122,7 +122,7 @@
         plan = self._volumes[command.nsid].plan
         profile = self._sorter.profile(plan, command.opcode, command.blocks * BLOCK, command.hints)
         most = self._deadlines[profile]
-        patience = min(command.patience, most) if command.patience else most
+        patience = min(command.client_timeout, most) if command.client_timeout else most
         waiting = Awaiting(self, io, profile, io.arrived + max(MILLISECOND, patience - self._slack))
         io.owned = waiting
         if command.opcode == Opcode.WRITE and command.sgl_type != SGL_IN_CAPSULE:
@@ -144,9 +144,9 @@
                 return
             waiting.data = data
         shard = self.placement.shard_of(volume.number, extent)
-        if shard == UNPLACED and command.named_shard in self._shards:
+        if shard == UNPLACED and command.shard_hint in self._shards:
             # The client was told where the extent lies, by a head that knew.
-            shard = command.named_shard
+            shard = command.shard_hint
             self.placement.placed(volume.number, extent, shard)
             if self.placement_log is not None:
                 self.placement_log.placed((volume.number, extent), shard, lambda kept: None)
@@ -179,7 +179,7 @@
             units=float(units_of(length, self._unit_bytes)),
             shard=shard,
             gateways=volume.heads,
-            is_retry=command.repeat,
+            is_retry=command.is_retry,
             arrived=io.arrived,
             data_followed=waiting.timer is not None,
         )
--- a/gorsethread/nvme_transport/controller_server.py
+++ b/gorsethread/nvme_transport/controller_server.py
@@ -98,7 +98,7 @@
         if io is None:
             return False
         self.server.owner.left(io)
-        self.queue.respond(Completion(cid, Status.ABORT_REQUESTED, final=True))
+        self.queue.respond(Completion(cid, Status.ABORT_REQUESTED, do_not_retry=True))
         return True
 
     def _announced(self, command: Command) -> bool:
@@ -106,13 +106,13 @@
         controller = self.controller
         if controller is None:
             if command.opcode != Opcode.FABRICS or command.nsid & 0xFF != Fabrics.CONNECT:
-                self.queue.respond(Completion(command.cid, Status.COMMAND_SEQUENCE_ERROR, final=True))
+                self.queue.respond(Completion(command.cid, Status.COMMAND_SEQUENCE_ERROR, do_not_retry=True))
                 return False
             return True
         if self.queue.number == 0:
             return True
         if command.opcode == Opcode.FABRICS:
-            self.queue.respond(Completion(command.cid, Status.INVALID_OPCODE, final=True))
+            self.queue.respond(Completion(command.cid, Status.INVALID_OPCODE, do_not_retry=True))
             return False
         if refusal := self.server.subsystem.check_io(controller, command):
             self._give(refusal)
--- a/gorsethread/nvme_transport/host_connection.py
+++ b/gorsethread/nvme_transport/host_connection.py
@@ -96,7 +96,7 @@
 
     async def must(self, command: Command, data: bytes = b"", read: int = 0) -> tuple[Completion, bytes]:
         completion, got = await self.call(command, data, read)
-        if not completion.honoured:
+        if not completion.succeeded:
             raise Refused(f"opcode 0x{command.opcode:02x} ended with status 0x{completion.status:03x}")
         return completion, got
 
--- a/gorsethread/simulation/mutants.py
+++ b/gorsethread/simulation/mutants.py
@@ -230,7 +230,7 @@
 
         def done(f: Attempt, completion: Completion, data: bytes) -> None:
             if completion.status == Status.INTERNAL_ERROR:
-                completion = completion._replace(status=Status.SUCCESS, final=False)
+                completion = completion._replace(status=Status.SUCCESS, do_not_retry=False)
             honest(f, completion, data)
 
         _override(link, "_done", done)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -246,7 +246,7 @@
         except Exception:
             client.saw("answer", label=label, attempt=attempt, how="left", status=-1, wrong=0)
             raise
-        how = "honoured" if done.honoured else "pushed back" if done.pushed_back else "given up"
+        how = "honoured" if done.succeeded else "pushed back" if done.rejected else "given up"
         client.saw("answer", label=label, attempt=attempt, how=how, status=done.status, wrong=0)
         return how, done, got
 
--- a/tests/scheduling/test_same_decisions.py
+++ b/tests/scheduling/test_same_decisions.py
@@ -268,7 +268,7 @@
             units=float(1 + generator.randrange(8)),
             shard=shard,
             gateways=1,
-            is_retry=command.repeat,
+            is_retry=command.is_retry,
             arrived=driver.transport.now(),
         )
 
--- a/tests/test_nvme.py
+++ b/tests/test_nvme.py
@@ -69,7 +69,7 @@
 class Layout(unittest.TestCase):
     def test_submission_entry_as_published(self) -> None:
         raw = io_command(
-            Opcode.WRITE, 7, 0x123456789, 3, hints=0x10, patience=1.5, attempt=1, label=99
+            Opcode.WRITE, 7, 0x123456789, 3, hints=0x10, client_timeout=1.5, attempt=1, label=99
         ).pack()
         self.assertEqual(64, len(raw))
         self.assertEqual((1, 7), (raw[0], struct.unpack_from("<I", raw, 4)[0]))
@@ -111,9 +111,9 @@
 
     @given(u16, st.integers(0, 0x7FF), st.booleans(), st.integers(0, 3), u32, u32)
     def test_completions_come_back(
-        self, cid: int, status: int, final: bool, retry: int, a: int, b: int
+        self, cid: int, status: int, do_not_retry: bool, retry: int, a: int, b: int
     ) -> None:
-        completion = Completion(cid, status, final, retry, a, b, 5, 1)
+        completion = Completion(cid, status, do_not_retry, retry, a, b, 5, 1)
         self.assertEqual(completion, unpack_completion(completion.pack()))
 
 
@@ -219,7 +219,7 @@
         pair.to_controller[-50] ^= 1
         pair.carry()
         self.assertEqual(
-            [(Status.TRANSIENT_TRANSPORT_ERROR, False)], [(c.status, c.final) for c, _ in pair.done]
+            [(Status.TRANSIENT_TRANSPORT_ERROR, False)], [(c.status, c.do_not_retry) for c, _ in pair.done]
         )
         self.assertEqual([], pair.taken + pair.ended)
 
--- a/tests/test_nvme_gateway.py
+++ b/tests/test_nvme_gateway.py
@@ -36,7 +36,7 @@
             how, _, data = await self.send(client, Opcode.READ, block=block, blocks=blocks)
             self.assertEqual(("honoured", stamped(self.label - 1, 1, block, blocks)), (how, data))
         done, _ = await client.io.call(io_command(Opcode.FLUSH, 1))
-        self.assertTrue(done.honoured)
+        self.assertTrue(done.succeeded)
         self.judged()
 
     async def test_a_new_extent_stays_where_it_was_first_written(self) -> None:
@@ -64,7 +64,7 @@
         ]
         for command, read, status in cases:
             done, _ = await client.io.call(command, read=read)
-            self.assertEqual((status, True), (done.status, done.final))
+            self.assertEqual((status, True), (done.status, done.do_not_retry))
         self.assertEqual([], self.arrivals())
 
     async def test_a_host_nobody_knows_is_not_let_in(self) -> None:
@@ -125,7 +125,7 @@
         await self.until(lambda: took)
         self.shelves[0].die()
         how, done, _ = await sent
-        self.assertEqual(("given up", True), (how, done.final))
+        self.assertEqual(("given up", True), (how, done.do_not_retry))
         self.start_shelf(0)
         # Another transaction of that shelf gets through again; the write must not have come with it.
         write = self.label
