--- a/gorsethread/experiments/alternating_load.py
+++ b/gorsethread/experiments/alternating_load.py
@@ -12,7 +12,7 @@
 from gorsethread.fakes.client import stamped
 from gorsethread.nvme.command import Completion, Opcode, io_command
 from gorsethread.nvme.subsystem import BLOCK
-from gorsethread.nvme_transport.host_connection import Association, Names, dial
+from gorsethread.nvme_transport.host_connection import Association, AssociationNames, connect_association
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import Transport
@@ -44,9 +44,11 @@
 
     async def run(self) -> dict[str, Any]:
         for site in self.sites:
-            names = Names(site.subsystem, site.tenant[0].host[0])
+            names = AssociationNames(site.subsystem, site.tenant[0].host[0])
             self.associations.append(
-                await dial(self.transport, split_address(site.head[0].address), names, within=5.0, size=128)
+                await connect_association(
+                    self.transport, split_address(site.head[0].address), names, within=5.0, size=128
+                )
             )
         for stretch in range(self.stretches):
             at = self.start_at + stretch * STRETCH
--- a/gorsethread/experiments/bench_peers.py
+++ b/gorsethread/experiments/bench_peers.py
@@ -13,7 +13,7 @@
 from gorsethread.nvme_gateway.backend_link import BackendLink, Order
 from gorsethread.nvme_gateway.extent_placement import SitePlacement
 from gorsethread.nvme_transport.controller_server import IoCommand, QueueServer
-from gorsethread.nvme_transport.host_connection import Association, Names, dial
+from gorsethread.nvme_transport.host_connection import Association, AssociationNames, connect_association
 from gorsethread.scheduling.model import AttemptOutcome
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.reading import split_address
@@ -28,7 +28,7 @@
     def __init__(self, transport: Transport, site: pb.Site, number: int, log: Any) -> None:
         self.transport, self.site, self.number = transport, site, number
         self.placement = SitePlacement(site)
-        names = Names(site.subsystem, f"nqn.2026-12.org.gorsethread:head:{number}")
+        names = AssociationNames(site.subsystem, f"nqn.2026-12.org.gorsethread:head:{number}")
         known = site.links
         self.links = {
             s.shard: BackendLink(
@@ -58,9 +58,9 @@
         self._listener.close()
         self.server.stop("the relay ends")
 
-    def announced(self, io: IoCommand) -> None: ...
+    def command_announced(self, io: IoCommand) -> None: ...
 
-    def taken(self, io: IoCommand, data: bytes) -> None:
+    def command_received(self, io: IoCommand, data: bytes) -> None:
         c = io.command
         extent = c.first_block // self.volumes[c.nsid].extent_blocks
         link = self.links[self.placement.shard_of(c.nsid, extent)]
@@ -72,7 +72,7 @@
         read = 0 if data else c.blocks * BLOCK
         link.send(Attempt(0, 0, link.shelf, self.transport.now(), Order(c, data, read), ended))
 
-    def left(self, io: IoCommand) -> None: ...
+    def command_abandoned(self, io: IoCommand) -> None: ...
 
 
 TOLD = Completion(0, dw1=20)  # a service time of 20 microseconds, as shelves tell theirs
@@ -81,13 +81,13 @@
 class Sink(Shelf):
     """A shelf without a machine: what comes is answered at once."""
 
-    def announced(self, io: IoCommand) -> None: ...
+    def command_announced(self, io: IoCommand) -> None: ...
 
-    def taken(self, io: IoCommand, data: bytes) -> None:
+    def command_received(self, io: IoCommand, data: bytes) -> None:
         c = io.command
         io.answer(TOLD, b"" if data else bytes(c.blocks * BLOCK))
 
-    def left(self, io: IoCommand) -> None: ...
+    def command_abandoned(self, io: IoCommand) -> None: ...
 
 
 class Load:
@@ -105,9 +105,11 @@
         self.last = start_at
 
     async def run(self) -> dict[str, Any]:
-        names = Names(self.site.subsystem, self.site.tenant[0].host[0])
+        names = AssociationNames(self.site.subsystem, self.site.tenant[0].host[0])
         address = split_address(self.site.head[0].address)
-        self.association: Association = await dial(self.transport, address, names, within=5.0, size=128)
+        self.association: Association = await connect_association(
+            self.transport, address, names, within=5.0, size=128
+        )
         await self.transport.sleep(max(0.0, self.first - self.transport.now()))
         if self.rate:
             await self._open_loop()
--- a/gorsethread/fakes/backend.py
+++ b/gorsethread/fakes/backend.py
@@ -131,11 +131,11 @@
         _, mark, number = host.rpartition(HEAD_NAME)
         return self.namespaces if mark and number.isdigit() else None
 
-    def announced(self, io: IoCommand) -> None:
+    def command_announced(self, io: IoCommand) -> None:
         """Stamped as the capsule comes, before anything else is known of it."""
         c = io.command
         units = units_of(c.blocks * BLOCK, self.site.links.unit_bytes)
-        io.owned = Held(units)
+        io.owner_state = Held(units)
         self.recorder.saw(
             "arrived",
             shelf=self.number,
@@ -154,19 +154,19 @@
             self.stop()
             self.fell()
 
-    def taken(self, io: IoCommand, data: bytes) -> None:
+    def command_received(self, io: IoCommand, data: bytes) -> None:
         if self.machine.fallen:
             return
-        io.owned.data = data
+        io.owner_state.data = data
         if self.machine.is_still(self.transport.now()):
             self.silent.append(io)
             return
         self._offer(io)
         self._look()
 
-    def left(self, io: IoCommand) -> None:
+    def command_abandoned(self, io: IoCommand) -> None:
         """An abort drops what has not begun; after a lost connection the work goes on, as a disk's would."""
-        if not io.connection.queue.over:
+        if not io.connection.queue.closed:
             self._withdraw(io)
 
     def _withdraw(self, io: IoCommand) -> None:
@@ -204,7 +204,7 @@
                 io.answer(Completion(0))
                 return
         put_off = self.site.machine.put_off if c.opcode == Opcode.WRITE else 0.0
-        job = Job(io, io.owned.units * self.site.machine.unit_time, put_off)
+        job = Job(io, io.owner_state.units * self.site.machine.unit_time, put_off)
         if not self.machine.offer(now, job):
             self._saw_end(io, "turned away", False)
             io.answer(Completion(0, Status.COMMAND_INTERRUPTED))
@@ -239,7 +239,7 @@
             self._apply(io)
         else:
             got = self._file(c.nsid).read(c.first_block * BLOCK, c.blocks * BLOCK)
-        elsewhere, usage = self._count(c.nsid, _head(io), io.owned.units, now)
+        elsewhere, usage = self._count(c.nsid, _head(io), io.owner_state.units, now)
         dw0, dw1 = pack_service_report(elsewhere, usage, now - job.begun)
         self._saw_end(io, "honoured", c.opcode == Opcode.WRITE)
         io.answer(Completion(0, dw0=dw0, dw1=dw1), got)
@@ -248,7 +248,7 @@
             repeat.answer(Completion(0))
 
     def _apply(self, io: IoCommand) -> None:
-        self._file(io.command.nsid).write(io.command.first_block * BLOCK, io.owned.data)
+        self._file(io.command.nsid).write(io.command.first_block * BLOCK, io.owner_state.data)
         self.recorder.saw("ran", shelf=self.number, label=io.command.label, attempt=io.command.attempt)
 
     def _file(self, volume: int) -> RandomAccessFile:
--- a/gorsethread/fakes/client.py
+++ b/gorsethread/fakes/client.py
@@ -14,7 +14,7 @@
 from gorsethread.nvme.command import Completion, Opcode, Status, io_command
 from gorsethread.nvme.subsystem import BLOCK
 from gorsethread.nvme_gateway.scheduler_settings import Sorter, units_of
-from gorsethread.nvme_transport.host_connection import Association, Names, dial
+from gorsethread.nvme_transport.host_connection import Association, AssociationNames, connect_association
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import Timer, Transport, Unreachable
@@ -59,7 +59,9 @@
 class HeadLink:
     """The association with one head, made anew whenever it breaks."""
 
-    def __init__(self, transport: Transport, number: int, address: tuple[str, int], names: Names) -> None:
+    def __init__(
+        self, transport: Transport, number: int, address: tuple[str, int], names: AssociationNames
+    ) -> None:
         self.transport, self.number, self.address, self.names = transport, number, address, names
         self.association: Association | None = None
         self.open: dict[int, Try] = {}  # by command id; emptied by answers or the connection's end
@@ -67,7 +69,9 @@
     async def keep(self) -> None:
         while True:
             try:
-                made = await dial(self.transport, self.address, self.names, within=2.0, size=QUEUE)
+                made = await connect_association(
+                    self.transport, self.address, self.names, within=2.0, size=QUEUE
+                )
             except Unreachable:
                 await self.transport.sleep(0.2)
                 continue
@@ -133,7 +137,7 @@
     def send(self) -> bool:
         """False: there is no connection or no room on it, or no time left, and nothing was sent."""
         association, t, client = self.link.association, self.t, self.client
-        if association is None or len(association.io.queue) >= QUEUE or association.io.queue.over:
+        if association is None or len(association.io.queue) >= QUEUE or association.io.queue.closed:
             return False
         now = client.transport.now()
         if now >= t.by:
@@ -266,7 +270,7 @@
         self.leaves = LEAVES
 
     def _link(self, head: pb.Head) -> Any:
-        names = Names(self.site.subsystem, self.me.host[0])
+        names = AssociationNames(self.site.subsystem, self.me.host[0])
         return HeadLink(self.transport, head.number, split_address(head.address), names)
 
     def _one_try(self, t: Transaction, attempt: int, link: Any) -> Try:
--- a/gorsethread/fakes/web/backend.py
+++ b/gorsethread/fakes/web/backend.py
@@ -20,12 +20,12 @@
 class WebIo:
     """A request at a shelf, in the shape that the machine behind it knows."""
 
-    __slots__ = ("command", "host", "owned", "target", "connection", "answered")
+    __slots__ = ("command", "host", "owner_state", "target", "connection", "answered")
 
     def __init__(self, connection: "ShelfConnection", command: Command, head: int, target: bytes) -> None:
         self.connection, self.command, self.target = connection, command, target
         self.host = f"{HEAD_NAME}{head}"
-        self.owned: Any = None
+        self.owner_state: Any = None
         self.answered = False
 
     def answer(self, completion: Completion, data: bytes = b"") -> None:
@@ -166,13 +166,13 @@
         if request.body != (body_of(id, units) if write else b""):
             self.recorder.saw("bad request", shelf=self.number, reason="not the body that the client sent")
         io = connection.io = WebIo(connection, command, connection.head, request.target)
-        self.announced(io)  # type: ignore[arg-type]
-        io.owned = Held(units, request.body)
+        self.command_announced(io)  # type: ignore[arg-type]
+        io.owner_state = Held(units, request.body)
         if shard not in (-1, self.me.shard):
             self._saw_end(io, "turned away", False)  # type: ignore[arg-type]
             io.answer(Completion(0, Status.COMMAND_INTERRUPTED))
             return
-        self.taken(io, request.body)  # type: ignore[arg-type]
+        self.command_received(io, request.body)  # type: ignore[arg-type]
 
     def given_up(self, io: WebIo) -> None:
         """Its connection has ended: what has not begun is dropped, what runs runs on."""
--- a/gorsethread/nvme/controller_queue.py
+++ b/gorsethread/nvme/controller_queue.py
@@ -73,20 +73,20 @@
         self._waiting: deque[int] = deque()  # commands whose first R2T waits for room
         self._held = 0
         self._head = 0
-        self.over = False
+        self.closed = False
 
     def __len__(self) -> int:
         return len(self._open)
 
     def feed(self, data: bytes) -> None:
         for pdu in self._decoder.feed(data):
-            if self.over:
+            if self.closed:
                 return
             self._take(pdu)
 
     def close(self, reason: str) -> None:
-        if not self.over:
-            self.over = True
+        if not self.closed:
+            self.closed = True
             self._incoming.clear()
             self._waiting.clear()
             self._ended(reason)
@@ -97,7 +97,7 @@
 
     def answer(self, cid: int, completion: Completion, data: bytes = b"") -> None:
         """respond() for the command of that id, whatever id the completion carries."""
-        if self.over or cid not in self._open:
+        if self.closed or cid not in self._open:
             return
         self._open.discard(cid)
         self._drop_incoming(cid)
--- a/gorsethread/nvme/host_queue.py
+++ b/gorsethread/nvme/host_queue.py
@@ -67,7 +67,7 @@
         self._most_h2c = 0
         self._out: dict[int, _Out] = {}
         self._next = 0
-        self.over = False
+        self.closed = False
         send(initialize(PduType.IC_REQ, digests, digests, 0))
 
     def __len__(self) -> int:
@@ -92,14 +92,14 @@
 
     def feed(self, data: bytes) -> None:
         for pdu in self._decoder.feed(data):
-            if self.over:
+            if self.closed:
                 return
             self._take(pdu)
 
     def close(self, reason: str) -> None:
         """The stream is gone: every command out ends without a completion, told by ended alone."""
-        if not self.over:
-            self.over = True
+        if not self.closed:
+            self.closed = True
             self._out.clear()
             self._ended(reason)
 
--- a/gorsethread/nvme_gateway/backend_link.py
+++ b/gorsethread/nvme_gateway/backend_link.py
@@ -10,7 +10,7 @@
 
 from gorsethread.gateway.attempts import EMPTY_RESULT, Attempt, AttemptResult
 from gorsethread.nvme.command import Command, Completion, Status, unpack_service_report
-from gorsethread.nvme_transport.host_connection import Association, Names, dial
+from gorsethread.nvme_transport.host_connection import Association, AssociationNames, connect_association
 from gorsethread.scheduling.model import AttemptOutcome
 from gorsethread.transport.base import Transport, Unreachable
 
@@ -33,7 +33,7 @@
     transport: Transport
     shelf: int
     address: tuple[str, int]
-    names: Names
+    names: AssociationNames
     connect_within: float
     queue_size: int
     digests: bool
@@ -92,7 +92,7 @@
         if self.signs is not None:
             self.signs.request_sent()
         try:
-            association = await dial(
+            association = await connect_association(
                 self.transport,
                 self.address,
                 self.names,
@@ -110,7 +110,7 @@
         self.connecting = False
         if self.closed:
             association.close()
-        if self.closed or association.io.queue.over or association.admin.queue.over:
+        if self.closed or association.io.queue.closed or association.admin.queue.closed:
             waiting, self.waiting = self.waiting, []
             for f in waiting:
                 self._end(f, AttemptOutcome.UNREACHABLE)
--- a/gorsethread/nvme_gateway/client_side.py
+++ b/gorsethread/nvme_gateway/client_side.py
@@ -113,7 +113,7 @@
         self.placement_log: PlacementLog | None = None  # where what is placed is to last
         self.branch: Any = None  # of a branch's head: gorsethread/nvme_gateway/offline/offline_writes.py
 
-    def announced(self, io: IoCommand) -> None:
+    def command_announced(self, io: IoCommand) -> None:
         command = io.command
         if self.draining:
             # Ending in order: what was not taken may safely come again, at another head.
@@ -124,7 +124,7 @@
         most = self._deadlines[profile]
         patience = min(command.client_timeout, most) if command.client_timeout else most
         waiting = Awaiting(self, io, profile, io.arrived + max(MILLISECOND, patience - self._slack))
-        io.owned = waiting
+        io.owner_state = waiting
         if command.opcode == Opcode.WRITE and command.sgl_type != SGL_IN_CAPSULE:
             waiting.timer = self.transport.call_at(waiting.deadline, lambda: self._never_came(waiting))
 
@@ -133,8 +133,8 @@
         if waiting.taken is None:
             waiting.io.answer(Completion(0, Status.DATA_TRANSFER_ERROR))
 
-    def taken(self, io: IoCommand, data: bytes) -> None:
-        command, waiting = io.command, io.owned
+    def command_received(self, io: IoCommand, data: bytes) -> None:
+        command, waiting = io.command, io.owner_state
         if waiting.timer:
             waiting.timer.cancel()
         volume = self._volumes[command.nsid]
@@ -184,8 +184,8 @@
             data_followed=waiting.timer is not None,
         )
 
-    def left(self, io: IoCommand) -> None:
-        waiting = io.owned
+    def command_abandoned(self, io: IoCommand) -> None:
+        waiting = io.owner_state
         if waiting is None:
             return
         if waiting.timer:
--- a/gorsethread/nvme_gateway/gateway.py
+++ b/gorsethread/nvme_gateway/gateway.py
@@ -22,7 +22,7 @@
 from gorsethread.nvme_gateway.replicated_log import ReplicatedLog
 from gorsethread.nvme_gateway.scheduler_settings import start_facts
 from gorsethread.nvme_transport.controller_server import QueueServer
-from gorsethread.nvme_transport.host_connection import Names
+from gorsethread.nvme_transport.host_connection import AssociationNames
 from gorsethread.recovery.spacing import ConnectionSlots
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.reading import split_address
@@ -44,7 +44,7 @@
         seed: int,
         remember: str,
         log: Any,
-        most_connections: int = 0,
+        max_connections: int = 0,
         accounts: str = "",
         window: float = 10.0,
         records: str = "",
@@ -54,7 +54,7 @@
         placement = SitePlacement(site)
         self.branch: OfflineWrites | None = None
         host_name = f"nqn.2026-12.org.gorsethread:head:{number}"
-        names, known = Names(site.subsystem, host_name, number.to_bytes(16, "little")), site.links
+        names, known = AssociationNames(site.subsystem, host_name, number.to_bytes(16, "little")), site.links
         rank, heads = sum(h.number < number for h in site.head), len(site.head)
         opens = ConnectionSlots(known.opens, rank, heads)
         links = BackendLinks(
@@ -89,7 +89,7 @@
         )
         self.clients = ClientSide(transport, site, self.driver, placement, self.subsystem, log)
         self.server = QueueServer(
-            transport, self.subsystem, self.clients, most_connections or site.links.connections, log
+            transport, self.subsystem, self.clients, max_connections or site.links.connections, log
         )
         self.book: AccountBook | None = None
         if accounts:
--- a/gorsethread/nvme_transport/controller_server.py
+++ b/gorsethread/nvme_transport/controller_server.py
@@ -7,21 +7,21 @@
 from gorsethread.nvme.subsystem import Answer, Controller, Subsystem
 from gorsethread.transport.base import Stream, StreamClosed, Transport
 
-UNSENT_MOST = 1 << 20  # bytes of answers a host may leave unread before nothing more is read from it
-CONNECT_WITHIN = 5.0  # seconds a fresh connection has until its queue is connected
+MAX_UNSENT_BYTES = 1 << 20  # bytes of answers a host may leave unread before nothing more is read from it
+CONNECT_TIMEOUT = 5.0  # seconds a fresh connection has until its queue is connected
 
 
 class IoCommand:
     """One I/O command from its capsule to its one answer."""
 
-    __slots__ = ("command", "connection", "arrived", "owned", "controller")
+    __slots__ = ("command", "connection", "arrived", "owner_state", "controller")
 
     def __init__(
         self, command: Command, connection: "Connection", arrived: float, controller: Controller
     ) -> None:
         self.command, self.connection, self.arrived = command, connection, arrived
         self.controller = controller
-        self.owned: Any = None  # the owner's own record of it
+        self.owner_state: Any = None  # the owner's own record of it
 
     @property
     def host(self) -> str:
@@ -33,15 +33,15 @@
 
 
 class IoOwner(Protocol):
-    def announced(self, io: IoCommand) -> None:
+    def command_announced(self, io: IoCommand) -> None:
         """A command's capsule came and passed the checks; its data may still be on the way."""
         ...
 
-    def taken(self, io: IoCommand, data: bytes) -> None:
+    def command_received(self, io: IoCommand, data: bytes) -> None:
         """The command is here whole."""
         ...
 
-    def left(self, io: IoCommand) -> None:
+    def command_abandoned(self, io: IoCommand) -> None:
         """The host aborted the command or its connection ended: no answer is awaited any more."""
         ...
 
@@ -52,20 +52,20 @@
     def __init__(self, server: "QueueServer", stream: Stream) -> None:
         self.server, self.stream = server, stream
         self.controller: Controller | None = None
-        self.open: dict[int, IoCommand] = {}  # emptied by answers and by the connection's end
-        self.heard = server.transport.now()
+        self.open_commands: dict[int, IoCommand] = {}  # emptied by answers and by the connection's end
+        self.last_received_at = server.transport.now()
         self.queue = ControllerQueue(
             stream.write, self._announced, self._taken, self._ended, server.subsystem.most_data
         )
 
     async def serve(self) -> None:
-        limit = self.server.transport.call_at(self.heard + CONNECT_WITHIN, self._not_connected)
+        limit = self.server.transport.call_at(self.last_received_at + CONNECT_TIMEOUT, self._not_connected)
         try:
-            while not self.queue.over:
+            while not self.queue.closed:
                 data = await self.stream.read()
-                self.heard = self.server.transport.now()
+                self.last_received_at = self.server.transport.now()
                 self.queue.feed(data)
-                if self.stream.unsent > UNSENT_MOST:
+                if self.stream.unsent > MAX_UNSENT_BYTES:
                     await self.stream.drained()
             await self.stream.drained()  # a TermReq may still be on its way out
         except StreamClosed as error:
@@ -84,20 +84,20 @@
         self.stream.close()
 
     def answer(self, cid: int, completion: Completion, data: bytes = b"") -> None:
-        if (io := self.open.pop(cid, None)) is not None:
+        if (io := self.open_commands.pop(cid, None)) is not None:
             # Else it and its owner's record would hold each other and wait for the collector, which at some
             # thousand commands a second then stands still for tens of milliseconds at a time.
-            io.owned = None
+            io.owner_state = None
         if self.controller and completion.status != Status.SUCCESS:
             self.controller.failed(self.queue.number, cid, completion.status)
         self.queue.answer(cid, completion, data)
 
-    def leave(self, cid: int) -> bool:
+    def abort_command(self, cid: int) -> bool:
         """The host takes a command back."""
-        io = self.open.pop(cid, None)
+        io = self.open_commands.pop(cid, None)
         if io is None:
             return False
-        self.server.owner.left(io)
+        self.server.owner.command_abandoned(io)
         self.queue.respond(Completion(cid, Status.ABORT_REQUESTED, do_not_retry=True))
         return True
 
@@ -120,9 +120,9 @@
         if command.opcode == Opcode.FLUSH:
             return True
         io = IoCommand(command, self, self.server.transport.now(), controller)
-        self.open[command.cid] = io
-        self.server.owner.announced(io)
-        return command.cid in self.open
+        self.open_commands[command.cid] = io
+        self.server.owner.command_announced(io)
+        return command.cid in self.open_commands
 
     def _taken(self, command: Command, data: bytes) -> None:
         if self.controller is None:
@@ -132,8 +132,8 @@
         elif command.opcode == Opcode.FLUSH:
             # There is no volatile write cache: what was honoured is kept, so a flush has nothing to do.
             self.queue.respond(Completion(command.cid))
-        elif io := self.open.get(command.cid):
-            self.server.owner.taken(io, data)
+        elif io := self.open_commands.get(command.cid):
+            self.server.owner.command_received(io, data)
 
     def _give(self, answer: Answer) -> None:
         if self.controller and answer.completion.status != Status.SUCCESS:
@@ -146,7 +146,7 @@
             self.controller = controller
             self.queue.number = number
             self.queue.size = (command.cdw11 & 0xFFFF) + 1
-            self.server.joined(self, controller)
+            self.server.queue_connected(self, controller)
         self._give(answer)
 
     def _admin(self, controller: Controller, command: Command) -> None:
@@ -157,26 +157,26 @@
             self._give(answer)
 
     def _ended(self, reason: str) -> None:
-        for io in list(self.open.values()):
-            self.server.owner.left(io)
-        self.open.clear()
-        self.server.left(self, reason)
+        for io in list(self.open_commands.values()):
+            self.server.owner.command_abandoned(io)
+        self.open_commands.clear()
+        self.server.connection_closed(self, reason)
 
 
 class QueueServer:
-    """most_connections: any further one is closed at once."""
+    """max_connections: any further one is closed at once."""
 
     def __init__(
-        self, transport: Transport, subsystem: Subsystem, owner: IoOwner, most_connections: int, log: Any
+        self, transport: Transport, subsystem: Subsystem, owner: IoOwner, max_connections: int, log: Any
     ) -> None:
         self.transport, self.subsystem, self.owner, self.log = transport, subsystem, owner, log
-        self.most_connections = most_connections
+        self.max_connections = max_connections
         self.connections: dict[Connection, None] = {}  # emptied as connections end
         self.by_controller: dict[int, dict[int, Connection]] = {}  # emptied with the controllers
         self.closing = False
 
     async def on_stream(self, stream: Stream) -> None:
-        if self.closing or len(self.connections) >= self.most_connections:
+        if self.closing or len(self.connections) >= self.max_connections:
             self.log.warning("connection not admitted", peer=stream.peer, open=len(self.connections))
             stream.close()
             return
@@ -184,7 +184,7 @@
         self.connections[connection] = None
         await connection.serve()
 
-    def joined(self, connection: Connection, controller: Controller) -> None:
+    def queue_connected(self, connection: Connection, controller: Controller) -> None:
         queues = self.by_controller.setdefault(controller.number, {})
         if (old := queues.get(connection.queue.number)) is not None:
             old.stop("its queue was connected anew")
@@ -193,7 +193,7 @@
         if connection.queue.number == 0 and controller.keep_alive:
             self._watch(controller)
 
-    def left(self, connection: Connection, reason: str) -> None:
+    def connection_closed(self, connection: Connection, reason: str) -> None:
         self.connections.pop(connection, None)
         controller = connection.controller
         if controller is None:
@@ -212,14 +212,14 @@
 
     def abort(self, controller: Controller, queue: int, cid: int) -> bool:
         connection = self.by_controller.get(controller.number, {}).get(queue)
-        return connection is not None and queue != 0 and connection.leave(cid)
+        return connection is not None and queue != 0 and connection.abort_command(cid)
 
     def _watch(self, controller: Controller) -> None:
         """Ends a host that has said nothing for its keep-alive time (Base 2.0, section 3.9)."""
         queues = self.by_controller.get(controller.number)
         if not queues or controller.keep_alive <= 0:
             return
-        due = max(c.heard for c in queues.values()) + controller.keep_alive
+        due = max(c.last_received_at for c in queues.values()) + controller.keep_alive
         if due <= self.transport.now():
             queues[0].stop("keep-alive time ran out")
         else:
--- a/gorsethread/nvme_transport/host_connection.py
+++ b/gorsethread/nvme_transport/host_connection.py
@@ -20,11 +20,11 @@
 from gorsethread.nvme.subsystem import CONFIGURATION
 from gorsethread.transport.base import Stream, StreamClosed, Transport, Unreachable
 
-UNSENT_MOST = 1 << 20
+MAX_UNSENT_BYTES = 1 << 20
 
 
 @dataclass(frozen=True, slots=True)
-class Names:
+class AssociationNames:
     """Who dials whom: NQNs, and the host's id."""
 
     subsystem: str
@@ -32,13 +32,13 @@
     host_id: bytes = bytes(16)
 
 
-class Refused(GorsethreadError):
+class CommandRejected(GorsethreadError):
     """The controller answered a command of the set-up with a failure."""
 
     action = "Compare the subsystem's and host's names in the site file with those that the other side knows."
 
 
-class DialedQueue:
+class HostConnection:
     """A host queue on a stream. ended: called once, with the reason, if it ends after it was open."""
 
     def __init__(self, transport: Transport, stream: Stream, size: int, digests: bool) -> None:
@@ -64,9 +64,9 @@
 
     async def _pump(self) -> None:
         try:
-            while not self.queue.over:
+            while not self.queue.closed:
                 self.queue.feed(await self.stream.read())
-                if self.stream.unsent > UNSENT_MOST:
+                if self.stream.unsent > MAX_UNSENT_BYTES:
                     await self.stream.drained()
             await self.stream.drained()
         except StreamClosed as error:
@@ -79,7 +79,7 @@
 
     async def call(self, command: Command, data: bytes = b"", read: int = 0) -> tuple[Completion, bytes]:
         """The completion and what was read; StreamClosed where the queue ends first."""
-        if self.queue.over:
+        if self.queue.closed:
             raise StreamClosed("the queue has ended")
         answer: asyncio.Future[tuple[Completion, bytes]] = asyncio.get_running_loop().create_future()
         self._calls[answer] = None
@@ -94,10 +94,14 @@
         finally:
             self._calls.pop(answer, None)
 
-    async def must(self, command: Command, data: bytes = b"", read: int = 0) -> tuple[Completion, bytes]:
+    async def call_checked(
+        self, command: Command, data: bytes = b"", read: int = 0
+    ) -> tuple[Completion, bytes]:
         completion, got = await self.call(command, data, read)
         if not completion.succeeded:
-            raise Refused(f"opcode 0x{command.opcode:02x} ended with status 0x{completion.status:03x}")
+            raise CommandRejected(
+                f"opcode 0x{command.opcode:02x} ended with status 0x{completion.status:03x}"
+            )
         return completion, got
 
     def close(self, reason: str = "closed here") -> None:
@@ -108,30 +112,30 @@
 class Association:
     """A host's admin queue and I/O queues at one controller."""
 
-    def __init__(self, admin: DialedQueue, controller: int) -> None:
+    def __init__(self, admin: HostConnection, controller: int) -> None:
         self.admin, self.controller = admin, controller
-        self.queues: list[DialedQueue] = []
+        self.queues: list[HostConnection] = []
         self.retry_delays: tuple[float, ...] = ()
 
     @property
-    def io(self) -> DialedQueue:
+    def io(self) -> HostConnection:
         return self.queues[0]
 
     def abort(self, cid: int, queue: int = 1, missed: Callable[[], None] = lambda: None) -> None:
         """Asks the controller to drop a command; what comes of it shows in the command's own completion.
         missed: told if the controller had no such command, or not yet, as it came by another queue."""
-        if not self.admin.queue.over and len(self.admin.queue) < self.admin.queue.size:
+        if not self.admin.queue.closed and len(self.admin.queue) < self.admin.queue.size:
             self.admin.queue.submit(
                 Command(Admin.ABORT, cdw10=queue | cid << 16),
                 lambda done, _: missed() if done.dw0 & 1 else None,
             )
 
     async def keep_alive(self) -> None:
-        await self.admin.must(Command(Admin.KEEP_ALIVE))
+        await self.admin.call_checked(Command(Admin.KEEP_ALIVE))
 
     async def identify(self, kind: int, nsid: int = 0) -> bytes:
         """CNS 0: a namespace, 1: the controller, 2: the list of active namespaces."""
-        return (await self.admin.must(Command(Admin.IDENTIFY, nsid=nsid, cdw10=kind), read=4096))[1]
+        return (await self.admin.call_checked(Command(Admin.IDENTIFY, nsid=nsid, cdw10=kind), read=4096))[1]
 
     async def namespaces(self) -> list[int]:
         page = await self.identify(2)
@@ -142,10 +146,10 @@
             queue.close(reason)
 
 
-async def dial(
+async def connect_association(
     transport: Transport,
     address: tuple[str, int],
-    names: Names,
+    names: AssociationNames,
     *,
     within: float,
     size: int = 64,
@@ -155,11 +159,11 @@
 ) -> Association:
     """An association with its I/O queues connected, in at most that many seconds; Unreachable where not."""
     by = transport.now() + within
-    open_queues: list[DialedQueue] = []
+    open_queues: list[HostConnection] = []
 
-    async def queue() -> DialedQueue:
+    async def queue() -> HostConnection:
         stream = await transport.connect(*address, max(0.001, by - transport.now()))
-        dialed = DialedQueue(transport, stream, size, digests)
+        dialed = HostConnection(transport, stream, size, digests)
         open_queues.append(dialed)
         await dialed.opened()
         return dialed
@@ -172,22 +176,24 @@
     try:
         admin = await queue()
         data = connect_data(names.host_id, 0xFFFF, names.subsystem, names.host)
-        done, _ = await admin.must(connect(0, min(size, 32), keep_alive), data)
+        done, _ = await admin.call_checked(connect(0, min(size, 32), keep_alive), data)
         association = Association(admin, done.dw0 & 0xFFFF)
         enable = Command(Opcode.FABRICS, nsid=Fabrics.PROPERTY_SET, cdw11=CONFIGURATION, cdw12=0x460001)
-        await admin.must(enable)
-        await admin.must(Command(Admin.SET_FEATURES, cdw10=7, cdw11=(queues - 1) | (queues - 1) << 16))
+        await admin.call_checked(enable)
+        await admin.call_checked(
+            Command(Admin.SET_FEATURES, cdw10=7, cdw11=(queues - 1) | (queues - 1) << 16)
+        )
         page = await association.identify(1)
         in_capsule = struct.unpack_from("<I", page, 1792)[0] * 16 - 64
         association.retry_delays = tuple(d / 10 for d in struct.unpack_from("<3H", page, 128))
         for number in range(1, queues + 1):
             dialed = await queue()
             data = connect_data(names.host_id, association.controller, names.subsystem, names.host)
-            await dialed.must(connect(number, size), data)
+            await dialed.call_checked(connect(number, size), data)
             dialed.queue.in_capsule = in_capsule
             association.queues.append(dialed)
         return association
-    except (StreamClosed, Refused) as error:
+    except (StreamClosed, CommandRejected) as error:
         give_up()
         raise Unreachable(f"{address[0]}:{address[1]}: {error}") from None
     except Unreachable:
--- a/gorsethread/simulation/mutants.py
+++ b/gorsethread/simulation/mutants.py
@@ -318,13 +318,13 @@
 @mutant("clients: a client's own patience is not heeded")
 def _ignores_patience(head: Head) -> None:
     side = head.clients
-    honest = side.announced
+    honest = side.command_announced
 
-    def announced(io: Any) -> None:
+    def command_announced(io: Any) -> None:
         io.command = io.command._replace(cdw2=0)
         honest(io)
 
-    side.announced = announced  # type: ignore[method-assign]
+    side.command_announced = command_announced  # type: ignore[method-assign]
 
 
 # ---- the list
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -16,7 +16,7 @@
 from gorsethread.nvme.subsystem import BLOCK
 from gorsethread.nvme_gateway.gateway import Head
 from gorsethread.nvme_transport.controller_server import IoCommand
-from gorsethread.nvme_transport.host_connection import Association, Names, dial
+from gorsethread.nvme_transport.host_connection import Association, AssociationNames, connect_association
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.reading import parse_site, split_address
 from gorsethread.transport.base import Stream
@@ -63,10 +63,10 @@
 
     takes: Callable[[IoCommand], bool] | None = None
 
-    def taken(self, io: IoCommand, data: bytes) -> None:
-        io.owned.data = data
+    def command_received(self, io: IoCommand, data: bytes) -> None:
+        io.owner_state.data = data
         if self.takes is None or not self.takes(io):
-            super().taken(io, data)
+            super().command_received(io, data)
 
     def die(self) -> None:
         """As a killed process: its connections end, nothing more comes of what it held."""
@@ -190,8 +190,10 @@
 
     async def client(self, head: int = 0, size: int = 64, digests: bool = False) -> Association:
         address = split_address(self.site.head[head].address)
-        names = Names(self.site.subsystem, self.site.tenant[0].host[0])
-        return await dial(self.transport, address, names, within=2.0, size=size, digests=digests)
+        names = AssociationNames(self.site.subsystem, self.site.tenant[0].host[0])
+        return await connect_association(
+            self.transport, address, names, within=2.0, size=size, digests=digests
+        )
 
     def send(
         self,
--- a/tests/test_nvme.py
+++ b/tests/test_nvme.py
@@ -146,7 +146,7 @@
         pair.to_host.clear()
         for at in range(0, len(garbage), split):
             pair.controller.feed(garbage[at : at + split])
-        if pair.controller.over and pair.to_host:
+        if pair.controller.closed and pair.to_host:
             last = bytes(pair.to_host)
             self.assertIn(last[0], (PduType.IC_RESP, PduType.C2H_TERM, PduType.CAPSULE_RESP, PduType.R2T))
         self.assertLess(len(pair.controller._decoder._held), MOST + 1024)
@@ -196,7 +196,7 @@
                 pair = Pair(False, 4096)
                 pair.carry()
                 pair.controller.feed(raw)
-                self.assertTrue(pair.controller.over)
+                self.assertTrue(pair.controller.closed)
                 sent = bytes(pair.to_host)
                 self.assertEqual(
                     (PduType.C2H_TERM, error, points_at), (sent[0], *struct.unpack_from("<HI", sent, 8))
--- a/tests/test_nvme_gateway.py
+++ b/tests/test_nvme_gateway.py
@@ -343,7 +343,7 @@
         stream.write(encoder.capsule_cmd(command.pack()))
         pdu = encoder.data(PduType.H2C_DATA, 5, 5, 0, payload, True)
         head = self.heads[0].server
-        await self.until(lambda: any(5 in c.open for c in head.connections))
+        await self.until(lambda: any(5 in c.open_commands for c in head.connections))
         for at in range(len(pdu)):
             stream.write(pdu[at : at + 1])
             if at % 64 == 0:
