--- a/gorsethread/cli/branch.py
+++ b/gorsethread/cli/branch.py
@@ -9,7 +9,7 @@
 from gorsethread.cli.options import SitePath, site_at, tell, write_json
 from gorsethread.errors import GorsethreadError
 from gorsethread.experiments.operator_queries import NoAnswer, ask_branch
-from gorsethread.nvme_gateway.peers import fleet_of
+from gorsethread.nvme_gateway.peers import fleet_id
 from gorsethread.site_config.reading import split_address
 from gorsethread.transport.real import RealTransport, run
 
@@ -47,7 +47,7 @@
             if not any(head in b.head for b in known.branch):
                 raise NoBranch(f"head {head} is in no branch of {known.name}")
             found["answer"] = await ask_branch(
-                transport, split_address(address), fleet_of(known), what, number
+                transport, split_address(address), fleet_id(known), what, number
             )
         except (NoBranch, NoAnswer) as trouble:
             found["trouble"] = trouble
--- a/gorsethread/cli/fleet.py
+++ b/gorsethread/cli/fleet.py
@@ -13,9 +13,9 @@
 from gorsethread.experiments.operator_queries import NoAnswer, Shown, ask, ask_past
 from gorsethread.logs import log_for, start_logs
 from gorsethread.membership.gossip_messages import Address, MemberRecord, MemberState
-from gorsethread.nvme_gateway.membership_service import FleetSide
-from gorsethread.nvme_gateway.peers import fleet_of
-from gorsethread.site_config.reading import BadSite, read_site, split_address
+from gorsethread.nvme_gateway.membership_service import MembershipService
+from gorsethread.nvme_gateway.peers import fleet_id
+from gorsethread.site_config.reading import SiteFileError, read_site, split_address
 from gorsethread.transport.real import RealTransport, run
 
 app = typer.Typer(name="fleet", no_args_is_help=True, help="What heads know of each other.")
@@ -55,7 +55,7 @@
         return address_of(head, "head"), fleet
     try:
         known = read_site(Path(site))
-    except BadSite as bad:
+    except SiteFileError as bad:
         raise _end("\n".join(bad.lines)) from None
     except OSError as error:
         raise _end(f"{site}: {error.strerror}") from None
@@ -66,7 +66,7 @@
             if at is None
             else f"--head: head {head} of {site} has no address for peers"
         )
-    return address_of(at, "head"), fleet_of(known)
+    return address_of(at, "head"), fleet_id(known)
 
 
 def _asked(question: Callable[[RealTransport], Awaitable[Any]], command: str) -> Any:
@@ -207,7 +207,7 @@
 
     async def work(transport: RealTransport) -> None:
         me = MemberRecord(number, 0, 0, MemberState.ALIVE, zone, 0, *here, number)
-        side = FleetSide(
+        side = MembershipService(
             transport, me, address_of(listen, "listen"), known, frozenset(known), fleet, log_for(head=number)
         )
         transport.on_terminate(transport.finish)
--- a/gorsethread/cli/main.py
+++ b/gorsethread/cli/main.py
@@ -27,7 +27,7 @@
 from gorsethread.fakes.discovery import NodeList
 from gorsethread.fakes.record import Recorder, read_script
 from gorsethread.logs import log_for, start_logs
-from gorsethread.nvme_gateway.gateway import Head
+from gorsethread.nvme_gateway.gateway import NvmeGateway
 from gorsethread.simulation.rule_mutants import plant as plant_break
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.real import RealTransport, run
@@ -138,8 +138,8 @@
 
     alternating: list[Alternating] = []
 
-    def make(transport: RealTransport) -> Head:
-        made = Head(
+    def make(transport: RealTransport) -> NvmeGateway:
+        made = NvmeGateway(
             transport,
             known,
             head,
--- a/gorsethread/cli/options.py
+++ b/gorsethread/cli/options.py
@@ -9,7 +9,7 @@
 
 from gorsethread.errors import GorsethreadError
 from gorsethread.site_config import site_pb2 as pb
-from gorsethread.site_config.reading import BadSite, read_site
+from gorsethread.site_config.reading import SiteFileError, read_site
 
 SitePath = Annotated[Path, typer.Option("--site", help="The site file (protobuf text format).")]
 
@@ -24,7 +24,7 @@
     """Exits with 2, its faults told, where it is no good."""
     try:
         return read_site(path)
-    except BadSite as bad:
+    except SiteFileError as bad:
         tell(bad)
         raise typer.Exit(2) from None
 
--- a/gorsethread/experiments/alternate.py
+++ b/gorsethread/experiments/alternate.py
@@ -4,7 +4,7 @@
 import statistics
 from typing import Any
 
-from gorsethread.nvme_gateway.gateway import Head
+from gorsethread.nvme_gateway.gateway import NvmeGateway
 
 STRETCH = 0.2  # seconds
 SETTLING = 4  # stretches at the start that don't count
@@ -14,10 +14,10 @@
     """figures(): honoured a second with accounts over that without, of all stretches (whole), and the median
     and quartiles of neighbouring ones, which do not show what comes only in some, as the counting does."""
 
-    def __init__(self, head: Head) -> None:
+    def __init__(self, head: NvmeGateway) -> None:
         self.head, self.transport = head, head.transport
-        assert head.book is not None
-        self.book = head.book
+        assert head.accounting is not None
+        self.book = head.accounting
         self.stretches: list[tuple[bool, float]] = []  # bounded by the length of the bench
         self._begin()
 
--- a/gorsethread/experiments/bench_peers.py
+++ b/gorsethread/experiments/bench_peers.py
@@ -10,7 +10,7 @@
 from gorsethread.gateway.attempts import Attempt, AttemptResult
 from gorsethread.nvme.command import Completion, Opcode, Status, io_command
 from gorsethread.nvme.subsystem import BLOCK, Namespace, Subsystem
-from gorsethread.nvme_gateway.backend_link import BackendLink, Order
+from gorsethread.nvme_gateway.backend_link import BackendCommand, BackendLink
 from gorsethread.nvme_gateway.extent_placement import SitePlacement
 from gorsethread.nvme_transport.controller_server import IoCommand, QueueServer
 from gorsethread.nvme_transport.host_connection import Association, AssociationNames, connect_association
@@ -70,7 +70,7 @@
             io.answer(Completion(0, Status.SUCCESS if honoured else Status.INTERNAL_ERROR), told.data)
 
         read = 0 if data else c.blocks * BLOCK
-        link.send(Attempt(0, 0, link.shelf, self.transport.now(), Order(c, data, read), ended))
+        link.send(Attempt(0, 0, link.shelf, self.transport.now(), BackendCommand(c, data, read), ended))
 
     def command_abandoned(self, io: IoCommand) -> None: ...
 
--- a/gorsethread/fakes/backend.py
+++ b/gorsethread/fakes/backend.py
@@ -11,7 +11,7 @@
 from gorsethread.fakes.record import Fault, Recorder
 from gorsethread.nvme.command import Completion, Opcode, Status, pack_service_report
 from gorsethread.nvme.subsystem import BLOCK, Namespace, Subsystem
-from gorsethread.nvme_gateway.scheduler_settings import Sorter, units_of
+from gorsethread.nvme_gateway.scheduler_settings import RequestClassifier, request_units
 from gorsethread.nvme_transport.controller_server import IoCommand, QueueServer
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.reading import split_address
@@ -53,7 +53,7 @@
         self.warm = warm
         self.error_part, self.errors_until = 0.0, 0.0
         self.script = script
-        self.sorter = Sorter(site)
+        self.sorter = RequestClassifier(site)
         self.volumes = {v.number: v for v in site.volume}
         self.namespaces = [Namespace(v.number, v.blocks, v.extent_blocks) for v in site.volume]
         self.subsystem = Subsystem(
@@ -134,7 +134,7 @@
     def command_announced(self, io: IoCommand) -> None:
         """Stamped as the capsule comes, before anything else is known of it."""
         c = io.command
-        units = units_of(c.blocks * BLOCK, self.site.links.unit_bytes)
+        units = request_units(c.blocks * BLOCK, self.site.links.unit_bytes)
         io.owner_state = Held(units)
         self.recorder.saw(
             "arrived",
--- a/gorsethread/fakes/client.py
+++ b/gorsethread/fakes/client.py
@@ -13,7 +13,7 @@
 from gorsethread.fakes.record import Recorder
 from gorsethread.nvme.command import Completion, Opcode, Status, io_command
 from gorsethread.nvme.subsystem import BLOCK
-from gorsethread.nvme_gateway.scheduler_settings import Sorter, units_of
+from gorsethread.nvme_gateway.scheduler_settings import RequestClassifier, request_units
 from gorsethread.nvme_transport.host_connection import Association, AssociationNames, connect_association
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.reading import split_address
@@ -164,7 +164,7 @@
             head=self.link.number,
             volume=t.volume.number,
             profile=t.profile,
-            units=units_of(t.blocks * BLOCK, client.site.links.unit_bytes),
+            units=request_units(t.blocks * BLOCK, client.site.links.unit_bytes),
             key=t.key,
             by=t.by,
             due=t.due,
@@ -257,7 +257,7 @@
         self.me = next(t for t in site.tenant if t.name == tenant)
         self.volumes = [v for v in site.volume if v.tenant == tenant]
         self.plans = {p.name: p for p in site.plan}
-        self.sorter = Sorter(site)
+        self.sorter = RequestClassifier(site)
         wanted = {h for v in self.volumes for h in v.head}
         self.links = {h.number: self._link(h) for h in site.head if h.number in wanted}
         self.shards: OrderedDict[tuple[int, int], int] = OrderedDict()  # told by heads; bounded below
@@ -298,7 +298,7 @@
                 if s.volume == volume.number and s.at <= due < s.at + s.seconds:
                     times *= s.times
             t = self._next(volume, due)
-            units = units_of(t.blocks * BLOCK, self.site.links.unit_bytes)
+            units = request_units(t.blocks * BLOCK, self.site.links.unit_bytes)
             self._try(t, 0)
             due += self.chance.expovariate(self.plans[volume.plan].usual * times / units)
             if (wait := due - self.transport.now()) > 0:
--- a/gorsethread/fakes/discovery.py
+++ b/gorsethread/fakes/discovery.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from gorsethread.fakes.record import Fault, Recorder
-from gorsethread.nvme_gateway.discovery import Ask, Listed, Told
+from gorsethread.nvme_gateway.discovery import ListedBackend, ListMessage, WatchRequest
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import Stream, StreamClosed, Transport
@@ -89,7 +89,9 @@
                 if len(held) > LINE_MOST:
                     raise StreamClosed("a line without an end")
             line, _, held = held.partition(b"\n")
-            said: Register | Order | Ask = msgspec.json.decode(line, type=Register | Order | Ask)
+            said: Register | Order | WatchRequest = msgspec.json.decode(
+                line, type=Register | Order | WatchRequest
+            )
             if isinstance(said, Register):
                 await self._shelf(said, stream)
             elif isinstance(said, Order):
@@ -132,9 +134,9 @@
         for follower in list(self.followers):
             self._tell_later(follower, [said.number], "changes")
 
-    async def _head(self, said: Ask, stream: Stream) -> None:
+    async def _head(self, said: WatchRequest, stream: Stream) -> None:
         if self.transport.now() < self.refuse_until:
-            stream.write(msgspec.json.encode(Told("refused")) + b"\n")
+            stream.write(msgspec.json.encode(ListMessage("refused")) + b"\n")
             await stream.drained()
             return
         follower = Follower(said.head, stream)
@@ -166,7 +168,7 @@
             return
         now = self.transport.now()
         listed = [
-            Listed(
+            ListedBackend(
                 s.number,
                 s.address,
                 s.shard,
@@ -177,11 +179,11 @@
             )
             for s, state, since in entries
         ]
-        follower.stream.write(msgspec.json.encode(Told(kind, version, listed, self.life)) + b"\n")
+        follower.stream.write(msgspec.json.encode(ListMessage(kind, version, listed, self.life)) + b"\n")
         for s in listed:
             self.recorder.saw("told", head=follower.head, shelf=s.number, state=s.state, start=s.start)
 
     def _say_alive(self) -> None:
         for follower in self.followers:
-            follower.stream.write(msgspec.json.encode(Told("alive")) + b"\n")
+            follower.stream.write(msgspec.json.encode(ListMessage("alive")) + b"\n")
         self.transport.call_at(self.transport.now() + 1.0, self._say_alive)
--- a/gorsethread/harness/processes.py
+++ b/gorsethread/harness/processes.py
@@ -11,14 +11,14 @@
 from google.protobuf import text_format
 
 from gorsethread.site_config import site_pb2 as pb
-from gorsethread.site_config.sizing import needed, sized
+from gorsethread.site_config.sizing import addresses_needed, resized_site
 from gorsethread.transport.real import free_ports
 
 
 def resized(site: pb.Site, heads: int, shelves: int) -> pb.Site:
     """The same site on free loopback ports, with another number of heads and shelves."""
-    ports = free_ports(needed(site, heads, shelves))
-    return sized(site, heads, shelves, [f"127.0.0.1:{port}" for port in ports])
+    ports = free_ports(addresses_needed(site, heads, shelves))
+    return resized_site(site, heads, shelves, [f"127.0.0.1:{port}" for port in ports])
 
 
 class Processes:
--- a/gorsethread/harness/service.py
+++ b/gorsethread/harness/service.py
@@ -28,7 +28,7 @@
 from gorsethread.invariants.history_checker import Verdict, Witness
 from gorsethread.simulation.script import Act, Script
 from gorsethread.site_config import site_pb2 as pb
-from gorsethread.site_config.sizing import sized
+from gorsethread.site_config.sizing import resized_site
 from gorsethread.transport.base import Transport, Unreachable
 from gorsethread.transport.real import RealTransport, free_ports
 
@@ -126,7 +126,7 @@
             *(f"{self.net}.{1 + n}:{ports[1 + heads + n]}" for n in range(shelves)),
             *(f"127.0.0.1:{p}" for p in ports[1 + heads + shelves : 1 + 2 * heads + shelves]),
         ]
-        self.site = sized(site, heads, shelves, addresses)
+        self.site = resized_site(site, heads, shelves, addresses)
         self.list_led = f"{self.net}.251:{ports[-1]}"  # where heads of a site file find the list
         self.records: list[dict[str, Any]] = []
         self.day = Kept(transport, "day", self.records)
--- a/gorsethread/harness/site.py
+++ b/gorsethread/harness/site.py
@@ -16,7 +16,7 @@
 from gorsethread.harness.kill_points import planted
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.service import ServiceTrial
-from gorsethread.nvme_gateway.discovery import Ask
+from gorsethread.nvme_gateway.discovery import WatchRequest
 from gorsethread.offline_writes import messages as offline_messages
 from gorsethread.simulation.script import Act, Script
 from gorsethread.site_config import site_pb2 as pb
@@ -55,7 +55,7 @@
             if isinstance(m, offline_messages.BranchHello):
                 return f"head {m.gateway}"
     with contextlib.suppress(msgspec.DecodeError):
-        ask: Ask = msgspec.json.decode(first.splitlines()[0], type=Ask)
+        ask: WatchRequest = msgspec.json.decode(first.splitlines()[0], type=WatchRequest)
         return f"head {ask.head}"
     return ""
 
--- a/gorsethread/nvme_gateway/backend_link.py
+++ b/gorsethread/nvme_gateway/backend_link.py
@@ -20,7 +20,7 @@
 }
 
 
-class Order(NamedTuple):
+class BackendCommand(NamedTuple):
     """A forward's payload here. read: bytes that its answer may bring."""
 
     command: Command
@@ -138,7 +138,7 @@
                 self.connecting = True
                 self.transport.spawn(self._connect())
             return
-        order: Order = f.payload
+        order: BackendCommand = f.payload
         if self.signs is not None:
             self.signs.request_sent()
         f.cid = queue.submit(
--- a/gorsethread/nvme_gateway/client_side.py
+++ b/gorsethread/nvme_gateway/client_side.py
@@ -7,8 +7,8 @@
 from gorsethread.gateway.open_requests import OpenRequest
 from gorsethread.nvme.command import SGL_IN_CAPSULE, Completion, Opcode, Status
 from gorsethread.nvme.subsystem import BLOCK, Namespace, Subsystem
-from gorsethread.nvme_gateway.backend_link import Order
-from gorsethread.nvme_gateway.scheduler_settings import Sorter, units_of
+from gorsethread.nvme_gateway.backend_link import BackendCommand
+from gorsethread.nvme_gateway.scheduler_settings import RequestClassifier, request_units
 from gorsethread.nvme_transport.controller_server import IoCommand
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.base import Timer, Transport
@@ -16,7 +16,7 @@
 MILLISECOND = 0.001
 
 
-class Tenants:
+class TenantVolumes:
     """Which volumes a host sees through this head."""
 
     def __init__(self, site: pb.Site, head: int) -> None:
@@ -31,7 +31,7 @@
         return None if tenant is None else self._volumes[tenant]
 
 
-class Awaiting:
+class ClientCommand:
     """One command from its capsule to its answer."""
 
     __slots__ = ("side", "io", "deadline", "timer", "taken", "profile", "data")
@@ -74,7 +74,7 @@
         self.io.answer(Completion(0, Status.INTERNAL_ERROR, do_not_retry=True))
 
 
-class Known(NamedTuple):
+class VolumeSettings(NamedTuple):
     """What each command asks of its volume."""
 
     number: int
@@ -98,14 +98,14 @@
     ) -> None:
         self.transport, self.driver, self.placement = transport, driver, placement
         self.subsystem, self.log = subsystem, log
-        self._sorter = Sorter(site)
+        self._sorter = RequestClassifier(site)
         self._slack = site.rules.answer_slack
         self._unit_bytes = site.links.unit_bytes
         self._deadlines = [p.cut_off for p in site.profile]
         self._in_order = [p.in_order for p in site.profile]
         plans = {p.name: n for n, p in enumerate(site.plan)}
         self._volumes = {
-            v.number: Known(v.number, v.plan, plans[v.plan], v.extent_blocks, len(v.head))
+            v.number: VolumeSettings(v.number, v.plan, plans[v.plan], v.extent_blocks, len(v.head))
             for v in site.volume
         }
         self._shards = {s.shard for s in site.shelf}
@@ -123,12 +123,12 @@
         profile = self._sorter.profile(plan, command.opcode, command.blocks * BLOCK, command.hints)
         most = self._deadlines[profile]
         patience = min(command.client_timeout, most) if command.client_timeout else most
-        waiting = Awaiting(self, io, profile, io.arrived + max(MILLISECOND, patience - self._slack))
+        waiting = ClientCommand(self, io, profile, io.arrived + max(MILLISECOND, patience - self._slack))
         io.owner_state = waiting
         if command.opcode == Opcode.WRITE and command.sgl_type != SGL_IN_CAPSULE:
             waiting.timer = self.transport.call_at(waiting.deadline, lambda: self._never_came(waiting))
 
-    def _never_came(self, waiting: Awaiting) -> None:
+    def _never_came(self, waiting: ClientCommand) -> None:
         """The data of a write did not come in its time: it was not taken, and nothing of it ran."""
         if waiting.taken is None:
             waiting.io.answer(Completion(0, Status.DATA_TRANSFER_ERROR))
@@ -169,14 +169,14 @@
         key = f"{volume.number}/{extent}" if self._in_order[waiting.profile] else None
         waiting.taken = self.driver.admit(
             waiting,
-            Order(onward, data, length if command.opcode == Opcode.READ else 0),
+            BackendCommand(onward, data, length if command.opcode == Opcode.READ else 0),
             request_class=waiting.profile,
             service_tier=volume.plan_number,
             key=key,
             deadline=waiting.deadline,
             volume=volume.number,
             extent=Extent(volume.number, extent),
-            units=float(units_of(length, self._unit_bytes)),
+            units=float(request_units(length, self._unit_bytes)),
             shard=shard,
             gateways=volume.heads,
             is_retry=command.is_retry,
--- a/gorsethread/nvme_gateway/discovery.py
+++ b/gorsethread/nvme_gateway/discovery.py
@@ -11,7 +11,7 @@
 
 from gorsethread.gateway.driver import Driver
 from gorsethread.gateway.open_requests import EndpointEntry
-from gorsethread.nvme_gateway.peers import PeerSide
+from gorsethread.nvme_gateway.peers import PeerMessaging
 from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import Stream, StreamClosed, Transport, Unreachable
 
@@ -20,7 +20,7 @@
 LINE_MOST = 1 << 20  # bytes
 
 
-class Listed(msgspec.Struct, frozen=True):
+class ListedBackend(msgspec.Struct, frozen=True):
     """One shelf: start names this life of its process, age is seconds since then (0: long ago)."""
 
     number: int
@@ -32,29 +32,29 @@
     age: float
 
 
-class Told(msgspec.Struct, frozen=True):
+class ListMessage(msgspec.Struct, frozen=True):
     """kind: all, changes, refused, or alive (nothing new). life: which run of the list counts versions."""
 
     kind: str
     version: int = 0
-    shelves: list[Listed] = []
+    shelves: list[ListedBackend] = []
     life: int = 0
 
 
-class Ask(msgspec.Struct, frozen=True, tag="follow", tag_field="say"):
+class WatchRequest(msgspec.Struct, frozen=True, tag="follow", tag_field="say"):
     """A head's wish to follow, from the version it has."""
 
     head: int
     version: int
 
 
-class Remembered(msgspec.Struct, frozen=True):
+class SavedList(msgspec.Struct, frozen=True):
     """What is kept on disk: shelves with the time of their start on this machine's clock."""
 
-    shelves: list[tuple[Listed, float]]
+    shelves: list[tuple[ListedBackend, float]]
 
 
-class ListFollower:
+class DiscoveryClient:
     """driver is set before start(). path: where the last list is kept; "" keeps it nowhere."""
 
     def __init__(
@@ -65,12 +65,12 @@
         self.links = links
         self.driver: Driver
         self.version = 0
-        self.shelves: dict[int, tuple[Listed, float]] = {}  # emptied as shelves leave the list
+        self.shelves: dict[int, tuple[ListedBackend, float]] = {}  # emptied as shelves leave the list
         self._stream: Stream | None = None
         self._asking = False
         self._heard = 0.0
         self.stopped = False
-        self.peers: PeerSide | None = None  # set before start() where heads tell each other news
+        self.peers: PeerMessaging | None = None  # set before start() where heads tell each other news
 
     def start(self) -> None:
         """Tells what is remembered, if anything is."""
@@ -78,7 +78,7 @@
         if raw is None:
             return
         try:
-            kept: Remembered = msgspec.json.decode(raw, type=Remembered)
+            kept: SavedList = msgspec.json.decode(raw, type=SavedList)
         except msgspec.DecodeError as error:
             self.log.warning(
                 "remembered list can't be read; starting without", path=self.path, reason=str(error)
@@ -106,7 +106,7 @@
         try:
             stream = await self.transport.connect(*self.address, CONNECT_WITHIN)
             self._stream = stream
-            stream.write(msgspec.json.encode(Ask(self.head, self.version)) + b"\n")
+            stream.write(msgspec.json.encode(WatchRequest(self.head, self.version)) + b"\n")
             self._heard = self.transport.now()
             self._watch(stream)
             held = b""
@@ -141,7 +141,7 @@
         self.transport.call_at(self.transport.now() + 1.0, lambda: self._watch(stream))
 
     def _take(self, line: bytes) -> None:
-        told: Told = msgspec.json.decode(line, type=Told)
+        told: ListMessage = msgspec.json.decode(line, type=ListMessage)
         if told.kind == "alive":
             return
         if told.kind == "refused":
@@ -178,7 +178,7 @@
         self.again(freed)
         self._save()
 
-    def _pass_on(self, entries: list[tuple[Listed, float]], whole: bool, remembered: bool) -> None:
+    def _pass_on(self, entries: list[tuple[ListedBackend, float]], whole: bool, remembered: bool) -> None:
         for s, _ in entries:
             self.links.update(s.number, s.shard, split_address(s.address), s.state)
         # Also links that had forwards out when their shelf left the list go, once these are in.
@@ -187,12 +187,12 @@
         told = [EndpointEntry(s.number, s.zone, s.shard, self._usable(s), since) for s, since in entries]
         self.driver.endpoints_listed(told, whole, remembered)
 
-    def _ready(self, entries: list[tuple[Listed, float]]) -> None:
+    def _ready(self, entries: list[tuple[ListedBackend, float]]) -> None:
         for s, _ in entries:
             if (link := self.driver.links.get(s.number)) is not None:
                 link.ready(self._usable(s))
 
-    def _usable(self, s: Listed) -> bool:
+    def _usable(self, s: ListedBackend) -> bool:
         return s.state == "ready" and (self.peers is None or not self.peers.core.is_stopped(s.number))
 
     def again(self, shelves: list[int]) -> None:
@@ -207,6 +207,6 @@
         if not self.path:
             return
         try:
-            self.transport.save(self.path, msgspec.json.encode(Remembered(list(self.shelves.values()))))
+            self.transport.save(self.path, msgspec.json.encode(SavedList(list(self.shelves.values()))))
         except OSError as error:
             self.log.warning("the list could not be saved", path=self.path, reason=str(error))
--- a/gorsethread/nvme_gateway/gateway.py
+++ b/gorsethread/nvme_gateway/gateway.py
@@ -10,17 +10,17 @@
 from gorsethread.nvme.command import Opcode
 from gorsethread.nvme.subsystem import Subsystem
 from gorsethread.nvme_gateway.backend_link import BackendLink
-from gorsethread.nvme_gateway.client_side import ClientSide, Tenants
-from gorsethread.nvme_gateway.discovery import ListFollower
+from gorsethread.nvme_gateway.client_side import ClientSide, TenantVolumes
+from gorsethread.nvme_gateway.discovery import DiscoveryClient
 from gorsethread.nvme_gateway.extent_placement import SitePlacement
-from gorsethread.nvme_gateway.latency_accounting import AccountBook
+from gorsethread.nvme_gateway.latency_accounting import AccountingSnapshots
 from gorsethread.nvme_gateway.offline.offline_writes import OfflineWrites
 from gorsethread.nvme_gateway.offline.operator_queries import as_json
-from gorsethread.nvme_gateway.peers import PeerSide
+from gorsethread.nvme_gateway.peers import PeerMessaging
 from gorsethread.nvme_gateway.replay_receiver import ReplayReceiver
 from gorsethread.nvme_gateway.replica_server import ReplicaServer
 from gorsethread.nvme_gateway.replicated_log import ReplicatedLog
-from gorsethread.nvme_gateway.scheduler_settings import start_facts
+from gorsethread.nvme_gateway.scheduler_settings import settings_from_site
 from gorsethread.nvme_transport.controller_server import QueueServer
 from gorsethread.nvme_transport.host_connection import AssociationNames
 from gorsethread.recovery.spacing import ConnectionSlots
@@ -31,7 +31,7 @@
 RETRY_DELAYS = (0.1, 0.3)  # beside the site's longest return time
 
 
-class Head:
+class NvmeGateway:
     """remember: file that keeps the last list; accounts: folder for a snapshot of each window (seconds);
     records: folder for what others rely on, and for copies of others'. peers_listen: where other heads'
     messages come in, if that is not the address by which they know this one (behind a forwarder)."""
@@ -71,19 +71,21 @@
                 signs=self.branch,
             )
         )
-        self.follower = ListFollower(transport, site.list.address, number, remember, links, log)
-        self.peers = self.follower.peers = PeerSide(transport, site, number, self.follower, log, peers_listen)
+        self.discovery = DiscoveryClient(transport, site.list.address, number, remember, links, log)
+        self.peers = self.discovery.peers = PeerMessaging(
+            transport, site, number, self.discovery, log, peers_listen
+        )
         facts = replace(
-            start_facts(site),
+            settings_from_site(site),
             gateway_index=self.peers.heads.index(number),
             may_send_messages=self.peers.all_may_tell,
         )
-        self.driver = Driver(transport, facts, seed, placement, self.follower.follow, log)
-        self.follower.driver = links.driver = self.driver
+        self.driver = Driver(transport, facts, seed, placement, self.discovery.follow, log)
+        self.discovery.driver = links.driver = self.driver
         self.peers.driver = self.driver
         self.driver.peer_sender = self.peers.tell
         delays = tuple(sorted({*RETRY_DELAYS, max(RETRY_DELAYS[-1], site.rules.longest_return)}))
-        admits = Tenants(site, number).admits
+        admits = TenantVolumes(site, number).admits
         self.subsystem = Subsystem(
             site.subsystem, admits, f"head-{number}", "gorsethread", site.links.largest_bytes, delays
         )
@@ -91,21 +93,23 @@
         self.server = QueueServer(
             transport, self.subsystem, self.clients, max_connections or site.links.connections, log
         )
-        self.book: AccountBook | None = None
+        self.accounting: AccountingSnapshots | None = None
         if accounts:
-            self.book = AccountBook(transport, site, number, self.driver, accounts, window, log)
-        self.promises: ReplicatedLog | None = None
-        self.holding: ReplicaServer | None = None
+            self.accounting = AccountingSnapshots(transport, site, number, self.driver, accounts, window, log)
+        self.replicated_log: ReplicatedLog | None = None
+        self.replica_server: ReplicaServer | None = None
         if records:
-            self.promises = ReplicatedLog(transport, site, number, records, placement, self.peers.living, log)
-            self.holding = ReplicaServer(transport, site, number, records, log, peers_listen)
-            self.driver.placement_log = self.clients.placement_log = self.promises
+            self.replicated_log = ReplicatedLog(
+                transport, site, number, records, placement, self.peers.living, log
+            )
+            self.replica_server = ReplicaServer(transport, site, number, records, log, peers_listen)
+            self.driver.placement_log = self.clients.placement_log = self.replicated_log
             if site.branch:
                 self._branches(placement)
         self.port = 0
 
     def _branches(self, placement: SitePlacement) -> None:
-        assert self.promises is not None and self.holding is not None
+        assert self.replicated_log is not None and self.replica_server is not None
         if any(self.number in b.head for b in self.site.branch):
 
             def writes_at(place: Extent) -> bool:
@@ -114,7 +118,7 @@
                     for t in self.driver.open_requests.values()
                 )
 
-            holding = self.holding
+            holding = self.replica_server
 
             def copy(origin: int) -> tuple[int, int]:
                 held = holding.replica_of(origin)
@@ -124,29 +128,31 @@
                 self.transport,
                 self.site,
                 self.number,
-                self.promises,
+                self.replicated_log,
                 self.peers.living,
                 writes_at,
                 copy,
                 self.log,
             )
-            self.holding.answer_operator_query = lambda asked: as_json(branch.answer(asked))
-            self.holding.on_records_stored = branch.records_stored
+            self.replica_server.answer_operator_query = lambda asked: as_json(branch.answer(asked))
+            self.replica_server.on_records_stored = branch.records_stored
         else:
-            side = ReplayReceiver(self.transport, self.site, self.promises, self.driver, placement, self.log)
-            self.holding.on_branch_message = side.message_received
+            side = ReplayReceiver(
+                self.transport, self.site, self.replicated_log, self.driver, placement, self.log
+            )
+            self.replica_server.on_branch_message = side.message_received
 
     def start(self) -> None:
         """OSError where its address can't be had, InUse or Unusable where its records can't be."""
         address = next(h.address for h in self.site.head if h.number == self.number)
         host, port = split_address(address)
-        if self.promises is not None and self.holding is not None:
-            self.promises.open()
-            self.holding.start()
-        self.follower.start()
+        if self.replicated_log is not None and self.replica_server is not None:
+            self.replicated_log.open()
+            self.replica_server.start()
+        self.discovery.start()
         self.peers.start()
-        if self.promises is not None:
-            self.promises.start()
+        if self.replicated_log is not None:
+            self.replicated_log.start()
         if self.branch is not None:
             self.branch.start()
         self._listener = self.transport.listen(host, port, self.server.on_stream)
@@ -165,14 +171,14 @@
             if connection.stream.unsent:
                 await self.transport.sleep(0.1)
                 break
-        if self.book:
-            self.book.end()
-        self.follower.stop()
+        if self.accounting:
+            self.accounting.end()
+        self.discovery.stop()
         if self.branch is not None:
             self.branch.stop()
-        if self.promises is not None and self.holding is not None:
-            self.promises.stop()
-            self.holding.stop()
+        if self.replicated_log is not None and self.replica_server is not None:
+            self.replicated_log.stop()
+            self.replica_server.stop()
         self.peers.stop()
         self.server.stop("the gateway ends")
         for link in self.driver.links.values():
--- a/gorsethread/nvme_gateway/latency_accounting.py
+++ b/gorsethread/nvme_gateway/latency_accounting.py
@@ -13,7 +13,7 @@
 KEPT_MOST = 20_000  # files of one head; the oldest go first (at 10 s a window, about two days)
 
 
-class AccountBook:
+class AccountingSnapshots:
     """seconds: length of a window; windows begin at whole multiples of it on the head's wall clock, so that
     those of heads whose clocks agree fit together. A snapshot that can't be kept is lost; serving goes on."""
 
--- a/gorsethread/nvme_gateway/membership_service.py
+++ b/gorsethread/nvme_gateway/membership_service.py
@@ -25,7 +25,7 @@
 SHOWN_MOST = 50  # pieces of the view shown a second
 
 
-class FleetSide:
+class MembershipService:
     """me: this head's name and place, its address as the others reach it; its life is this start. listen:
     where datagrams come in. peers: where others' may come from; none: anywhere."""
 
--- a/gorsethread/nvme_gateway/offline/branch_settings.py
+++ b/gorsethread/nvme_gateway/offline/branch_settings.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from gorsethread.nvme_gateway.peers import fleet_of
+from gorsethread.nvme_gateway.peers import fleet_id
 from gorsethread.offline_writes.primaries import primary_order
 from gorsethread.offline_writes.queued_write import QueueLimits
 from gorsethread.site_config import site_pb2 as pb
@@ -89,7 +89,7 @@
         name=branch.name,
         gateway=gateway,
         standby=next((number for number in branch.head if number != gateway), None),
-        fleet=fleet_of(site),
+        fleet=fleet_id(site),
         main_site=main_site,
         volumes={volume.number: _volume_settings(volume, main_site) for volume in site.volume},
         request_classes=tuple(_request_class_settings(each) for each in site.profile),
--- a/gorsethread/nvme_gateway/peers.py
+++ b/gorsethread/nvme_gateway/peers.py
@@ -15,7 +15,7 @@
     MemberState,
     MessageKind,
 )
-from gorsethread.nvme_gateway.membership_service import FleetSide
+from gorsethread.nvme_gateway.membership_service import MembershipService
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import Transport
@@ -25,19 +25,19 @@
 TELLINGS_MOST = 100  # datagrams a second of news; what is over is lost, and mended each second
 
 
-def fleet_of(site: pb.Site) -> int:
+def fleet_id(site: pb.Site) -> int:
     """The number that the messages of this site's heads carry; it outlives a change of the list of heads."""
     return crc32(site.name.encode())
 
 
-class PeerSide:
-    """follower: where the own list is heard, and what peers stop is passed on. Without an address of its own
+class PeerMessaging:
+    """discovery: where the own list is heard, and what peers stop is passed on. Without an address of its own
     for peers a head hears and tells nothing. listen: where messages come in, if not at that address."""
 
     def __init__(
-        self, transport: Transport, site: pb.Site, head: int, follower: Any, log: Any, listen: str = ""
+        self, transport: Transport, site: pb.Site, head: int, discovery: Any, log: Any, listen: str = ""
     ) -> None:
-        self.transport, self.follower, self.log, self.head = transport, follower, log, head
+        self.transport, self.discovery, self.log, self.head = transport, discovery, log, head
         self.addresses: dict[int, Address] = {h.number: split_address(h.peers) for h in site.head if h.peers}
         self.numbers = {address: number for number, address in self.addresses.items()}
         # Places of heads in the list are numbers to the decisions, and mean others in another list.
@@ -50,18 +50,18 @@
         self.news, self.told = SendAllowance(TELLINGS_MOST), SendAllowance()
         self._begin = 0  # of all there is to tell, where the next telling goes on
         self.stopped = False
-        self.side: FleetSide | None = None
+        self.side: MembershipService | None = None
         if head in self.addresses:
             others = tuple(a for number, a in sorted(self.addresses.items()) if number != head)
             zone = next(h.zone for h in site.head if h.number == head)
             me = MemberRecord(head, 0, 0, MemberState.ALIVE, zone, 0, *self.addresses[head], head)
-            self.side = FleetSide(
+            self.side = MembershipService(
                 transport,
                 me,
                 split_address(listen) if listen else self.addresses[head],
                 others,
                 frozenset(others),
-                fleet_of(site),
+                fleet_id(site),
                 log,
             )
             self.side.also = {
@@ -109,7 +109,7 @@
         now = self.transport.now()
         if freed := self.core.expire(now):
             self.log.info("peers' news not borne out", shelves=freed)
-            self.follower.again(freed)
+            self.discovery.again(freed)
         if news := self.core.news_to_send(now):
             self._begin = self._begin % len(news) if len(news) > PIECE * PIECES_MOST else 0
             self._tell((news[self._begin :] + news[: self._begin])[: PIECE * PIECES_MOST], False)
@@ -160,5 +160,5 @@
         if not fresh:
             return
         self.log.info("peers' news", head=self.numbers[source], shelves={n.backend: n.state for n in fresh})
-        self.follower.again([n.backend for n in fresh])
+        self.discovery.again([n.backend for n in fresh])
         self._tell(fresh, True)
--- a/gorsethread/nvme_gateway/replay_execution.py
+++ b/gorsethread/nvme_gateway/replay_execution.py
@@ -7,8 +7,8 @@
 from gorsethread.gateway.open_requests import OpenRequest
 from gorsethread.nvme.command import Command, Opcode, io_command
 from gorsethread.nvme.subsystem import BLOCK
-from gorsethread.nvme_gateway.backend_link import Order
-from gorsethread.nvme_gateway.scheduler_settings import Sorter, units_of
+from gorsethread.nvme_gateway.backend_link import BackendCommand
+from gorsethread.nvme_gateway.scheduler_settings import RequestClassifier, request_units
 from gorsethread.offline_writes.applied_writes import ReplayOutcome
 from gorsethread.offline_writes.base_versions import block_digests, combined_version
 from gorsethread.offline_writes.messages import ReplayWrite
@@ -74,7 +74,7 @@
         self._site = site
         self._driver = driver
         self._placement = placement
-        self._classifier = Sorter(site)
+        self._classifier = RequestClassifier(site)
         self._volumes = {volume.number: volume for volume in site.volume}
         self._service_tiers = {tier.name: index for index, tier in enumerate(site.plan)}
 
@@ -133,14 +133,14 @@
             attempt=0,
             label=0,
         )
-        order = Order(command, b"", len(message.data))
+        order = BackendCommand(command, b"", len(message.data))
         self._open(message, order, request_class, ReplayRequest(on_read, True, self._driver))
 
     def _write(self, message: ReplayWrite, on_finished: OnFinished) -> None:
         def on_written(outcome: ReplayOutcome, _data: bytes, retry_after: float) -> None:
             on_finished(outcome, retry_after)
 
-        order = Order(self._write_command(message), message.data, 0)
+        order = BackendCommand(self._write_command(message), message.data, 0)
         idempotent = self.is_idempotent(message.request_class)
         request = ReplayRequest(on_written, idempotent, self._driver)
         self._open(message, order, message.request_class, request)
@@ -156,7 +156,9 @@
             label=message.idempotency_key,
         )
 
-    def _open(self, message: ReplayWrite, order: Order, request_class: int, request: ReplayRequest) -> None:
+    def _open(
+        self, message: ReplayWrite, order: BackendCommand, request_class: int, request: ReplayRequest
+    ) -> None:
         volume = self._volumes[message.volume]
         class_settings = self._site.profile[request_class]
         extent = message.block // volume.extent_blocks
@@ -171,7 +173,7 @@
                 key=f"{message.volume}/{extent}" if class_settings.in_order else None,
                 deadline=now + timeout,
                 volume=message.volume,
-                units=float(units_of(len(message.data), self._site.links.unit_bytes)),
+                units=float(request_units(len(message.data), self._site.links.unit_bytes)),
                 shard=self._placement.shard_of(message.volume, extent),
                 gateways=len(volume.head),
                 is_retry=message.attempt > 0,
--- a/gorsethread/nvme_gateway/replica_server.py
+++ b/gorsethread/nvme_gateway/replica_server.py
@@ -21,7 +21,7 @@
 from gorsethread.durable_log.segment_files import load_misplaced_records
 from gorsethread.errors import GorsethreadError
 from gorsethread.nvme_gateway.log_folders import own_log_folder, replica_folder
-from gorsethread.nvme_gateway.peers import fleet_of
+from gorsethread.nvme_gateway.peers import fleet_id
 from gorsethread.offline_writes import messages as offline_messages
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.reading import split_address
@@ -85,7 +85,7 @@
         self.folder = folder
         self.log = log
         self.gateway = gateway
-        self.fleet = fleet_of(site)
+        self.fleet = fleet_id(site)
         self.gateways = {entry.number for entry in site.head}
         addresses = {entry.number: entry.peers for entry in site.head} if site.records.copies else {}
         site_address = addresses.get(gateway, "")
--- a/gorsethread/nvme_gateway/replication_topology.py
+++ b/gorsethread/nvme_gateway/replication_topology.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from gorsethread.durable_log.replica_placement import FailureDomain
-from gorsethread.nvme_gateway.peers import fleet_of
+from gorsethread.nvme_gateway.peers import fleet_id
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.reading import split_address
 
@@ -50,7 +50,7 @@
     }
     required = min(site.records.held_by, len(addresses))
     return ReplicationTopology(
-        fleet_of(site), gateway, int(site.records.copies), required, domains, addresses
+        fleet_id(site), gateway, int(site.records.copies), required, domains, addresses
     )
 
 
--- a/gorsethread/nvme_gateway/scheduler_settings.py
+++ b/gorsethread/nvme_gateway/scheduler_settings.py
@@ -24,7 +24,7 @@
 OPERATIONS = {pb.READ: Opcode.READ, pb.WRITE: Opcode.WRITE}
 
 
-def start_facts(site: pb.Site) -> SchedulerSettings:
+def settings_from_site(site: pb.Site) -> SchedulerSettings:
     rules, cold = site.rules, site.rules.cold
     budget = None
     if rules.HasField("budget"):
@@ -46,18 +46,18 @@
         key_cool_down=rules.key_rest,
         max_attempts=rules.most_forwards,
         max_retry_after=rules.longest_return,
-        largest_request_units=float(units_of(site.links.largest_bytes, site.links.unit_bytes)),
+        largest_request_units=float(request_units(site.links.largest_bytes, site.links.unit_bytes)),
         excess_value=rules.share_worth,
         retries_marked=True,
     )
 
 
-def units_of(length: int, unit_bytes: int) -> int:
+def request_units(length: int, unit_bytes: int) -> int:
     """One unit for each begun piece, at least one."""
     return max(1, -(-length // unit_bytes))
 
 
-class Sorter:
+class RequestClassifier:
     """Which profile a command of a plan belongs to: the first that fits, as validation made sure of one."""
 
     def __init__(self, site: pb.Site) -> None:
--- a/gorsethread/simulation/branch_mutants.py
+++ b/gorsethread/simulation/branch_mutants.py
@@ -5,7 +5,7 @@
 
 from gorsethread.durable_log.records import Tombstone, WriteApplied, WriteQueued
 from gorsethread.nvme.command import Opcode
-from gorsethread.nvme_gateway.gateway import Head
+from gorsethread.nvme_gateway.gateway import NvmeGateway
 from gorsethread.nvme_gateway.replay_receiver import ReplayReceiver
 from gorsethread.nvme_gateway.replicated_log import ReplicatedLog
 from gorsethread.offline_writes.applied_writes import AppliedWrites, ReplayOutcome
@@ -13,24 +13,24 @@
 from gorsethread.offline_writes.writes import ClientContext, WriteNumber
 from gorsethread.simulation.mutant_registry import kept_in
 
-BRANCH_MUTANTS: dict[str, Callable[[Head], None]] = {}
+BRANCH_MUTANTS: dict[str, Callable[[NvmeGateway], None]] = {}
 mutant = kept_in(BRANCH_MUTANTS)
 
 
-def _of_branch(head: Head, change: Callable[[Any], None]) -> None:
+def _of_branch(head: NvmeGateway, change: Callable[[Any], None]) -> None:
     """Of a branch's heads: its side, whose methods may be exchanged."""
     if head.branch is not None:
         change(head.branch)
 
 
-def _at_main_site(head: Head, change: Callable[[ReplayReceiver], None]) -> None:
+def _at_main_site(head: NvmeGateway, change: Callable[[ReplayReceiver], None]) -> None:
     """Of the main site's heads."""
-    said: Any = head.holding.on_branch_message if head.holding is not None else None
+    said: Any = head.replica_server.on_branch_message if head.replica_server is not None else None
     if said is not None:
         change(said.__self__)
 
 
-def _core(head: Head, change: Callable[[AppliedWrites], None]) -> None:
+def _core(head: NvmeGateway, change: Callable[[AppliedWrites], None]) -> None:
     """Changes what a main site's head knows of branches' writes, as it is made."""
 
     def on(side: ReplayReceiver) -> None:
@@ -48,14 +48,14 @@
     _at_main_site(head, on)
 
 
-def _keeps(head: Head, changed: Callable[[ReplicatedLog, Any], Any]) -> None:
+def _keeps(head: NvmeGateway, changed: Callable[[ReplicatedLog, Any], Any]) -> None:
     """Changes how facts are kept: changed() gives the method in place of append()."""
-    if head.promises is not None:
-        head.promises.append = changed(head.promises, head.promises.append)  # type: ignore[method-assign]
+    if head.replicated_log is not None:
+        head.replicated_log.append = changed(head.replicated_log, head.replicated_log.append)  # type: ignore[method-assign]
 
 
 @mutant("branch: accepted before it is on a disk")
-def _not_on_disk(head: Head) -> None:
+def _not_on_disk(head: NvmeGateway) -> None:
     def changed(promises: ReplicatedLog, honest: Any) -> Any:
         def keep(fact: Any, done: Any = None, here: bool = False) -> None:
             if isinstance(fact, WriteQueued):
@@ -70,7 +70,7 @@
 
 
 @mutant("branch: accepted before the other head has it")
-def _one_disk(head: Head) -> None:
+def _one_disk(head: NvmeGateway) -> None:
     _keeps(
         head,
         lambda promises, honest: lambda fact, done=None, here=False: honest(
@@ -80,17 +80,17 @@
 
 
 @mutant("branch: replayed in order of acceptance alone")
-def _no_causes(head: Head) -> None:
+def _no_causes(head: NvmeGateway) -> None:
     _of_branch(head, lambda branch: setattr(branch.queue, "_dependencies_finished", lambda write: True))
 
 
 @mutant("branch: the queue goes with its process")
-def _forgets(head: Head) -> None:
+def _forgets(head: NvmeGateway) -> None:
     _of_branch(head, lambda branch: setattr(branch._recovery, "recover", lambda in_doubt: None))
 
 
 @mutant("branch: what is given up stays on the disks")
-def _given_up_stays(head: Head) -> None:
+def _given_up_stays(head: NvmeGateway) -> None:
     def changed(promises: ReplicatedLog, honest: Any) -> Any:
         def keep(fact: Any, done: Any = None, here: bool = False) -> None:
             if (
@@ -108,7 +108,7 @@
 
 
 @mutant("branch: reads do not see what is queued")
-def _blind(head: Head) -> None:
+def _blind(head: NvmeGateway) -> None:
     def on(branch: Any) -> None:
         honest = branch.admit
         branch.admit = lambda io, waiting, extent, data: io.command.opcode != Opcode.READ and honest(
@@ -119,7 +119,7 @@
 
 
 @mutant("branch: live writes overtake what is queued")
-def _overtakes(head: Head) -> None:
+def _overtakes(head: NvmeGateway) -> None:
     def on(branch: Any) -> None:
         honest = branch.admit
         branch.admit = lambda io, waiting, extent, data: (
@@ -130,7 +130,7 @@
 
 
 @mutant("branch: once cut off, always cut off")
-def _never_back(head: Head) -> None:
+def _never_back(head: NvmeGateway) -> None:
     def on(branch: Any) -> None:
         link = branch.link
         link._answers_since = float("inf")
@@ -140,7 +140,7 @@
 
 
 @mutant("branch: what the other head took is no cause")
-def _own_only(head: Head) -> None:
+def _own_only(head: NvmeGateway) -> None:
     def on(branch: Any) -> None:
         admission = branch._admission
         honest = admission._enqueue
@@ -154,17 +154,17 @@
 
 
 @mutant("branch: what the other head has queued is taken for over")
-def _not_waited_for(head: Head) -> None:
+def _not_waited_for(head: NvmeGateway) -> None:
     _of_branch(head, lambda branch: setattr(branch.queue, "_is_standby_write_finished", lambda number: True))
 
 
 @mutant("branch: a client that comes again is not known")
-def _no_context(head: Head) -> None:
+def _no_context(head: NvmeGateway) -> None:
     _of_branch(head, lambda branch: setattr(branch._contexts, "current", lambda host: ClientContext()))
 
 
 @mutant("branch: the mark is past what waits")
-def _mark_past(head: Head) -> None:
+def _mark_past(head: NvmeGateway) -> None:
     if head.branch is not None:
         queue = head.branch.queue
         kind = type(queue)
@@ -172,9 +172,9 @@
 
 
 @mutant("branch: copies come on any stream")
-def _any_stream(head: Head) -> None:
-    if head.holding is not None:
-        holding: Any = head.holding
+def _any_stream(head: NvmeGateway) -> None:
+    if head.replica_server is not None:
+        holding: Any = head.replica_server
         honest = holding._on_store_records
 
         async def put(stream: Any, origin: int, m: Any) -> None:
@@ -185,12 +185,12 @@
 
 
 @mutant("main site: what is in effect is not known")
-def _effects_forgotten(head: Head) -> None:
+def _effects_forgotten(head: NvmeGateway) -> None:
     _core(head, lambda applied: setattr(applied, "_is_applied", lambda known, position: False))
 
 
 @mutant("main site: what was begun is not known after a restart")
-def _begun_forgotten(head: Head) -> None:
+def _begun_forgotten(head: NvmeGateway) -> None:
     def changed(promises: ReplicatedLog, honest: Any) -> Any:
         def keep(fact: Any, done: Any = None, here: bool = False) -> None:
             if isinstance(fact, WriteApplied) and not fact.ran:
@@ -204,7 +204,7 @@
 
 
 @mutant("main site: told as in effect as it comes")
-def _told_early(head: Head) -> None:
+def _told_early(head: NvmeGateway) -> None:
     def on(side: ReplayReceiver) -> None:
         honest = side._execute
 
--- a/gorsethread/simulation/durable_log_mutants.py
+++ b/gorsethread/simulation/durable_log_mutants.py
@@ -6,26 +6,26 @@
 
 from gorsethread.durable_log import replication_messages
 from gorsethread.durable_log.records import NO_SEQUENCE, Record, RecordTable
-from gorsethread.nvme_gateway.gateway import Head
+from gorsethread.nvme_gateway.gateway import NvmeGateway
 from gorsethread.nvme_gateway.replicated_log import ReplicatedLog
 from gorsethread.recovery.stages import RecoveryStages
 from gorsethread.simulation.mutant_registry import kept_in
 
-KEPT_MUTANTS: dict[str, Callable[[Head], None]] = {}
+KEPT_MUTANTS: dict[str, Callable[[NvmeGateway], None]] = {}
 mutant = kept_in(KEPT_MUTANTS)
 
 
-def _promises(head: Head) -> ReplicatedLog:
-    assert head.promises is not None
-    return head.promises
+def _promises(head: NvmeGateway) -> ReplicatedLog:
+    assert head.replicated_log is not None
+    return head.replicated_log
 
 
-def _holding(head: Head) -> Any:
-    assert head.holding is not None
-    return head.holding
+def _holding(head: NvmeGateway) -> Any:
+    assert head.replica_server is not None
+    return head.replica_server
 
 
-def _returning(head: Head, change: Callable[[RecoveryStages], None]) -> None:
+def _returning(head: NvmeGateway, change: Callable[[RecoveryStages], None]) -> None:
     """Changes the stages as they are made."""
     promises = _promises(head)
     honest = promises.open
@@ -38,7 +38,7 @@
 
 
 @mutant("records: nothing is kept of what is placed")
-def _nothing(head: Head) -> None:
+def _nothing(head: NvmeGateway) -> None:
     promises = _promises(head)
     promises.placed = lambda extent, shard, on_durable: promises.transport.call_soon(  # type: ignore[method-assign]
         lambda: on_durable(True)
@@ -46,7 +46,7 @@
 
 
 @mutant("records: what a disk does not take is told as kept")
-def _untaken(head: Head) -> None:
+def _untaken(head: NvmeGateway) -> None:
     store = _promises(head).store
     honest = store.add
 
@@ -57,7 +57,7 @@
 
 
 @mutant("records: half of a folder is read")
-def _half(head: Head) -> None:
+def _half(head: NvmeGateway) -> None:
     store = _promises(head).store
     honest = store.open
 
@@ -72,7 +72,7 @@
 
 
 @mutant("records: rotten bytes are not noticed")
-def _rotten(head: Head) -> None:
+def _rotten(head: NvmeGateway) -> None:
     store = _promises(head).store
     honest = store.open
 
@@ -85,12 +85,12 @@
 
 
 @mutant("return: a life's numbers are given again")
-def _same_life(head: Head) -> None:
+def _same_life(head: NvmeGateway) -> None:
     _returning(head, lambda r: setattr(r, "next_incarnation", lambda wall: max(1, r.own_last[0])))
 
 
 @mutant("return: nobody is asked")
-def _not_asked(head: Head) -> None:
+def _not_asked(head: NvmeGateway) -> None:
     def change(r: RecoveryStages) -> None:
         r.has_no_replicas = r.trusts_own_records = True
         r.other_gateways = frozenset()
@@ -100,12 +100,12 @@
 
 
 @mutant("return: an empty disk is a first start")
-def _empty(head: Head) -> None:
+def _empty(head: NvmeGateway) -> None:
     _returning(head, lambda r: setattr(r, "trusts_own_records", True))
 
 
 @mutant("return: one answer is enough")
-def _one_answer(head: Head) -> None:
+def _one_answer(head: NvmeGateway) -> None:
     def change(r: RecoveryStages) -> None:
         r.required_replicas = len(r.other_gateways)
 
@@ -113,7 +113,7 @@
 
 
 @mutant("return: later records of others are not fetched")
-def _older(head: Head) -> None:
+def _older(head: NvmeGateway) -> None:
     def change(r: RecoveryStages) -> None:
         honest = r.on_answer
         r.on_answer = lambda gateway, last, incarnation, now: honest(  # type: ignore[method-assign]
@@ -124,12 +124,12 @@
 
 
 @mutant("return: what is not known is held for nowhere at once")
-def _no_care(head: Head) -> None:
+def _no_care(head: NvmeGateway) -> None:
     _promises(head).retry_after = lambda: 0.0  # type: ignore[method-assign]
 
 
 @mutant("copies: a holder says so before its disk has it")
-def _holds_early(head: Head) -> None:
+def _holds_early(head: NvmeGateway) -> None:
     async def keep(held: Any, m: replication_messages.StoreRecords) -> bool:
         return True
 
@@ -137,7 +137,7 @@
 
 
 @mutant("copies: what is on its way counts as held")
-def _sent_counts(head: Head) -> None:
+def _sent_counts(head: NvmeGateway) -> None:
     sender = _promises(head).sender
     honest = sender.next_batch
 
@@ -151,7 +151,7 @@
 
 
 @mutant("copies: a holder keeps the first of each piece")
-def _first_only(head: Head) -> None:
+def _first_only(head: NvmeGateway) -> None:
     holding = _holding(head)
     honest = holding._store_records
 
@@ -166,7 +166,7 @@
 
 
 @mutant("copies: given back without the last")
-def _gives_less(head: Head) -> None:
+def _gives_less(head: NvmeGateway) -> None:
     promises = _promises(head)
     honest = promises._on_records_fetched
 
@@ -180,7 +180,7 @@
 
 
 @mutant("driver: sends before it is kept")
-def _sends_first(head: Head) -> None:
+def _sends_first(head: NvmeGateway) -> None:
     promises = _promises(head)
     honest = promises.placed
 
--- a/gorsethread/simulation/durable_log_simulation.py
+++ b/gorsethread/simulation/durable_log_simulation.py
@@ -136,7 +136,7 @@
         self._count()
         self._check_parted()
         for number, head in self.heads.items():
-            p = head.promises
+            p = head.replicated_log
             if self.processes[f"head {number}"].alive and p is not None:
                 if p.waiting or head.driver.awaiting_placement:
                     self._defect(f"left behind: head {number}: promises that nobody was told of")
--- a/gorsethread/simulation/mutants.py
+++ b/gorsethread/simulation/mutants.py
@@ -10,22 +10,22 @@
 from gorsethread.gateway.open_requests import EndpointEntry, OpenRequest
 from gorsethread.nvme.command import Completion, Status
 from gorsethread.nvme_gateway.backend_link import BackendLink
-from gorsethread.nvme_gateway.gateway import Head
+from gorsethread.nvme_gateway.gateway import NvmeGateway
 from gorsethread.scheduling.model import AttemptOutcome
 from gorsethread.scheduling.retries import MAX_ATTEMPTS
 from gorsethread.simulation.mutant_registry import kept_in, sometimes, told_as
 from gorsethread.simulation.rule_mutants import plant
 
-Change = Callable[[Head], None]
+Change = Callable[[NvmeGateway], None]
 MOST_FORWARDS = 8  # forwards of one transaction; without an end such a world would hardly get on
 MUTANTS: dict[str, Change] = {}
 mutant = kept_in(MUTANTS)
 
 
-def _on_links(head: Head, change: Callable[[BackendLink], None]) -> None:
+def _on_links(head: NvmeGateway, change: Callable[[BackendLink], None]) -> None:
     """Changes each link as it is made."""
-    follower: Any = head.follower
-    links = follower.links
+    discovery: Any = head.discovery
+    links = discovery.links
     honest = links.update
 
     def update(shelf: int, shard: int, address: tuple[str, int], state: str) -> None:
@@ -49,23 +49,23 @@
 
 
 @mutant("driver: a time-out at the cut-off is lost")
-def _no_deadline(head: Head) -> None:
+def _no_deadline(head: NvmeGateway) -> None:
     head.driver._time_is_up = lambda request: None  # type: ignore[method-assign]
 
 
 @mutant("driver: the cut-off comes a second late")
-def _late_deadline(head: Head) -> None:
+def _late_deadline(head: NvmeGateway) -> None:
     honest = head.driver.admit
     head.driver.admit = lambda *a, deadline, **n: honest(*a, deadline=deadline + 1.0, **n)  # type: ignore
 
 
 @mutant("driver: a client that left is not noticed")
-def _deaf_to_leaving(head: Head) -> None:
+def _deaf_to_leaving(head: NvmeGateway) -> None:
     head.driver.client_left = lambda request: None  # type: ignore[method-assign]
 
 
 @mutant("driver: one forward's end in fifty is not told")
-def _loses_ends(head: Head) -> None:
+def _loses_ends(head: NvmeGateway) -> None:
     honest, now = head.driver.queue_event, sometimes(50)
 
     def queue_event(method: str, *facts: Any) -> None:
@@ -76,7 +76,7 @@
 
 
 @mutant("driver: a transaction given up stays open")
-def _stays_open(head: Head) -> None:
+def _stays_open(head: NvmeGateway) -> None:
     honest = head.driver.fail
 
     def fail(request: int) -> None:
@@ -89,7 +89,7 @@
 
 
 @mutant("driver: what was honoured is not told as finished")
-def _never_finished(head: Head) -> None:
+def _never_finished(head: NvmeGateway) -> None:
     honest = head.driver.queue_event
 
     def queue_event(method: str, *facts: Any) -> None:
@@ -101,19 +101,19 @@
 
 
 @mutant("driver: gives up by pushing back")
-def _pushes_back_all(head: Head) -> None:
+def _pushes_back_all(head: NvmeGateway) -> None:
     head.driver.fail = lambda request: head.driver.reject(  # type: ignore[method-assign]
         request, 0.1
     )
 
 
 @mutant("driver: a time-out is told as never sent")
-def _timed_out_never_ran(head: Head) -> None:
+def _timed_out_never_ran(head: NvmeGateway) -> None:
     told_as(head, {AttemptOutcome.TIMED_OUT: AttemptOutcome.NOT_SENT})
 
 
 @mutant("driver: one wake in five is lost")
-def _loses_wakes(head: Head) -> None:
+def _loses_wakes(head: NvmeGateway) -> None:
     honest, now = head.driver.set_timer, sometimes(5)
     head.driver.set_timer = lambda delay, name: (  # type: ignore[method-assign]
         None if now() else honest(delay, name)
@@ -121,7 +121,7 @@
 
 
 @mutant("driver: a push-back is not answered, one in five")
-def _loses_push_backs(head: Head) -> None:
+def _loses_push_backs(head: NvmeGateway) -> None:
     honest, now = head.driver.reject, sometimes(5)
 
     def reject(request: int, retry_after: float) -> None:
@@ -136,7 +136,7 @@
 
 
 @mutant("driver: takes are counted twice, one in a hundred")
-def _miscounts(head: Head) -> None:
+def _miscounts(head: NvmeGateway) -> None:
     honest, now = head.driver.admit, sometimes(100)
 
     def take(*arguments: Any, **named: Any) -> OpenRequest:
@@ -148,7 +148,7 @@
 
 
 @mutant("driver: first writes of an extent may part it")
-def _parts_extents(head: Head) -> None:
+def _parts_extents(head: NvmeGateway) -> None:
     honest = head.driver.first_writes.begin
 
     def begin(extent: Extent, shard: int) -> PlacementCheck:
@@ -162,17 +162,17 @@
 
 
 @mutant("links: a broken connection is told as not reached")
-def _broken_never_ran(head: Head) -> None:
+def _broken_never_ran(head: NvmeGateway) -> None:
     told_as(head, {AttemptOutcome.CONNECTION_LOST: AttemptOutcome.UNREACHABLE})
 
 
 @mutant("links: a failure is told as turned away")
-def _error_never_ran(head: Head) -> None:
+def _error_never_ran(head: NvmeGateway) -> None:
     told_as(head, {AttemptOutcome.ERROR: AttemptOutcome.REJECTED})
 
 
 @mutant("links: what is over is sent all the same once connected")
-def _sends_what_is_over(head: Head) -> None:
+def _sends_what_is_over(head: NvmeGateway) -> None:
     def change(link: BackendLink) -> None:
         honest = link._connect
 
@@ -189,7 +189,7 @@
 
 
 @mutant("links: sends again what was out as the connection broke")
-def _replays(head: Head) -> None:
+def _replays(head: NvmeGateway) -> None:
     def change(link: BackendLink) -> None:
         honest = link._broke
 
@@ -205,7 +205,7 @@
 
 
 @mutant("links: an answer's data goes to the read before it, one in twenty")
-def _mixes_answers(head: Head) -> None:
+def _mixes_answers(head: NvmeGateway) -> None:
     kept, now = [b""], sometimes(20)
 
     def change(link: BackendLink) -> None:
@@ -224,7 +224,7 @@
 
 
 @mutant("links: a failure is taken for a success")
-def _failure_is_success(head: Head) -> None:
+def _failure_is_success(head: NvmeGateway) -> None:
     def change(link: BackendLink) -> None:
         honest = link._done
 
@@ -239,7 +239,7 @@
 
 
 @mutant("links: one answer in a hundred is dropped")
-def _drops_answers(head: Head) -> None:
+def _drops_answers(head: NvmeGateway) -> None:
     now = sometimes(100)
 
     def change(link: BackendLink) -> None:
@@ -257,7 +257,7 @@
 
 
 @mutant("links: nothing is told of what was out as a link broke")
-def _silent_break(head: Head) -> None:
+def _silent_break(head: NvmeGateway) -> None:
     def change(link: BackendLink) -> None:
         def broke(reason: str) -> None:
             link.association = None
@@ -272,7 +272,7 @@
 
 
 @mutant("codec: a completion is sent twice, one in a hundred")
-def _answers_twice(head: Head) -> None:
+def _answers_twice(head: NvmeGateway) -> None:
     now = sometimes(100)
     honest = head.server.on_stream
 
@@ -291,7 +291,7 @@
 
 
 @mutant("codec: a completion is lost, one in a hundred")
-def _loses_completions(head: Head) -> None:
+def _loses_completions(head: NvmeGateway) -> None:
     now = sometimes(100)
     honest = head.server.on_stream
 
@@ -304,7 +304,7 @@
 
 
 @mutant("codec: a write's first block is off by one, one in twenty")
-def _shifts_writes(head: Head) -> None:
+def _shifts_writes(head: NvmeGateway) -> None:
     honest, now = head.driver.admit, sometimes(20)
 
     def take(client: Any, order: Any, **named: Any) -> OpenRequest:
@@ -316,7 +316,7 @@
 
 
 @mutant("clients: a client's own patience is not heeded")
-def _ignores_patience(head: Head) -> None:
+def _ignores_patience(head: NvmeGateway) -> None:
     side = head.clients
     honest = side.command_announced
 
@@ -331,8 +331,8 @@
 
 
 @mutant("list: followed once, never again")
-def _follows_once(head: Head) -> None:
-    honest, asked = head.follower.follow, [0]
+def _follows_once(head: NvmeGateway) -> None:
+    honest, asked = head.discovery.follow, [0]
 
     def follow() -> None:
         asked[0] += 1
@@ -343,12 +343,12 @@
 
 
 @mutant("list: drains are not heard")
-def _deaf_to_drains(head: Head) -> None:
+def _deaf_to_drains(head: NvmeGateway) -> None:
     plant(head, 3)
 
 
 @mutant("list: a shelf's restart is not noticed")
-def _deaf_to_restarts(head: Head) -> None:
+def _deaf_to_restarts(head: NvmeGateway) -> None:
     honest = head.driver.endpoints_listed
 
     def listed(entries: Iterable[EndpointEntry], complete: bool, remembered: bool) -> None:
@@ -361,34 +361,34 @@
 
 
 @mutant("module: a key does not rest after what may still run")
-def _no_key_rest(head: Head) -> None:
+def _no_key_rest(head: NvmeGateway) -> None:
     head.driver.scheduler.key_ordering.cool_down = 0.0
 
 
 @mutant("module: keys have no turns")
-def _no_turns(head: Head) -> None:
+def _no_turns(head: NvmeGateway) -> None:
     plant(head, 5)
 
 
 @mutant("module: no limit")
-def _no_limit(head: Head) -> None:
+def _no_limit(head: NvmeGateway) -> None:
     plant(head, 7)
 
 
 @mutant("module: each head takes the whole limit for its own")
-def _whole_limit(head: Head) -> None:
+def _whole_limit(head: NvmeGateway) -> None:
     honest = head.driver.admit
     head.driver.admit = lambda *a, gateways, **n: honest(*a, gateways=1, **n)  # type: ignore
 
 
 @mutant("module: each head takes all that a cold shelf bears for its own")
-def _whole_cold_part(head: Head) -> None:
+def _whole_cold_part(head: NvmeGateway) -> None:
     head.driver.scheduler.slow_start.gateways = 1
     head.driver.scheduler.leases.enabled = False
 
 
 @mutant("module: no budget of further forwards")
-def _no_budget(head: Head) -> None:
+def _no_budget(head: NvmeGateway) -> None:
     retries = head.driver.scheduler.retries
     retries.budget = None
     retries.max_attempts = MAX_ATTEMPTS
@@ -404,12 +404,12 @@
 
 
 @mutant("module: a waiting transaction is not looked at again")
-def _no_looks(head: Head) -> None:
+def _no_looks(head: NvmeGateway) -> None:
     head.driver.scheduler._review = lambda request: None  # type: ignore[method-assign]
 
 
 @mutant("module: an irreversible transaction may go again")
-def _goes_again(head: Head) -> None:
+def _goes_again(head: NvmeGateway) -> None:
     retries = head.driver.scheduler.retries
     honest = retries.may_retry
 
@@ -424,7 +424,7 @@
 
 
 @mutant("module: what is over keeps its key's line")
-def _line_stays(head: Head) -> None:
+def _line_stays(head: NvmeGateway) -> None:
     ordering = head.driver.scheduler.key_ordering
     honest = ordering.next_runnable
     now = sometimes(40)
@@ -435,12 +435,12 @@
 
 
 @mutant("membership: old news is believed")
-def _believes_old_news(head: Head) -> None:
+def _believes_old_news(head: NvmeGateway) -> None:
     head.peers.core._covered_by_own_list = lambda news: False  # type: ignore[method-assign]
 
 
 @mutant("membership: what peers stopped is not used again")
-def _never_freed(head: Head) -> None:
+def _never_freed(head: NvmeGateway) -> None:
     honest = head.peers.core._release
 
     def freed(backends: list[int]) -> list[int]:
@@ -451,5 +451,5 @@
 
 
 @mutant("membership: a peer's word lets a head send")
-def _peers_let_it_send(head: Head) -> None:
-    head.follower._usable = lambda s: True  # type: ignore[method-assign]
+def _peers_let_it_send(head: NvmeGateway) -> None:
+    head.discovery._usable = lambda s: True  # type: ignore[method-assign]
--- a/gorsethread/simulation/rule_mutants.py
+++ b/gorsethread/simulation/rule_mutants.py
@@ -6,20 +6,20 @@
 from gorsethread.gateway.attempts import Attempt, AttemptResult
 from gorsethread.gateway.driver import Driver
 from gorsethread.gateway.open_requests import EndpointEntry, OpenRequest
-from gorsethread.nvme_gateway.gateway import Head
+from gorsethread.nvme_gateway.gateway import NvmeGateway
 from gorsethread.scheduling.model import AttemptOutcome, Effect
 
 MANY = 40
 
 
-def plant(head: Head, rule: int) -> None:
+def plant(head: NvmeGateway, rule: int) -> None:
     """Wraps a head that has not started; ValueError for a number that is no rule's."""
     if rule not in _PLANTS:
         raise ValueError(f"there is no rule {rule}; they are {min(_PLANTS)} to {max(_PLANTS)}")
     _PLANTS[rule](head)
 
 
-def _lose_answers(head: Head) -> None:
+def _lose_answers(head: NvmeGateway) -> None:
     driver = head.driver
     honest = driver._ended
 
@@ -52,7 +52,7 @@
     driver.send_attempt = send_attempt  # type: ignore[method-assign]
 
 
-def _twice(head: Head) -> None:
+def _twice(head: NvmeGateway) -> None:
     profiles = head.driver.scheduler.settings.request_classes
 
     def act(t: OpenRequest, f: Attempt) -> None:
@@ -62,7 +62,7 @@
     _after_forward(head.driver, act)
 
 
-def _deaf_to_drains(head: Head) -> None:
+def _deaf_to_drains(head: NvmeGateway) -> None:
     honest = head.driver.endpoints_listed
 
     def listed(entries: Iterable[EndpointEntry], complete: bool, remembered: bool) -> None:
@@ -71,7 +71,7 @@
     head.driver.endpoints_listed = listed  # type: ignore[method-assign]
 
 
-def _push_over(head: Head) -> None:
+def _push_over(head: NvmeGateway) -> None:
     honest = head.driver.endpoints_listed
     cold: set[int] = set()
 
@@ -88,7 +88,7 @@
     _after_forward(head.driver, act)
 
 
-def _out_of_turn(head: Head) -> None:
+def _out_of_turn(head: NvmeGateway) -> None:
     honest = head.driver.admit
 
     def take(*arguments: Any, **named: Any) -> OpenRequest:
@@ -97,7 +97,7 @@
     head.driver.admit = take  # type: ignore[method-assign]
 
 
-def _no_budget(head: Head) -> None:
+def _no_budget(head: NvmeGateway) -> None:
     def act(t: OpenRequest, f: Attempt) -> None:
         if not f.payload.command.to_controller:
             _again(head.driver, f)
@@ -105,7 +105,7 @@
     _after_forward(head.driver, act)
 
 
-def _no_limit(head: Head) -> None:
+def _no_limit(head: NvmeGateway) -> None:
     scheduler = head.driver.scheduler
     scheduler.rate_limits.units_left = lambda volume: float("inf")  # type: ignore[method-assign]
     # Nothing else holds a volume back either, else a busy shelf hides that the limit does not hold.
--- a/gorsethread/simulation/site_simulation.py
+++ b/gorsethread/simulation/site_simulation.py
@@ -18,14 +18,14 @@
 from gorsethread.invariants.history_checker import Break, Verdict, Witness
 from gorsethread.invariants.online_checker import OnlineWitness
 from gorsethread.latency_attribution.snapshots import decode
-from gorsethread.nvme_gateway.gateway import Head
+from gorsethread.nvme_gateway.gateway import NvmeGateway
 from gorsethread.scheduling.model import SlowStartRule
 from gorsethread.simulation.script import KEPT_POINTS, KINDS, Act, Clock, Script
 from gorsethread.simulation.slow_start_checker import ColdPart
 from gorsethread.simulation.states import STATES, met
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.reading import split_address
-from gorsethread.site_config.sizing import sized
+from gorsethread.site_config.sizing import resized_site
 from gorsethread.transport.base import StreamClosed, Unreachable
 from gorsethread.transport.virtual import MAX_RESEND_DELAY, Disk, Network, VirtualLoop, VirtualTransport
 
@@ -41,7 +41,7 @@
 
 
 class Point(NamedTuple):
-    """A method that a head may end itself behind: of which part of a Head, and its class, for processes."""
+    """A method that a head may end itself behind: of which part of it, and its class, for processes."""
 
     part: str
     module: str
@@ -69,13 +69,15 @@
         },
     ),
     **_points(
-        "promises",
+        "replicated_log",
         "nvme_gateway.replicated_log",
         "ReplicatedLog",
         {"promise": "placed", "flushed": "_on_flushed", "held": "_on_placed", "given": "_on_records_fetched"},
     ),
-    **_points("holding", "nvme_gateway.replica_server", "ReplicaServer", {"greeted": "_greeted"}),
-    **_points("promises.store", "durable_log.log_store", "LogStore", {"segment": "_remove_old_segments"}),
+    **_points("replica_server", "nvme_gateway.replica_server", "ReplicaServer", {"greeted": "_greeted"}),
+    **_points(
+        "replicated_log.store", "durable_log.log_store", "LogStore", {"segment": "_remove_old_segments"}
+    ),
 }
 COUNTED = ("succeeded", "rejected", "failed", "client left")
 
@@ -187,7 +189,7 @@
             *(f"shelf-{n}:4430" for n in range(script.shelves)),
             *(f"head-{n}:4520" for n in range(script.heads)),
         ]
-        self.site = sized(site, script.heads, script.shelves, addresses)
+        self.site = resized_site(site, script.heads, script.shelves, addresses)
         self.loop = VirtualLoop()
         self.network = Network(self.loop, script.seed)
         self.loop.set_exception_handler(self._raised)
@@ -298,7 +300,7 @@
     def _start_head(self, number: int) -> None:
         name = f"head {number}"
         process = self._start(name)
-        head = Head(
+        head = NvmeGateway(
             process,
             self.site,
             number,
@@ -551,7 +553,7 @@
         self._check_accounts()
 
     def _follows(self, head: Any) -> bool:
-        return head.follower._stream is not None
+        return head.discovery._stream is not None
 
     def _end(self) -> None:
         for process in (*self.processes.values(), self.day):
--- a/gorsethread/simulation/states.py
+++ b/gorsethread/simulation/states.py
@@ -30,7 +30,7 @@
 }
 STATES: States = DECIDED | {
     "a link is down": lambda h: any(link.association is None for link in h.driver.links.values()),
-    "the list is not followed": lambda h: h.follower._stream is None,
+    "the list is not followed": lambda h: h.discovery._stream is None,
 }
 WEB_STATES: States = DECIDED | {
     "a connection comes up": lambda h: h.pool.open_connections
--- a/gorsethread/site_config/reading.py
+++ b/gorsethread/site_config/reading.py
@@ -12,7 +12,7 @@
 from gorsethread.site_config import site_pb2 as pb
 
 
-class BadSite(InvalidInputError):
+class SiteFileError(InvalidInputError):
     """The faults of a site file, a line each: file:line: field: reason."""
 
     action = "Correct the site file at the lines named; heads that run keep the one they started with."
@@ -342,28 +342,28 @@
 
 
 def parse_site(text: str, file: str = "site") -> pb.Site:
-    """The site of a text; BadSite with every fault found."""
+    """The site of a text; SiteFileError with every fault found."""
     site = pb.Site()
     try:
         text_format.Parse(text, site)
     except text_format.ParseError as error:
         line = error.GetLine() or 1
         reason = re.sub(r"^\d+:\d+\s*:\s*", "", str(error))
-        raise BadSite([f"{file}:{line}: {reason}"]) from None
+        raise SiteFileError([f"{file}:{line}: {reason}"]) from None
     checker = _Checker(file, field_lines(text), site)
     for check in CHECKS:
         check(checker)
     if checker.faults:
-        raise BadSite([fault for _, fault in sorted(checker.faults)])
+        raise SiteFileError([fault for _, fault in sorted(checker.faults)])
     return site
 
 
 def read_site(path: Path) -> pb.Site:
-    """BadSite where the file can't be read or has faults."""
+    """SiteFileError where the file can't be read or has faults."""
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        raise BadSite([f"{path}: can't be read: {error}"]) from None
+        raise SiteFileError([f"{path}: can't be read: {error}"]) from None
     return parse_site(text, str(path))
 
 
--- a/gorsethread/site_config/sizing.py
+++ b/gorsethread/site_config/sizing.py
@@ -5,12 +5,12 @@
 from gorsethread.site_config import site_pb2 as pb
 
 
-def needed(site: pb.Site, heads: int, shelves: int) -> int:
-    """How many addresses sized() takes."""
+def addresses_needed(site: pb.Site, heads: int, shelves: int) -> int:
+    """How many addresses resized_site() takes."""
     return 1 + shelves + heads * (2 if any(h.peers for h in site.head) else 1)
 
 
-def sized(site: pb.Site, heads: int, shelves: int, addresses: Sequence[str]) -> pb.Site:
+def resized_site(site: pb.Site, heads: int, shelves: int, addresses: Sequence[str]) -> pb.Site:
     """The same site with another number of heads and shelves, at these addresses: the list, heads, shelves,
     and those for peers where the site has any. Volumes stay spread as before, if there are as many."""
     new = pb.Site()
--- a/tests/recovery/test_spacing.py
+++ b/tests/recovery/test_spacing.py
@@ -21,7 +21,7 @@
     PollOrder,
     spread_retry_after,
 )
-from gorsethread.site_config.reading import BadSite, parse_site, read_site
+from gorsethread.site_config.reading import SiteFileError, parse_site, read_site
 
 PATH = Path(__file__).parent.parent.parent / "deploy" / "site.txtpb"
 SITE = read_site(PATH)
@@ -75,7 +75,7 @@
         self.assertEqual([0.3, 0.6, 0.9], [round(spread_retry_after(0.3, d), 6) for d in (0.0, 0.5, 1.0)])
 
     def test_a_site_limit_that_would_delay_a_gateway_for_seconds_is_rejected(self) -> None:
-        with self.assertRaises(BadSite) as caught:
+        with self.assertRaises(SiteFileError) as caught:
             parse_site(PATH.read_text().replace("opens: 60", "opens: 1"))
         self.assertIn("links.opens: each of 3 heads opens one in 3 s", str(caught.exception))
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -14,7 +14,7 @@
 from gorsethread.logs import log_for, start_logs
 from gorsethread.nvme.command import Completion, Opcode, io_command
 from gorsethread.nvme.subsystem import BLOCK
-from gorsethread.nvme_gateway.gateway import Head
+from gorsethread.nvme_gateway.gateway import NvmeGateway
 from gorsethread.nvme_transport.controller_server import IoCommand
 from gorsethread.nvme_transport.host_connection import Association, AssociationNames, connect_association
 from gorsethread.site_config import site_pb2 as pb
@@ -114,14 +114,14 @@
         self.site = self.sized(parse_site(self.site_text))
         self.list: NodeList | None = None
         self.shelves: dict[int, ScriptedShelf] = {}
-        self.heads: dict[int, Head] = {}
+        self.heads: dict[int, NvmeGateway] = {}
 
     def sized(self, site: pb.Site) -> pb.Site:
         return resized(site, len(site.head), len(site.shelf))
 
     async def asyncTearDown(self) -> None:
         for head in self.heads.values():
-            head.follower.stop()
+            head.discovery.stop()
             head.peers.stop()
             head.server.stop("end of the test")
             head._listener.close()
@@ -160,8 +160,8 @@
         self.shelves[number] = shelf
         return shelf
 
-    def start_head(self, number: int = 0, remember: str = "") -> Head:
-        head = Head(self.transport, self.site, number, 1, remember, log_for())
+    def start_head(self, number: int = 0, remember: str = "") -> NvmeGateway:
+        head = NvmeGateway(self.transport, self.site, number, 1, remember, log_for())
         head.start()
         self.heads[number] = head
         return head
--- a/tests/scheduling/test_same_decisions.py
+++ b/tests/scheduling/test_same_decisions.py
@@ -13,9 +13,9 @@
 from gorsethread.latency_attribution.request_attribution import Accounts
 from gorsethread.logs import log_for, start_logs
 from gorsethread.nvme.command import Opcode, io_command
-from gorsethread.nvme_gateway.backend_link import Order
+from gorsethread.nvme_gateway.backend_link import BackendCommand
 from gorsethread.nvme_gateway.extent_placement import SitePlacement
-from gorsethread.nvme_gateway.scheduler_settings import start_facts
+from gorsethread.nvme_gateway.scheduler_settings import settings_from_site
 from gorsethread.scheduling.model import AttemptOutcome, SchedulerSettings
 from gorsethread.simulator_adapter.events import ATTEMPT_OUTCOMES
 from gorsethread.simulator_adapter.instances import Instances
@@ -194,7 +194,7 @@
         clock = ManualClock()
         site = parse_site(SITE)
         recorded: list[tuple[Any, ...]] = []
-        driver = Driver(clock, start_facts(site), seed, SitePlacement(site), lambda: None, log_for())  # type: ignore[arg-type]
+        driver = Driver(clock, settings_from_site(site), seed, SitePlacement(site), lambda: None, log_for())  # type: ignore[arg-type]
         driver.recorder = recorded.append
         links = {id: FakeLink() for id in (0, 1)}
         driver.links.update(links)  # type: ignore[arg-type]
@@ -258,7 +258,7 @@
         key = f"{volume}/{extent}" if request_class == 1 else None
         driver.admit(
             FakeClient(),
-            Order(command),
+            BackendCommand(command),
             request_class=request_class,
             service_tier=0,
             key=key,
@@ -275,7 +275,7 @@
     def run_simulator_adapter(self, recorded: list[tuple[Any, ...]], seed: int) -> list[tuple[Any, ...]]:
         """Passes the recorded events to the simulator adapter; returns the scheduler's actions."""
         instances = Instances()
-        up = {"verb": "up", "salt": seed, "setup": simulator_setup(start_facts(parse_site(SITE)))}
+        up = {"verb": "up", "salt": seed, "setup": simulator_setup(settings_from_site(parse_site(SITE)))}
         decided: list[tuple[Any, ...]] = []
         batch: list[dict[str, Any]] = [up]
         page: list[Any] = []
--- a/tests/test_durable_log.py
+++ b/tests/test_durable_log.py
@@ -21,7 +21,7 @@
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.site import PARTIES
 from gorsethread.logs import log_for, start_logs
-from gorsethread.nvme_gateway.peers import fleet_of
+from gorsethread.nvme_gateway.peers import fleet_id
 from gorsethread.recovery.stages import Stage
 from gorsethread.simulation.durable_log_mutants import KEPT_MUTANTS
 from gorsethread.simulation.durable_log_simulation import RecordsWorld
@@ -103,7 +103,7 @@
         return simulation
 
     def stages(self, simulation: RecordsWorld) -> list[Stage]:
-        return [h.promises.recovery.stage for h in simulation.heads.values()]
+        return [h.replicated_log.recovery.stage for h in simulation.heads.values()]
 
     def test_random_simulations_keep_every_rule_and_every_acknowledged_record(self) -> None:
         failed = [(p.seed, p.reasons, p.first) for p in play_many(SITE, range(40), kept=True) if p.reasons]
@@ -131,16 +131,16 @@
     def test_gateways_do_not_wait_for_one_that_stays_down(self) -> None:
         simulation = self.play_good("2 kill head-0 for 0.3\n2 kill head-1 for 0.5\n2 kill head-2 for 5\n")
         self.assertEqual([Stage.COMPLETE] * 3, self.stages(simulation))
-        recovery = simulation.heads[0].promises.recovery
+        recovery = simulation.heads[0].replicated_log.recovery
         self.assertLess(recovery.stage_since - recovery.started, 2.2)
 
     def test_an_empty_disk_is_recognised_as_lost_and_refilled(self) -> None:
         simulation = self.play_good("3 wipe head-0 for 0.5\n3 kill head-2 for 3\n")
-        recovery = simulation.heads[0].promises.recovery
+        recovery = simulation.heads[0].replicated_log.recovery
         self.assertGreater(
             recovery.stage_since - recovery.started, 2.0, "it waited for the one that may hold more"
         )
-        self.assertGreater(len(simulation.heads[0].promises.store.table.placements()), 10)
+        self.assertGreater(len(simulation.heads[0].replicated_log.store.table.placements()), 10)
 
     def test_exchanged_disks_are_recognised(self) -> None:
         self.play_good("3 swap head-0 <-> head-1 for 0.5\n")
@@ -174,7 +174,7 @@
 
         def start_second() -> None:
             """Start another machine with this gateway's number and an empty disk."""
-            earlier = simulation.heads[0].promises
+            earlier = simulation.heads[0].replicated_log
             process = VirtualTransport(simulation.network, simulation.disk, "head 0 again")
             simulation.processes["second"] = process
 
@@ -192,7 +192,7 @@
 
         simulation.loop.call_at(simulation.zero + 4.0, start_second)
         outcome = simulation.play()
-        self.assertTrue(simulation.heads[0].promises.sender.fenced)
+        self.assertTrue(simulation.heads[0].replicated_log.sender.fenced)
         self.assertEqual(["does not promise again"], outcome.reasons)
 
 
@@ -229,7 +229,7 @@
             transport = RealTransport(1)
             for name, gateway, is_replica in (("own-0", 0, False), ("copies/head-2", 2, True)):
                 store = LogStore(
-                    transport, f"{self.folder}/{name}", fleet_of(SITE), gateway, log_for(), is_replica
+                    transport, f"{self.folder}/{name}", fleet_id(SITE), gateway, log_for(), is_replica
                 )
                 store.open()
                 await store.start_incarnation(1000)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -24,8 +24,8 @@
     MessageKind,
     encode,
 )
-from gorsethread.nvme_gateway.membership_service import FleetSide
-from gorsethread.nvme_gateway.peers import fleet_of
+from gorsethread.nvme_gateway.membership_service import MembershipService
+from gorsethread.nvme_gateway.peers import fleet_id
 from gorsethread.simulation.script import read_script
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.reading import read_site, split_address
@@ -66,7 +66,7 @@
             deadline = transport.now() + 25.0
             while True:
                 try:
-                    shown = await ask(transport, address, fleet_of(site), 1.0)
+                    shown = await ask(transport, address, fleet_id(site), 1.0)
                 except NoAnswer:
                     shown = Shown()
                 if condition(shown):
@@ -158,7 +158,7 @@
         addresses = [("127.0.0.1", 100 + n) for n in range(3)]
         for n in range(3):
             process = VirtualTransport(network, Disk(), f"head {n}")
-            side = FleetSide(
+            side = MembershipService(
                 process,
                 MemberRecord(n, 0, 0, MemberState.ALIVE, 0, 0, *addresses[n], n),
                 addresses[n],
--- a/tests/test_idle_backends.py
+++ b/tests/test_idle_backends.py
@@ -9,9 +9,9 @@
 from gorsethread.gateway.driver import Driver
 from gorsethread.logs import log_for, start_logs
 from gorsethread.nvme.command import Opcode, io_command
-from gorsethread.nvme_gateway.backend_link import Order
+from gorsethread.nvme_gateway.backend_link import BackendCommand
 from gorsethread.nvme_gateway.extent_placement import SitePlacement
-from gorsethread.nvme_gateway.scheduler_settings import start_facts
+from gorsethread.nvme_gateway.scheduler_settings import settings_from_site
 from gorsethread.scheduling.model import AttemptOutcome
 from gorsethread.site_config.reading import parse_site
 from tests.rig import SITE
@@ -29,7 +29,7 @@
         """Function calls, of Python and C, over 100 transactions of two shelves."""
         start_logs(False, "critical")
         clock, site = ManualClock(), parse_site(SITE)
-        driver = Driver(clock, start_facts(site), 1, SitePlacement(site), lambda: None, log_for())  # type: ignore[arg-type]
+        driver = Driver(clock, settings_from_site(site), 1, SitePlacement(site), lambda: None, log_for())  # type: ignore[arg-type]
         links = {n: FakeLink() for n in range(shelves)}
         driver.links.update(links)  # type: ignore[arg-type]
         driver.shards.update({n: n for n in range(shelves)})
@@ -49,7 +49,7 @@
             for n in range(100):
                 driver.admit(
                     FakeClient(),
-                    Order(io_command(Opcode.READ, 1)),
+                    BackendCommand(io_command(Opcode.READ, 1)),
                     request_class=0,
                     service_tier=0,
                     key=None,
--- a/tests/test_latency_attribution_running.py
+++ b/tests/test_latency_attribution_running.py
@@ -9,7 +9,7 @@
 from gorsethread.latency_attribution.window import Window
 from gorsethread.logs import log_for
 from gorsethread.nvme.command import Opcode
-from gorsethread.nvme_gateway.gateway import Head
+from gorsethread.nvme_gateway.gateway import NvmeGateway
 from gorsethread.scheduling.model import RequestOutcome
 from tests.rig import Rig
 
@@ -19,8 +19,8 @@
         await super().asyncSetUp()
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
 
-    def start_head(self, number: int = 0, remember: str = "") -> Head:
-        head = Head(
+    def start_head(self, number: int = 0, remember: str = "") -> NvmeGateway:
+        head = NvmeGateway(
             self.transport, self.site, number, 1, remember, log_for(), accounts=self.folder, window=0.4
         )
         head.start()
@@ -68,7 +68,7 @@
 
     async def test_a_folder_that_goes_away_stops_nothing(self) -> None:
         await self.start_all()
-        self.heads[0].book.folder = f"{self.folder}/gone"  # type: ignore[union-attr]
+        self.heads[0].accounting.folder = f"{self.folder}/gone"  # type: ignore[union-attr]
         client = await self.client()
         await asyncio.sleep(0.6)
         how, _, _ = await self.send(client, Opcode.WRITE)
@@ -81,7 +81,7 @@
         for path in (old, other):
             path.write_bytes(b"old")
         await self.start_all()
-        self.heads[0].book.most = 2  # type: ignore[union-attr]
+        self.heads[0].accounting.most = 2  # type: ignore[union-attr]
         await self.until(lambda: not old.exists())
         self.assertTrue(other.exists(), "another head's")
         await self.until(lambda: len(list(Path(self.folder).glob("head-0-*.acc"))) == 2)
--- a/tests/test_nvme_gateway.py
+++ b/tests/test_nvme_gateway.py
@@ -14,8 +14,7 @@
 from gorsethread.gateway.driver import attempt_count
 from gorsethread.nvme.command import Command, Completion, Opcode, Status, connect, connect_data, io_command
 from gorsethread.nvme.pdu import Encoder, PduType, initialize
-from gorsethread.nvme_gateway.backend_link import BackendLink
-from gorsethread.nvme_gateway.backend_link import Order as Sent
+from gorsethread.nvme_gateway.backend_link import BackendCommand, BackendLink
 from gorsethread.nvme_transport.controller_server import IoCommand
 from gorsethread.scheduling.model import AttemptOutcome
 from gorsethread.transport.base import StreamClosed
@@ -269,10 +268,10 @@
             path = str(Path(folder) / "list")
             await self.start_all()
             first = self.heads[0]
-            first.follower.path = path
-            first.follower._save()
+            first.discovery.path = path
+            first.discovery._save()
             self.assertTrue(Path(path).exists())
-            first.follower.stop()
+            first.discovery.stop()
             first.server.stop("killed")
             first._listener.close()
             self.list.stop()
@@ -318,13 +317,13 @@
         held = self.hold(0)
         sent = self.send(client, Opcode.READ)
         await self.until(lambda: held)
-        driver, follower = self.heads[0].driver, self.heads[0].follower
-        follower._take(b'{"kind":"changes","version":90,"shelves":[%s]}' % _gone(self.site.shelf[0].address))
+        driver, discovery = self.heads[0].driver, self.heads[0].discovery
+        discovery._take(b'{"kind":"changes","version":90,"shelves":[%s]}' % _gone(self.site.shelf[0].address))
         self.assertIn(0, driver.links)
         self.shelves[0]._saw_end(held[0], "honoured", False)
         held[0].answer(Completion(0), bytes(4096))
         self.assertEqual("honoured", (await sent)[0])
-        follower._take(b'{"kind":"changes","version":91,"shelves":[]}')
+        discovery._take(b'{"kind":"changes","version":91,"shelves":[]}')
         self.assertEqual([1], list(driver.links))
 
     async def test_r2t_data_comes_a_byte_at_a_time(self) -> None:
@@ -376,7 +375,9 @@
 
         link = BackendLink(Spawns(), 1, ("shelf", 1), None, 1.0, 8, False, None)  # type: ignore[arg-type]
         ends: list[AttemptOutcome] = []
-        f = Attempt(1, 0, 1, 0.0, Sent(io_command(Opcode.READ, 1)), lambda f, how, told: ends.append(how))
+        f = Attempt(
+            1, 0, 1, 0.0, BackendCommand(io_command(Opcode.READ, 1)), lambda f, how, told: ends.append(how)
+        )
         link.send(f)
         link.cancel(f)
         self.assertEqual(([AttemptOutcome.NOT_SENT], []), (ends, link.waiting))
--- a/tests/test_offline_writes.py
+++ b/tests/test_offline_writes.py
@@ -19,7 +19,7 @@
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.site import PARTIES
 from gorsethread.logs import log_for, start_logs
-from gorsethread.nvme_gateway.peers import fleet_of
+from gorsethread.nvme_gateway.peers import fleet_id
 from gorsethread.offline_writes import messages as offline_messages
 from gorsethread.offline_writes.messages import OperatorQuery
 from gorsethread.simulation.branch_mutants import BRANCH_MUTANTS
@@ -27,7 +27,7 @@
 from gorsethread.simulation.runs import drawn, play, play_many
 from gorsethread.simulation.script import read_script
 from gorsethread.site_config import site_pb2 as pb
-from gorsethread.site_config.reading import BadSite, parse_site, read_site
+from gorsethread.site_config.reading import SiteFileError, parse_site, read_site
 from gorsethread.transport.base import StreamClosed
 from gorsethread.transport.real import RealTransport
 from gorsethread.transport.virtual import VirtualTransport
@@ -220,7 +220,7 @@
 class InvalidMessages(unittest.TestCase):
     def test_invalid_messages_end_their_own_stream_and_harm_nothing_else(self) -> None:
         simulation = BranchWorld(SITE, read_script(SCRIPT_START))
-        fleet, ended = fleet_of(simulation.site), list[str]()
+        fleet, ended = fleet_id(simulation.site), list[str]()
         process = VirtualTransport(simulation.network, simulation.disk, "stranger")
         simulation.processes["stranger"] = process
 
@@ -304,7 +304,7 @@
             "the invariant checker reports the discarded write as lost",
         )
         gateway = last["number"][0]
-        table = simulation.heads[gateway].promises.store.table
+        table = simulation.heads[gateway].replicated_log.store.table
         self.assertIn((-3, *last["number"][1:]), table.records)
 
     def test_an_operator_command_for_an_unknown_write_returns_an_error(self) -> None:
@@ -342,7 +342,7 @@
             (("shard: 4 head: 0 head: 1 head: 3 head: 4", "shard: 4 head: 3 head: 4"), "no head of the"),
             ((read_class, f"{read_class} held_when_cut_off: true"), "only writes"),
         ):
-            with self.subTest(expected), self.assertRaises(BadSite) as caught:
+            with self.subTest(expected), self.assertRaises(SiteFileError) as caught:
                 self.assertIn(original, text)
                 parse_site(text.replace(original, changed))
             self.assertIn(expected, str(caught.exception))
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from gorsethread.latency_attribution.snapshots import decode
-from gorsethread.nvme_gateway.gateway import Head
+from gorsethread.nvme_gateway.gateway import NvmeGateway
 from gorsethread.simulation.rule_mutants import plant
 from gorsethread.simulation.runs import play_many, shrink
 from gorsethread.simulation.script import BadScript, read_script
@@ -252,8 +252,8 @@
         still_open = sum(
             row.lives
             for h in world.heads.values()
-            if h.book
-            for row in h.book.accounts.close_window(h.transport.now()).all_rows()
+            if h.accounting
+            for row in h.accounting.accounts.close_window(h.transport.now()).all_rows()
         )
         self.assertEqual(closed, counted + still_open)
 
@@ -270,7 +270,7 @@
 
 class Blind(unittest.TestCase):
     def test_an_exception_in_a_callback_is_a_defect(self) -> None:
-        def change(head: Head) -> None:
+        def change(head: NvmeGateway) -> None:
             head.transport.call_at(head.transport.now() + 3.0, lambda: [].pop())
 
         self.assertIn("raised", play(SITE, read_script("seed 1\nseconds 3\n"), change).reasons)
--- a/tests/test_site_config.py
+++ b/tests/test_site_config.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 
 from gorsethread.nvme.command import Opcode
-from gorsethread.nvme_gateway.scheduler_settings import Sorter, start_facts
-from gorsethread.site_config.reading import BadSite, parse_site
+from gorsethread.nvme_gateway.scheduler_settings import RequestClassifier, settings_from_site
+from gorsethread.site_config.reading import SiteFileError, parse_site
 from tests.rig import SITE
 
 
@@ -17,7 +17,7 @@
         for old, new in changes:
             self.assertIn(old, text)
             text = text.replace(old, new, 1)
-        with self.assertRaises(BadSite) as caught:
+        with self.assertRaises(SiteFileError) as caught:
             parse_site(text, "s")
         return caught.exception.faults
 
@@ -80,14 +80,14 @@
     def test_no_text_raises_anything_else(self, text: str) -> None:
         try:
             parse_site(text)
-        except BadSite as bad:
+        except SiteFileError as bad:
             self.assertTrue(bad.faults)
 
 
 class Facts(unittest.TestCase):
     def test_the_first_profile_that_fits(self) -> None:
         site = parse_site(SITE)
-        sorter = Sorter(site)
+        sorter = RequestClassifier(site)
         found = [
             sorter.profile("plain", op, 4096, hints)
             for op, hints in ((Opcode.READ, 0), (Opcode.WRITE, 16), (Opcode.WRITE, 0))
@@ -96,8 +96,8 @@
         self.assertEqual(
             (16.0, 1, None),
             (
-                start_facts(site).largest_request_units,
-                start_facts(site).gateways,
-                start_facts(site).retry_budget,
+                settings_from_site(site).largest_request_units,
+                settings_from_site(site).gateways,
+                settings_from_site(site).retry_budget,
             ),
         )
