--- a/gorsethread/experiments/bench_peers.py
+++ b/gorsethread/experiments/bench_peers.py
@@ -70,7 +70,7 @@
             io.answer(Completion(0, Status.SUCCESS if honoured else Status.INTERNAL_ERROR), told.data)
 
         read = 0 if data else c.blocks * BLOCK
-        link.send(Attempt(0, 0, link.shelf, self.transport.now(), BackendCommand(c, data, read), ended))
+        link.send(Attempt(0, 0, link.backend, self.transport.now(), BackendCommand(c, data, read), ended))
 
     def command_abandoned(self, io: IoCommand) -> None: ...
 
--- a/gorsethread/fakes/backend.py
+++ b/gorsethread/fakes/backend.py
@@ -183,7 +183,7 @@
 
     def _profile(self, io: IoCommand) -> pb.Profile:
         c, volume = io.command, self.volumes[io.command.nsid]
-        return self.site.profile[self.sorter.profile(volume.plan, c.opcode, c.blocks * BLOCK, c.hints)]
+        return self.site.profile[self.sorter.classify(volume.plan, c.opcode, c.blocks * BLOCK, c.hints)]
 
     def _offer(self, io: IoCommand) -> None:
         c, now = io.command, self.transport.now()
--- a/gorsethread/fakes/client.py
+++ b/gorsethread/fakes/client.py
@@ -328,7 +328,7 @@
             else:
                 operation, blocks = Opcode.READ, 8 + self.chance.randrange(8)
             first = extent * volume.extent_blocks + self.chance.randrange(volume.extent_blocks - blocks)
-        profile = self.sorter.profile(volume.plan, operation, blocks * BLOCK, hints)
+        profile = self.sorter.classify(volume.plan, operation, blocks * BLOCK, hints)
         if self.site.profile[profile].in_order:
             key = f"{volume.number}/{extent}"
         self.labels += 1
--- a/gorsethread/nvme_gateway/client_side.py
+++ b/gorsethread/nvme_gateway/client_side.py
@@ -1,4 +1,4 @@
-"""The client side of a head: each command checked, sorted into its profile, handed on, answered once."""
+"""Handles the commands of clients: classifies each one, admits it to the driver and answers it once."""
 
 from typing import Any, NamedTuple
 
@@ -17,33 +17,43 @@
 
 
 class TenantVolumes:
-    """Which volumes a host sees through this head."""
+    """The volumes that each host may use through this gateway."""
 
-    def __init__(self, site: pb.Site, head: int) -> None:
+    def __init__(self, site: pb.Site, gateway: int) -> None:
         self._tenants = {host: t.name for t in site.tenant for host in t.host}
         self._volumes: dict[str, list[Namespace]] = {t.name: [] for t in site.tenant}
         for v in site.volume:
-            if head in v.head:
+            if gateway in v.head:
                 self._volumes[v.tenant].append(Namespace(v.number, v.blocks, v.extent_blocks))
 
     def admits(self, host: str) -> list[Namespace] | None:
+        """Returns the namespaces of a host NQN, or None if the host is unknown."""
         tenant = self._tenants.get(host)
         return None if tenant is None else self._volumes[tenant]
 
 
-class ClientCommand:
-    """One command from its capsule to its answer."""
+class PendingCommand:
+    """A client's command, from the arrival of its capsule until it is answered.
 
-    __slots__ = ("side", "io", "deadline", "timer", "taken", "profile", "data")
+    Attributes:
+        request_class: Index of its request class in the site file.
+        deadline: Time in seconds of the transport's clock by which it is answered.
+        timer: Set while the data of a write is awaited.
+        open_request: The driver's record; None before admission and after the answer.
+        data: Data of a write, kept at a branch's gateway to record what the blocks contain.
+    """
 
-    def __init__(self, side: "ClientSide", io: IoCommand, profile: int, deadline: float) -> None:
-        self.side, self.io, self.profile, self.deadline = side, io, profile, deadline
+    __slots__ = ("side", "io", "deadline", "timer", "open_request", "request_class", "data")
+
+    def __init__(self, side: "ClientSide", io: IoCommand, request_class: int, deadline: float) -> None:
+        self.side, self.io, self.request_class, self.deadline = side, io, request_class, deadline
         self.timer: Timer | None = None
-        self.taken: OpenRequest | None = None
-        self.data = b""  # of a write, where a branch remembers what its blocks held
+        self.open_request: OpenRequest | None = None
+        self.data = b""
 
     def succeeded(self, shard: int, data: bytes) -> None:
-        self.taken = None  # see Connection.answer
+        """Answers with success and tells the client the extent's shard."""
+        self.open_request = None  # breaks a reference cycle; see Connection.answer
         if self.side.branch is not None:
             self.side.branch.blocks_observed(
                 self.io.command.nsid, self.io.command.first_block, self.data or data
@@ -51,41 +61,60 @@
         self.io.answer(Completion(0, dw0=shard + 1), data)
 
     def served(self, shard: int, data: bytes) -> None:
-        """From what is queued at a branch, which no shelf holds yet."""
+        """Answers a read from writes that are queued at this branch and not yet on a backend."""
         self.io.answer(Completion(0, dw0=shard + 1), data)
 
     def accepted(self) -> None:
-        """By a branch that is cut off: it is kept, and will be in effect. No shelf is named."""
+        """Answers a write that a disconnected branch has queued and will apply later; names no shard."""
         self.io.answer(Completion(0))
 
     def rejected(self, return_after: float) -> None:
-        """The return time rounded up to the controller's delays, and exactly in the free field."""
-        self.taken = None
+        """Rejects the command; the client may retry after return_after seconds.
+
+        The time is sent rounded up to one of the controller's retry delays, and exactly in a vendor field.
+        """
+        self.open_request = None
         delays = self.side.subsystem.retry_delays
         retry = 0
         if return_after > 0 and delays:
             retry = next((n for n, d in enumerate(delays, 1) if d >= return_after), len(delays))
-        self.side.log.debug("pushed back", volume=self.io.command.nsid, return_after=round(return_after, 3))
+        self.side.log.debug(
+            "command rejected", volume=self.io.command.nsid, return_after=round(return_after, 3)
+        )
         self.io.answer(Completion(0, Status.COMMAND_INTERRUPTED, retry=retry, dw1=round(return_after * 1000)))
 
     def failed(self) -> None:
-        self.taken = None
-        self.side.log.debug("given up", volume=self.io.command.nsid)
+        """Fails the command for good: the client must not retry it."""
+        self.open_request = None
+        self.side.log.debug("command failed", volume=self.io.command.nsid)
         self.io.answer(Completion(0, Status.INTERNAL_ERROR, do_not_retry=True))
 
 
 class VolumeSettings(NamedTuple):
-    """What each command asks of its volume."""
+    """The settings of a volume that each of its commands needs.
+
+    Attributes:
+        tier: Name of its service tier.
+        tier_number: Index of its service tier in the site file.
+        extent_blocks: Blocks of an extent.
+        gateways: Number of gateways through which the volume is reached.
+    """
 
     number: int
-    plan: str
-    plan_number: int
+    tier: str
+    tier_number: int
     extent_blocks: int
-    heads: int
+    gateways: int
 
 
 class ClientSide:
-    """The owner of I/O commands at a head's server."""
+    """Handles the I/O commands that the gateway's server receives.
+
+    Attributes:
+        draining: The gateway is shutting down, and rejects new commands.
+        placement_log: Makes the extents' placements durable; None if they are not to survive a restart.
+        branch: At a branch's gateway, its OfflineWrites (offline/offline_writes.py).
+    """
 
     def __init__(
         self,
@@ -98,99 +127,104 @@
     ) -> None:
         self.transport, self.driver, self.placement = transport, driver, placement
         self.subsystem, self.log = subsystem, log
-        self._sorter = RequestClassifier(site)
+        self._classifier = RequestClassifier(site)
         self._slack = site.rules.answer_slack
         self._unit_bytes = site.links.unit_bytes
-        self._deadlines = [p.cut_off for p in site.profile]
-        self._in_order = [p.in_order for p in site.profile]
-        plans = {p.name: n for n, p in enumerate(site.plan)}
+        self._timeouts = [p.cut_off for p in site.profile]
+        self._ordered = [p.in_order for p in site.profile]
+        tiers = {p.name: n for n, p in enumerate(site.plan)}
         self._volumes = {
-            v.number: VolumeSettings(v.number, v.plan, plans[v.plan], v.extent_blocks, len(v.head))
+            v.number: VolumeSettings(v.number, v.plan, tiers[v.plan], v.extent_blocks, len(v.head))
             for v in site.volume
         }
         self._shards = {s.shard for s in site.shelf}
         self.draining = False
-        self.placement_log: PlacementLog | None = None  # where what is placed is to last
-        self.branch: Any = None  # of a branch's head: gorsethread/nvme_gateway/offline/offline_writes.py
+        self.placement_log: PlacementLog | None = None
+        self.branch: Any = None
 
     def command_announced(self, io: IoCommand) -> None:
+        """Classifies the command and sets its deadline; while draining, rejects it."""
         command = io.command
         if self.draining:
-            # Ending in order: what was not taken may safely come again, at another head.
+            # The command has not run, so the client may safely retry it at another gateway.
             io.answer(Completion(0, Status.COMMAND_INTERRUPTED))
             return
-        plan = self._volumes[command.nsid].plan
-        profile = self._sorter.profile(plan, command.opcode, command.blocks * BLOCK, command.hints)
-        most = self._deadlines[profile]
-        patience = min(command.client_timeout, most) if command.client_timeout else most
-        waiting = ClientCommand(self, io, profile, io.arrived + max(MILLISECOND, patience - self._slack))
-        io.owner_state = waiting
+        tier = self._volumes[command.nsid].tier
+        request_class = self._classifier.classify(tier, command.opcode, command.blocks * BLOCK, command.hints)
+        max_timeout = self._timeouts[request_class]
+        timeout = min(command.client_timeout, max_timeout) if command.client_timeout else max_timeout
+        pending = PendingCommand(
+            self, io, request_class, io.arrived + max(MILLISECOND, timeout - self._slack)
+        )
+        io.owner_state = pending
         if command.opcode == Opcode.WRITE and command.sgl_type != SGL_IN_CAPSULE:
-            waiting.timer = self.transport.call_at(waiting.deadline, lambda: self._never_came(waiting))
+            pending.timer = self.transport.call_at(pending.deadline, lambda: self._data_timed_out(pending))
 
-    def _never_came(self, waiting: ClientCommand) -> None:
-        """The data of a write did not come in its time: it was not taken, and nothing of it ran."""
-        if waiting.taken is None:
-            waiting.io.answer(Completion(0, Status.DATA_TRANSFER_ERROR))
+    def _data_timed_out(self, pending: PendingCommand) -> None:
+        """Fails a write whose data did not arrive before its deadline; no part of it has run."""
+        if pending.open_request is None:
+            pending.io.answer(Completion(0, Status.DATA_TRANSFER_ERROR))
 
     def command_received(self, io: IoCommand, data: bytes) -> None:
-        command, waiting = io.command, io.owner_state
-        if waiting.timer:
-            waiting.timer.cancel()
+        """Admits a complete command to the driver, or answers it at once."""
+        command, pending = io.command, io.owner_state
+        if pending.timer:
+            pending.timer.cancel()
         volume = self._volumes[command.nsid]
         extent = command.first_block // volume.extent_blocks
         if self.branch is not None:
-            if self.branch.admit(io, waiting, extent, data):
+            if self.branch.admit(io, pending, extent, data):
                 return
-            waiting.data = data
+            pending.data = data
         shard = self.placement.shard_of(volume.number, extent)
         if shard == UNPLACED and command.shard_hint in self._shards:
-            # The client was told where the extent lies, by a head that knew.
+            # The client was told the extent's shard by a gateway that knew it.
             shard = command.shard_hint
             self.placement.placed(volume.number, extent, shard)
             if self.placement_log is not None:
-                self.placement_log.placed((volume.number, extent), shard, lambda kept: None)
+                self.placement_log.placed((volume.number, extent), shard, lambda durable: None)
         if (
             shard == UNPLACED
             and self.placement_log is not None
-            and (after := self.placement_log.retry_after()) > 0.0
+            and (retry_after := self.placement_log.retry_after()) > 0.0
         ):
-            # Where it belongs is not known now, or can't be kept: nothing of it has run.
-            waiting.rejected(after)
+            # The extent's shard is not known yet or can't be made durable; the command has not run.
+            pending.rejected(retry_after)
             return
         if shard == UNPLACED and command.opcode == Opcode.READ:
             io.answer(Completion(0, Status.UNWRITTEN_BLOCK))
             return
         length = command.blocks * BLOCK
-        # The client's own description of its data and the shard it named are not the shelf's business.
-        onward = command
+        # The backend does not get the client's description of its data, nor the shard hint.
+        forwarded = command
         if command.sgl_address or command.cdw3 > 0xFF:
-            onward = command._replace(sgl_address=0, cdw3=command.cdw3 & 0xFF)
-        key = f"{volume.number}/{extent}" if self._in_order[waiting.profile] else None
-        waiting.taken = self.driver.admit(
-            waiting,
-            BackendCommand(onward, data, length if command.opcode == Opcode.READ else 0),
-            request_class=waiting.profile,
-            service_tier=volume.plan_number,
+            forwarded = command._replace(sgl_address=0, cdw3=command.cdw3 & 0xFF)
+        key = f"{volume.number}/{extent}" if self._ordered[pending.request_class] else None
+        pending.open_request = self.driver.admit(
+            pending,
+            BackendCommand(forwarded, data, length if command.opcode == Opcode.READ else 0),
+            request_class=pending.request_class,
+            service_tier=volume.tier_number,
             key=key,
-            deadline=waiting.deadline,
+            deadline=pending.deadline,
             volume=volume.number,
             extent=Extent(volume.number, extent),
             units=float(request_units(length, self._unit_bytes)),
             shard=shard,
-            gateways=volume.heads,
+            gateways=volume.gateways,
             is_retry=command.is_retry,
             arrived=io.arrived,
-            data_followed=waiting.timer is not None,
+            data_followed=pending.timer is not None,
         )
 
     def command_abandoned(self, io: IoCommand) -> None:
-        waiting = io.owner_state
-        if waiting is None:
+        """Cancels a command whose host has aborted it or disconnected."""
+        pending = io.owner_state
+        if pending is None:
             return
-        if waiting.timer:
-            waiting.timer.cancel()
-        if waiting.taken is not None:
-            self.driver.client_left(waiting.taken)
+        if pending.timer:
+            pending.timer.cancel()
+        if pending.open_request is not None:
+            self.driver.client_left(pending.open_request)
         elif self.branch is not None:
-            self.branch.client_left(waiting)
+            self.branch.client_left(pending)
--- a/gorsethread/nvme_gateway/discovery.py
+++ b/gorsethread/nvme_gateway/discovery.py
@@ -1,8 +1,8 @@
-"""Follows the node list for one head, and remembers its last word across restarts.
+"""Watches the endpoint list for a gateway and saves it to disk, to have it after a restart.
 
-The list's lines are JSON (docs/wire.md). A shelf's age is told, not a time of day: no two machines need to
-agree on a clock. What a line says of a shelf's start is turned into this head's time once, when it is first
-heard, so that later tellings of the same start don't look like new ones.
+The list service sends lines of JSON (docs/wire.md). It gives a backend's age, not a time of day, so that no
+two machines need to agree on a clock. The age is converted to this gateway's clock only once, when the
+backend's start is first received, so that later messages about the same start do not look like another start.
 """
 
 from typing import Any
@@ -15,13 +15,18 @@
 from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import Stream, StreamClosed, Transport, Unreachable
 
-CONNECT_WITHIN = 1.0  # seconds
-SILENCE_MOST = 5.0  # seconds; the list says something each second, so this means the connection is dead
-LINE_MOST = 1 << 20  # bytes
+CONNECT_TIMEOUT = 1.0  # seconds
+MAX_SILENCE = 5.0  # seconds; the list service sends something each second, so the connection is dead
+MAX_LINE_BYTES = 1 << 20
 
 
 class ListedBackend(msgspec.Struct, frozen=True):
-    """One shelf: start names this life of its process, age is seconds since then (0: long ago)."""
+    """A backend in the endpoint list.
+
+    Attributes:
+        start: Identifies this start of the backend's process.
+        age: Seconds since that start; 0 if it was long ago.
+    """
 
     number: int
     address: str
@@ -33,7 +38,13 @@
 
 
 class ListMessage(msgspec.Struct, frozen=True):
-    """kind: all, changes, refused, or alive (nothing new). life: which run of the list counts versions."""
+    """A message from the list service.
+
+    Attributes:
+        kind: "all", "changes", "refused", or "alive" (nothing new).
+        shelves: The backends listed, or those that changed.
+        life: Identifies the run of the list service; versions are comparable only within a run.
+    """
 
     kind: str
     version: int = 0
@@ -42,171 +53,193 @@
 
 
 class WatchRequest(msgspec.Struct, frozen=True, tag="follow", tag_field="say"):
-    """A head's wish to follow, from the version it has."""
+    """A gateway's request to receive the list's changes, from the version that it has."""
 
     head: int
     version: int
 
 
 class SavedList(msgspec.Struct, frozen=True):
-    """What is kept on disk: shelves with the time of their start on this machine's clock."""
+    """The saved list: backends with the time of their start on this machine's clock."""
 
     shelves: list[tuple[ListedBackend, float]]
 
 
 class DiscoveryClient:
-    """driver is set before start(). path: where the last list is kept; "" keeps it nowhere."""
+    """Watches the endpoint list and passes its changes to the connection pool, the peers and the driver.
+
+    Attributes:
+        driver: Set before start().
+        path: File in which the last list is saved; "" if it is not saved.
+        backends: The backends listed and the times of their starts, by number; those that leave the list
+            are removed.
+        peers: Set before start() if gateways exchange news of backends.
+    """
 
     def __init__(
-        self, transport: Transport, address: str, head: int, path: str, links: Any, log: Any
+        self, transport: Transport, address: str, gateway: int, path: str, links: Any, log: Any
     ) -> None:
-        self.transport, self.head, self.path, self.log = transport, head, path, log
+        self.transport, self.gateway, self.path, self.log = transport, gateway, path, log
         self.address = split_address(address)
         self.links = links
         self.driver: Driver
         self.version = 0
-        self.shelves: dict[int, tuple[ListedBackend, float]] = {}  # emptied as shelves leave the list
+        self.backends: dict[int, tuple[ListedBackend, float]] = {}
         self._stream: Stream | None = None
-        self._asking = False
-        self._heard = 0.0
+        self._watching = False
+        self._last_received_at = 0.0
         self.stopped = False
-        self.peers: PeerMessaging | None = None  # set before start() where heads tell each other news
+        self.peers: PeerMessaging | None = None
 
     def start(self) -> None:
-        """Tells what is remembered, if anything is."""
+        """Passes on the saved list, if there is one."""
         raw = self.transport.load(self.path) if self.path else None
         if raw is None:
             return
         try:
-            kept: SavedList = msgspec.json.decode(raw, type=SavedList)
+            saved: SavedList = msgspec.json.decode(raw, type=SavedList)
         except msgspec.DecodeError as error:
             self.log.warning(
-                "remembered list can't be read; starting without", path=self.path, reason=str(error)
+                "saved endpoint list can't be read; starting without it", path=self.path, reason=str(error)
             )
             return
         now = self.transport.now()
-        # After the machine itself restarted its clock did too: a start that lies ahead is taken as now.
-        self.shelves = {s.number: (s, min(since, now)) for s, since in kept.shelves}
-        self._pass_on(list(self.shelves.values()), True, True)
+        # The clock restarts with the machine, so a saved start may lie in the future; it is replaced by now.
+        self.backends = {s.number: (s, min(since, now)) for s, since in saved.shelves}
+        self._pass_on(list(self.backends.values()), True, True)
 
-    def follow(self) -> None:
-        """Asks for the list and its changes; a failure comes back as a refusal."""
-        if self._asking or self._stream is not None or self.stopped:
+    def watch(self) -> None:
+        """Connects to the list service and watches; the driver is told if that fails or ends."""
+        if self._watching or self._stream is not None or self.stopped:
             return
-        self._asking = True
-        self.transport.spawn(self._follow())
+        self._watching = True
+        self.transport.spawn(self._watch_list())
 
     def stop(self) -> None:
+        """Ends the watch for good."""
         self.stopped = True
         if self._stream is not None:
             self._stream.close()
 
-    async def _follow(self) -> None:
+    async def _watch_list(self) -> None:
         reason = ""
         try:
-            stream = await self.transport.connect(*self.address, CONNECT_WITHIN)
+            stream = await self.transport.connect(*self.address, CONNECT_TIMEOUT)
             self._stream = stream
-            stream.write(msgspec.json.encode(WatchRequest(self.head, self.version)) + b"\n")
-            self._heard = self.transport.now()
-            self._watch(stream)
-            held = b""
+            stream.write(msgspec.json.encode(WatchRequest(self.gateway, self.version)) + b"\n")
+            self._last_received_at = self.transport.now()
+            self._check_silence(stream)
+            buffer = b""
             while True:
-                held += await stream.read()
-                self._heard = self.transport.now()
-                *lines, held = held.split(b"\n")
-                if len(held) > LINE_MOST:
-                    raise StreamClosed("a line without an end")
+                buffer += await stream.read()
+                self._last_received_at = self.transport.now()
+                *lines, buffer = buffer.split(b"\n")
+                if len(buffer) > MAX_LINE_BYTES:
+                    raise StreamClosed("a line is too long")
                 for line in lines:
-                    self._take(line)
+                    self._line_received(line)
         except (Unreachable, StreamClosed, msgspec.DecodeError) as error:
             reason = str(error)
         finally:
-            self._asking = False
+            self._watching = False
             if self._stream is not None:
                 self._stream.close()
                 self._stream = None
         if not self.stopped:
             if self.peers is not None:
-                self.peers.core.list_lost()
-            self.log.info("the list is not followed", reason=reason)
+                self.peers.news_table.list_lost()
+            self.log.info("the endpoint list is not being watched", reason=reason)
             self.driver.endpoint_poll_failed()
 
-    def _watch(self, stream: Stream) -> None:
-        """Guards against a list whose machine vanished without a word: the head would be deaf to drains."""
+    def _check_silence(self, stream: Stream) -> None:
+        """Closes the connection after a long silence.
+
+        Without this, a gateway whose list service's machine has vanished would not learn of drains.
+        """
         if self._stream is not stream:
             return
-        if self.transport.now() - self._heard > SILENCE_MOST:
+        if self.transport.now() - self._last_received_at > MAX_SILENCE:
             stream.close()
             return
-        self.transport.call_at(self.transport.now() + 1.0, lambda: self._watch(stream))
+        self.transport.call_at(self.transport.now() + 1.0, lambda: self._check_silence(stream))
 
-    def _take(self, line: bytes) -> None:
-        told: ListMessage = msgspec.json.decode(line, type=ListMessage)
-        if told.kind == "alive":
+    def _line_received(self, line: bytes) -> None:
+        message: ListMessage = msgspec.json.decode(line, type=ListMessage)
+        if message.kind == "alive":
             return
-        if told.kind == "refused":
+        if message.kind == "refused":
             raise StreamClosed("refused")
-        if told.version < self.version and told.kind == "changes":
+        if message.version < self.version and message.kind == "changes":
             return
-        self.version = told.version
+        self.version = message.version
         now = self.transport.now()
-        whole = told.kind == "all"
+        complete = message.kind == "all"
         entries = []
-        for s in told.shelves:
-            known = self.shelves.get(s.number)
+        for s in message.shelves:
+            known = self.backends.get(s.number)
             if known and known[0].start == s.start:
                 since = known[1]
             else:
                 since = now - s.age if s.age else 0.0
             entries.append((s, since))
-        if whole:
-            self.shelves = {}
+        if complete:
+            self.backends = {}
         for s, since in entries:
             if s.state == "gone":
-                self.shelves.pop(s.number, None)
+                self.backends.pop(s.number, None)
             else:
-                self.shelves[s.number] = (s, since)
+                self.backends[s.number] = (s, since)
         self.log.info(
-            "list", kind=told.kind, version=told.version, shelves={s.number: s.state for s in told.shelves}
+            "endpoint list received",
+            kind=message.kind,
+            version=message.version,
+            backends={s.number: s.state for s in message.shelves},
         )
         freed: list[int] = []
         if self.peers is not None:
-            freed = self.peers.list_said(
-                told.life, told.version, [(s.number, s.start, s.state) for s in told.shelves], whole
+            freed = self.peers.list_updated(
+                message.life,
+                message.version,
+                [(s.number, s.start, s.state) for s in message.shelves],
+                complete,
             )
-        self._pass_on(entries, whole, False)
-        self.again(freed)
-        self._save()
+        self._pass_on(entries, complete, False)
+        self.republish(freed)
+        self._save_list()
 
-    def _pass_on(self, entries: list[tuple[ListedBackend, float]], whole: bool, remembered: bool) -> None:
+    def _pass_on(self, entries: list[tuple[ListedBackend, float]], complete: bool, remembered: bool) -> None:
         for s, _ in entries:
             self.links.update(s.number, s.shard, split_address(s.address), s.state)
-        # Also links that had forwards out when their shelf left the list go, once these are in.
-        self.links.keep_only(set(self.shelves))
-        self._ready(entries)
-        told = [EndpointEntry(s.number, s.zone, s.shard, self._usable(s), since) for s, since in entries]
-        self.driver.endpoints_listed(told, whole, remembered)
-
-    def _ready(self, entries: list[tuple[ListedBackend, float]]) -> None:
+        # This also removes a link that was kept for attempts in flight when its backend left the list.
+        self.links.keep_only(set(self.backends))
+        self._update_links(entries)
+        endpoints = [
+            EndpointEntry(s.number, s.zone, s.shard, self._is_usable(s), since) for s, since in entries
+        ]
+        self.driver.endpoints_listed(endpoints, complete, remembered)
+
+    def _update_links(self, entries: list[tuple[ListedBackend, float]]) -> None:
         for s, _ in entries:
             if (link := self.driver.links.get(s.number)) is not None:
-                link.ready(self._usable(s))
+                link.ready(self._is_usable(s))
 
-    def _usable(self, s: ListedBackend) -> bool:
-        return s.state == "ready" and (self.peers is None or not self.peers.core.is_stopped(s.number))
+    def _is_usable(self, s: ListedBackend) -> bool:
+        return s.state == "ready" and (self.peers is None or not self.peers.news_table.is_stopped(s.number))
 
-    def again(self, shelves: list[int]) -> None:
-        """Tells the module anew of these, as the own list and peers' news together have it."""
-        known = [self.shelves[n] for n in shelves if n in self.shelves]
+    def republish(self, numbers: list[int]) -> None:
+        """Passes these backends to the driver again, as the list and the peers' news now describe them."""
+        known = [self.backends[n] for n in numbers if n in self.backends]
         if known:
-            self._ready(known)
-            told = [EndpointEntry(s.number, s.zone, s.shard, self._usable(s), since) for s, since in known]
-            self.driver.endpoints_listed(told, False, False)
+            self._update_links(known)
+            endpoints = [
+                EndpointEntry(s.number, s.zone, s.shard, self._is_usable(s), since) for s, since in known
+            ]
+            self.driver.endpoints_listed(endpoints, False, False)
 
-    def _save(self) -> None:
+    def _save_list(self) -> None:
         if not self.path:
             return
         try:
-            self.transport.save(self.path, msgspec.json.encode(SavedList(list(self.shelves.values()))))
+            self.transport.save(self.path, msgspec.json.encode(SavedList(list(self.backends.values()))))
         except OSError as error:
-            self.log.warning("the list could not be saved", path=self.path, reason=str(error))
+            self.log.warning("the endpoint list could not be saved", path=self.path, reason=str(error))
--- a/gorsethread/nvme_gateway/latency_accounting.py
+++ b/gorsethread/nvme_gateway/latency_accounting.py
@@ -1,4 +1,4 @@
-"""Connects the accounts to a running head: looks at what is held, and a file for each window of time."""
+"""Runs the latency accounting of a gateway: samples held requests and saves a snapshot for each window."""
 
 from typing import Any
 
@@ -10,12 +10,21 @@
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.base import Transport
 
-KEPT_MOST = 20_000  # files of one head; the oldest go first (at 10 s a window, about two days)
+MAX_FILES = 20_000  # snapshots kept for one gateway; the oldest are removed (10 s windows: about two days)
 
 
 class AccountingSnapshots:
-    """seconds: length of a window; windows begin at whole multiples of it on the head's wall clock, so that
-    those of heads whose clocks agree fit together. A snapshot that can't be kept is lost; serving goes on."""
+    """Accounts for the gateway's latency and saves a snapshot of each window to a folder.
+
+    Windows begin at whole multiples of their length on the gateway's wall clock, so that the windows of
+    gateways with synchronized clocks coincide. A snapshot that cannot be saved is lost, and the gateway goes
+    on serving.
+
+    Attributes:
+        seconds: Length of a window.
+        life: Identifies this start of the gateway: its wall time in microseconds.
+        max_files: Number of snapshots kept; the oldest are removed.
+    """
 
     def __init__(
         self,
@@ -32,55 +41,55 @@
         self.accounts = Accounts([p.promised for p in site.profile], transport.now())
         self.start = transport.wall_time()
         self.life = int(self.start * 1e6)
-        self.most = KEPT_MOST
+        self.max_files = MAX_FILES
         self.ended = False
-        mine = f"head-{head}-"
-        # By the time in their names; emptied as newer ones come.
-        self._kept = sorted(
-            name for name in transport.list_files(folder) if name.startswith(mine) and name.endswith(SUFFIX)
+        prefix = f"head-{head}-"
+        # Names of the snapshots kept, oldest first: the names contain the time. Bounded by max_files.
+        self._snapshots = sorted(
+            name for name in transport.list_files(folder) if name.startswith(prefix) and name.endswith(SUFFIX)
         )
         driver.accounting.accounts = self.accounts
-        self._look()
-        self._next()
+        self._sample_held()
+        self._schedule_window()
 
     def end(self) -> None:
-        """The last window, marked as such."""
+        """Saves the last window, marked as the last."""
         self.ended = True
-        self._close(last=True)
+        self._close_window(last=True)
 
-    def _look(self) -> None:
+    def _sample_held(self) -> None:
         if self.ended:
             return
         now = self.transport.now()
         if self.accounts.lanes:
             for id in self.accounts.looks():
                 self.accounts.held(id, *why_held(self.driver.scheduler, id), now)
-        self.transport.call_at(now + LOOK_EVERY, self._look)
+        self.transport.call_at(now + LOOK_EVERY, self._sample_held)
 
-    def _next(self) -> None:
+    def _schedule_window(self) -> None:
         wall = self.transport.wall_time()
         due = (int(wall / self.seconds) + 1) * self.seconds
-        self.transport.call_at(self.transport.now() + due - wall, self._turn)
+        self.transport.call_at(self.transport.now() + due - wall, self._window_ended)
 
-    def _turn(self) -> None:
+    def _window_ended(self) -> None:
         if not self.ended:
-            self._close(last=False)
-            self._next()
+            self._close_window(last=False)
+            self._schedule_window()
 
-    def _close(self, last: bool) -> None:
+    def _close_window(self, last: bool) -> None:
         end = self.transport.wall_time()
         window = self.accounts.close_window(self.transport.now())
-        # A clock set back must not make a span end before it began.
+        # If the clock was set back, the span must not end before it begins.
         window.spans.add(Span(self.head, self.life, self.start, max(self.start, end), last))
         if window.remainders:
-            self.log.error("accounts do not add up", transactions=window.remainders)
+            self.log.error("latency accounts are inconsistent", requests=window.remainders)
         name = f"head-{self.head}-{int(self.start * 1000):015d}{SUFFIX}"
         self.start = end
         try:
             self.transport.save(f"{self.folder}/{name}", encode(self.site_name, window))
         except OSError as error:
-            self.log.warning("accounts not kept", file=name, reason=str(error))
+            self.log.warning("latency snapshot not saved", file=name, reason=str(error))
             return
-        self._kept.append(name)
-        while len(self._kept) > self.most:
-            self.transport.remove(f"{self.folder}/{self._kept.pop(0)}")
+        self._snapshots.append(name)
+        while len(self._snapshots) > self.max_files:
+            self.transport.remove(f"{self.folder}/{self._snapshots.pop(0)}")
--- a/gorsethread/nvme_gateway/membership_service.py
+++ b/gorsethread/nvme_gateway/membership_service.py
@@ -1,4 +1,7 @@
-"""Carries a head's view of the fleet: datagrams both ways, ticks, an operator's question. Decides nothing."""
+"""Runs a gateway's membership view: sends and receives its datagrams, calls its ticks, answers operators.
+
+The protocol's decisions are made in gorsethread.membership.
+"""
 
 from collections import Counter
 from collections.abc import Callable
@@ -20,14 +23,23 @@
 from gorsethread.membership.operator_replies import history_page, table_page
 from gorsethread.transport.base import Transport
 
-TICKS = 10  # a period
-LOOPBACK = "127."  # operators ask on this machine only
-SHOWN_MOST = 50  # pieces of the view shown a second
+TICKS_PER_PERIOD = 10
+LOOPBACK = "127."  # operators' queries are answered only on this machine
+MAX_REPLIES_PER_SECOND = 50  # replies to operators, each with a page of the view
 
 
 class MembershipService:
-    """me: this head's name and place, its address as the others reach it; its life is this start. listen:
-    where datagrams come in. peers: where others' may come from; none: anywhere."""
+    """Keeps the membership view of one gateway and exchanges datagrams for it.
+
+    Attributes:
+        listen: Address on which datagrams are received.
+        peers: Addresses from which datagrams are accepted; if empty, from any address.
+        fleet: Number of the fleet; datagrams of other fleets are dropped.
+        timing: The failure detector's intervals.
+        dropped_datagrams: Counts by reason; bounded by the number of reasons.
+        handlers: Called for messages of further kinds that peers send to this port; messages of a kind that
+            neither these nor the view handle are dropped.
+    """
 
     def __init__(
         self,
@@ -38,11 +50,19 @@
         peers: frozenset[Address],
         fleet: int,
         log: Any,
-        pace: ProbeTiming = DEFAULT_TIMING,
+        timing: ProbeTiming = DEFAULT_TIMING,
     ) -> None:
+        """Sets up the view.
+
+        Args:
+            me: This gateway's record, with the address by which other gateways reach it; its incarnation is
+                set here.
+            contacts: Addresses of the gateways to contact first.
+        """
         self.transport, self.listen, self.peers, self.fleet, self.log = transport, listen, peers, fleet, log
-        self.pace = pace
-        # Milliseconds of the wall clock name a start; one whose clock was set back hears it from the others.
+        self.timing = timing
+        # The wall time in milliseconds identifies a start. If the clock was set back, the gateway learns of
+        # its later incarnation from the others.
         me = me._replace(
             incarnation=int(transport.wall_time() * 1000),
             refutation=0,
@@ -50,22 +70,25 @@
             reported_by=me.member,
         )
         self.view = MembershipView(
-            me, contacts, transport.now(), transport.random_stream("view").random, pace
+            me, contacts, transport.now(), transport.random_stream("view").random, timing
         )
-        self.wrong: Counter[str] = Counter()  # by reason; as many as there are reasons
-        # What else comes from peers on this port, by kind; what is of no kind here is dropped.
-        self.also: dict[int, Callable[[Address, GossipMessage], None]] = {}
+        self.dropped_datagrams: Counter[str] = Counter()
+        self.handlers: dict[int, Callable[[Address, GossipMessage], None]] = {}
         self.stopped = False
-        self._shown = 0
-        self._told = (me.incarnation, True)
+        self._replies = 0
+        self._last_logged = (me.incarnation, True)
 
     def start(self) -> None:
-        """OSError where its address can't be had."""
-        self._port = self.transport.datagrams(*self.listen, self._came)
+        """Starts to listen and to run the view.
+
+        Raises:
+            OSError: The address cannot be bound.
+        """
+        self._port = self.transport.datagrams(*self.listen, self._datagram_received)
         self.port = self._port.port
         self._tick()
         self.log.info(
-            "fleet's view begins",
+            "membership view started",
             name=self.view.own.member,
             life=self.view.own.incarnation,
             port=self.port,
@@ -73,7 +96,7 @@
         )
 
     def stop(self) -> None:
-        """In order: the others are told."""
+        """Leaves the fleet: tells the other gateways and closes the port."""
         if not self.stopped:
             self.stopped = True
             self.view.leave()
@@ -85,55 +108,55 @@
             return
         self.view.tick(self.transport.now())
         self._flush()
-        self._shown = max(0, self._shown - SHOWN_MOST // TICKS)
-        self.transport.call_at(self.transport.now() + self.pace.period / TICKS, self._tick)
+        self._replies = max(0, self._replies - MAX_REPLIES_PER_SECOND // TICKS_PER_PERIOD)
+        self.transport.call_at(self.transport.now() + self.timing.period / TICKS_PER_PERIOD, self._tick)
 
-    def _came(self, data: bytes, source: Address) -> None:
+    def _datagram_received(self, data: bytes, source: Address) -> None:
         try:
             message = decode(data, self.fleet)
         except GossipDecodeError as error:
-            self.wrong[str(error)] += 1
+            self.dropped_datagrams[str(error)] += 1
             return
         if message.kind == MessageKind.VIEW_QUERY:
-            self._show(message, source)
+            self._answer_query(message, source)
         elif self.peers and source not in self.peers:
-            self.wrong["from no peer"] += 1
-        elif message.kind in self.also:
-            self.also[message.kind](source, message)
+            self.dropped_datagrams["from no peer"] += 1
+        elif message.kind in self.handlers:
+            self.handlers[message.kind](source, message)
         elif message.kind <= MessageKind.NACK:
             self.view.received(source, message)
             self._flush()
 
     def send(self, to: Address, message: GossipMessage) -> None:
+        """Sends a message as a datagram."""
         self._port.send(to, encode(message, self.fleet))
 
-    def _show(self, asked: GossipMessage, to: Address) -> None:
-        if not to[0].startswith(LOOPBACK) or self._shown >= SHOWN_MOST:
-            self.wrong["not shown"] += 1
+    def _answer_query(self, query: GossipMessage, to: Address) -> None:
+        if not to[0].startswith(LOOPBACK) or self._replies >= MAX_REPLIES_PER_SECOND:
+            self.dropped_datagrams["not shown"] += 1
             return
-        self._shown += 1
-        past = asked.target == HISTORY_TARGET
-        said = (
-            history_page(self.view, asked.cursor, self.transport.now())
-            if past
-            else table_page(self.view, asked.cursor)
+        self._replies += 1
+        reply = (
+            history_page(self.view, query.cursor, self.transport.now())
+            if query.target == HISTORY_TARGET
+            else table_page(self.view, query.cursor)
         )
-        self.send(to, said)
+        self.send(to, reply)
 
     def _flush(self) -> None:
         out, self.view.outbox = self.view.outbox, []
         for to, message in out:
             self._port.send(to, encode(message, self.fleet))
-        now = self.view.own.incarnation, self.view.settled
-        if now != self._told:
-            self._told = now
+        state = self.view.own.incarnation, self.view.settled
+        if state != self._last_logged:
+            self._last_logged = state
             self.log.info(
-                "fleet's view",
-                life=now[0],
-                settled=now[1],
+                "membership view",
+                life=state[0],
+                settled=state[1],
                 alive=len(self.view.alive),
                 apart=self.view.apart,
                 minority=self.view.minority,
-                doubles=self.view.duplicates,
-                wrong=dict(self.wrong),
+                duplicates=self.view.duplicates,
+                dropped=dict(self.dropped_datagrams),
             )
--- a/gorsethread/nvme_gateway/offline/offline_writes.py
+++ b/gorsethread/nvme_gateway/offline/offline_writes.py
@@ -228,7 +228,9 @@
 
     def admit(self, io: IoCommand, client: Any, extent: int, data: bytes) -> bool:
         """Handles a client's command; returns False if the caller is to forward it as usual."""
-        command = ClientCommand(client, io.command, io.host, client.profile, client.deadline, extent, data)
+        command = ClientCommand(
+            client, io.command, io.host, client.request_class, client.deadline, extent, data
+        )
         return self._admission.admit(command)
 
     def client_left(self, client: BranchClient) -> None:
--- a/gorsethread/nvme_gateway/replay_execution.py
+++ b/gorsethread/nvme_gateway/replay_execution.py
@@ -123,7 +123,7 @@
                 on_finished(ReplayOutcome.CONFLICT, 0.0)
 
         volume = self._volumes[message.volume]
-        request_class = self._classifier.profile(volume.plan, Opcode.READ, len(message.data), 0)
+        request_class = self._classifier.classify(volume.plan, Opcode.READ, len(message.data), 0)
         command = io_command(
             Opcode.READ,
             message.volume,
--- a/gorsethread/simulation/mutants.py
+++ b/gorsethread/simulation/mutants.py
@@ -177,7 +177,7 @@
         honest = link._connect
 
         async def connect() -> None:
-            over = [f for f in link.waiting if f.ended]
+            over = [f for f in link.awaiting_connection if f.ended]
             await honest()
             for f in over:
                 if link.association is not None:
@@ -191,15 +191,15 @@
 @mutant("links: sends again what was out as the connection broke")
 def _replays(head: NvmeGateway) -> None:
     def change(link: BackendLink) -> None:
-        honest = link._broke
+        honest = link._connection_lost
 
         def broke(reason: str) -> None:
-            out = list(link.out.values())
+            out = list(link.in_flight.values())
             honest(reason)
             for f in out:
                 link.send(Attempt(f.request, -1, f.backend, f.sent_at, f.payload, lambda *_: None))
 
-        _override(link, "_broke", broke)
+        _override(link, "_connection_lost", broke)
 
     _on_links(head, change)
 
@@ -209,7 +209,7 @@
     kept, now = [b""], sometimes(20)
 
     def change(link: BackendLink) -> None:
-        honest = link._done
+        honest = link._command_completed
 
         def done(f: Attempt, completion: Completion, data: bytes) -> None:
             mine = data
@@ -218,7 +218,7 @@
             kept[0] = data
             honest(f, completion, mine)
 
-        _override(link, "_done", done)
+        _override(link, "_command_completed", done)
 
     _on_links(head, change)
 
@@ -226,14 +226,14 @@
 @mutant("links: a failure is taken for a success")
 def _failure_is_success(head: NvmeGateway) -> None:
     def change(link: BackendLink) -> None:
-        honest = link._done
+        honest = link._command_completed
 
         def done(f: Attempt, completion: Completion, data: bytes) -> None:
             if completion.status == Status.INTERNAL_ERROR:
                 completion = completion._replace(status=Status.SUCCESS, do_not_retry=False)
             honest(f, completion, data)
 
-        _override(link, "_done", done)
+        _override(link, "_command_completed", done)
 
     _on_links(head, change)
 
@@ -243,15 +243,15 @@
     now = sometimes(100)
 
     def change(link: BackendLink) -> None:
-        honest = link._done
+        honest = link._command_completed
 
         def done(f: Attempt, completion: Completion, data: bytes) -> None:
             if now():
-                link.out.pop(f.cid, None)
+                link.in_flight.pop(f.cid, None)
             else:
                 honest(f, completion, data)
 
-        _override(link, "_done", done)
+        _override(link, "_command_completed", done)
 
     _on_links(head, change)
 
@@ -261,9 +261,9 @@
     def change(link: BackendLink) -> None:
         def broke(reason: str) -> None:
             link.association = None
-            link.out = {}
+            link.in_flight = {}
 
-        _override(link, "_broke", broke)
+        _override(link, "_connection_lost", broke)
 
     _on_links(head, change)
 
@@ -332,7 +332,7 @@
 
 @mutant("list: followed once, never again")
 def _follows_once(head: NvmeGateway) -> None:
-    honest, asked = head.discovery.follow, [0]
+    honest, asked = head.discovery.watch, [0]
 
     def follow() -> None:
         asked[0] += 1
@@ -436,20 +436,20 @@
 
 @mutant("membership: old news is believed")
 def _believes_old_news(head: NvmeGateway) -> None:
-    head.peers.core._covered_by_own_list = lambda news: False  # type: ignore[method-assign]
+    head.peers.news_table._covered_by_own_list = lambda news: False  # type: ignore[method-assign]
 
 
 @mutant("membership: what peers stopped is not used again")
 def _never_freed(head: NvmeGateway) -> None:
-    honest = head.peers.core._release
+    honest = head.peers.news_table._release
 
     def freed(backends: list[int]) -> list[int]:
         honest(backends)
         return []
 
-    head.peers.core._release = freed  # type: ignore[method-assign]
+    head.peers.news_table._release = freed  # type: ignore[method-assign]
 
 
 @mutant("membership: a peer's word lets a head send")
 def _peers_let_it_send(head: NvmeGateway) -> None:
-    head.discovery._usable = lambda s: True  # type: ignore[method-assign]
+    head.discovery._is_usable = lambda s: True  # type: ignore[method-assign]
--- a/gorsethread/simulation/rule_mutants.py
+++ b/gorsethread/simulation/rule_mutants.py
@@ -56,7 +56,7 @@
     profiles = head.driver.scheduler.settings.request_classes
 
     def act(t: OpenRequest, f: Attempt) -> None:
-        if profiles[t.client.profile].effect is Effect.NON_IDEMPOTENT:  # type: ignore[attr-defined]
+        if profiles[t.client.request_class].effect is Effect.NON_IDEMPOTENT:  # type: ignore[attr-defined]
             _again(head.driver, f)
 
     _after_forward(head.driver, act)
--- a/gorsethread/simulation/site_simulation.py
+++ b/gorsethread/simulation/site_simulation.py
@@ -595,17 +595,19 @@
                 held = driver.links.get(f.backend)
                 if f in driver.awaiting_placement:
                     continue  # waits for the disk, or for copies
-                if not f.ended and (held is None or held.out.get(f.cid) is not f and f not in held.waiting):
+                if not f.ended and (
+                    held is None or held.in_flight.get(f.cid) is not f and f not in held.awaiting_connection
+                ):
                     self._defect(
                         f"forward that no link holds: head {number}, shelf {f.backend}, transaction "
                         f"{owner.id}"
                     )
         for link in driver.links.values():
-            for f in (*link.out.values(), *link.waiting):
+            for f in (*link.in_flight.values(), *link.awaiting_connection):
                 t = driver.open_requests.get(f.request)
                 if not f.ended and f.number >= 0 and (t is None or t.in_flight.get(f.number) is not f):
                     self._defect(
-                        f"forward without an owner: head {number}, shelf {link.shelf}, transaction "
+                        f"forward without an owner: head {number}, shelf {link.backend}, transaction "
                         f"{f.request}"
                     )
 
--- a/tests/scheduling/test_same_decisions.py
+++ b/tests/scheduling/test_same_decisions.py
@@ -40,7 +40,7 @@
 class FakeClient:
     """Ignores all answers."""
 
-    profile = 0
+    request_class = 0
 
     def succeeded(self, shard: int, data: bytes) -> None: ...
     def rejected(self, return_after: float) -> None: ...
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -183,7 +183,9 @@
         after_messages = loop.create_future()
         loop.call_later(10.0, after_messages.set_result, None)
         loop.run_until_complete(after_messages)
-        self.assertEqual({"malformed": 2, "from no peer": 1, "another fleet": 1}, dict(sides[0].wrong))
+        self.assertEqual(
+            {"malformed": 2, "from no peer": 1, "another fleet": 1}, dict(sides[0].dropped_datagrams)
+        )
         self.assertEqual([True] * 3, [side.view.settled for side in sides])
         sides[2].stop()
         after_leaving = loop.create_future()
--- a/tests/test_latency_attribution_running.py
+++ b/tests/test_latency_attribution_running.py
@@ -81,7 +81,7 @@
         for path in (old, other):
             path.write_bytes(b"old")
         await self.start_all()
-        self.heads[0].accounting.most = 2  # type: ignore[union-attr]
+        self.heads[0].accounting.max_files = 2  # type: ignore[union-attr]
         await self.until(lambda: not old.exists())
         self.assertTrue(other.exists(), "another head's")
         await self.until(lambda: len(list(Path(self.folder).glob("head-0-*.acc"))) == 2)
--- a/tests/test_nvme_gateway.py
+++ b/tests/test_nvme_gateway.py
@@ -260,7 +260,7 @@
                 await self.until(lambda d=driver: not d.open_requests)
 
     def _answer(self, f: Attempt) -> None:
-        self.heads[0].driver.links[f.backend]._end(f, AttemptOutcome.SUCCEEDED, AttemptResult())
+        self.heads[0].driver.links[f.backend]._end_attempt(f, AttemptOutcome.SUCCEEDED, AttemptResult())
 
     async def test_the_list_is_gone_at_start(self) -> None:
         """The head serves by the list it remembers; without one it pushes back in time."""
@@ -269,7 +269,7 @@
             await self.start_all()
             first = self.heads[0]
             first.discovery.path = path
-            first.discovery._save()
+            first.discovery._save_list()
             self.assertTrue(Path(path).exists())
             first.discovery.stop()
             first.server.stop("killed")
@@ -298,7 +298,7 @@
         held = self.hold(0)
         sent = self.send(client, Opcode.WRITE, blocks=32)
         # On its connection, not only decided: an attempt that waits for one ends with the drain, unsent.
-        await self.until(lambda: self.heads[0].driver.links[0].out)
+        await self.until(lambda: self.heads[0].driver.links[0].in_flight)
         self.list._order(Order(0, "draining"), _Deaf())
         await self.until(lambda: 0 not in self.heads[0].driver.scheduler.shards.serving)
         late = self.send(client, Opcode.READ)
@@ -318,12 +318,14 @@
         sent = self.send(client, Opcode.READ)
         await self.until(lambda: held)
         driver, discovery = self.heads[0].driver, self.heads[0].discovery
-        discovery._take(b'{"kind":"changes","version":90,"shelves":[%s]}' % _gone(self.site.shelf[0].address))
+        discovery._line_received(
+            b'{"kind":"changes","version":90,"shelves":[%s]}' % _gone(self.site.shelf[0].address)
+        )
         self.assertIn(0, driver.links)
         self.shelves[0]._saw_end(held[0], "honoured", False)
         held[0].answer(Completion(0), bytes(4096))
         self.assertEqual("honoured", (await sent)[0])
-        discovery._take(b'{"kind":"changes","version":91,"shelves":[]}')
+        discovery._line_received(b'{"kind":"changes","version":91,"shelves":[]}')
         self.assertEqual([1], list(driver.links))
 
     async def test_r2t_data_comes_a_byte_at_a_time(self) -> None:
@@ -380,4 +382,4 @@
         )
         link.send(f)
         link.cancel(f)
-        self.assertEqual(([AttemptOutcome.NOT_SENT], []), (ends, link.waiting))
+        self.assertEqual(([AttemptOutcome.NOT_SENT], []), (ends, link.awaiting_connection))
--- a/tests/test_site_config.py
+++ b/tests/test_site_config.py
@@ -89,7 +89,7 @@
         site = parse_site(SITE)
         sorter = RequestClassifier(site)
         found = [
-            sorter.profile("plain", op, 4096, hints)
+            sorter.classify("plain", op, 4096, hints)
             for op, hints in ((Opcode.READ, 0), (Opcode.WRITE, 16), (Opcode.WRITE, 0))
         ]
         self.assertEqual([0, 1, 2], found)
