--- a/gorsethread/experiments/alternating_load.py
+++ b/gorsethread/experiments/alternating_load.py
@@ -47,7 +47,7 @@
             names = AssociationNames(site.subsystem, site.tenant[0].host[0])
             self.associations.append(
                 await connect_association(
-                    self.transport, split_address(site.head[0].address), names, within=5.0, size=128
+                    self.transport, split_address(site.head[0].address), names, timeout=5.0, size=128
                 )
             )
         for stretch in range(self.stretches):
--- a/gorsethread/experiments/bench_peers.py
+++ b/gorsethread/experiments/bench_peers.py
@@ -108,7 +108,7 @@
         names = AssociationNames(self.site.subsystem, self.site.tenant[0].host[0])
         address = split_address(self.site.head[0].address)
         self.association: Association = await connect_association(
-            self.transport, address, names, within=5.0, size=128
+            self.transport, address, names, timeout=5.0, size=128
         )
         await self.transport.sleep(max(0.0, self.first - self.transport.now()))
         if self.rate:
--- a/gorsethread/fakes/client.py
+++ b/gorsethread/fakes/client.py
@@ -70,7 +70,7 @@
         while True:
             try:
                 made = await connect_association(
-                    self.transport, self.address, self.names, within=2.0, size=QUEUE
+                    self.transport, self.address, self.names, timeout=2.0, size=QUEUE
                 )
             except Unreachable:
                 await self.transport.sleep(0.2)
@@ -194,7 +194,7 @@
     def _leave(self) -> None:
         if not self.over and self.link.association is not None:
             self.ended("left", None, b"")
-            self.link.association.abort(self.cid, missed=self._abort_missed)
+            self.link.association.abort(self.cid, not_found=self._abort_missed)
 
     def _take_back(self) -> None:
         """Its time is up; the head need not go on."""
--- a/gorsethread/nvme/__init__.py
+++ b/gorsethread/nvme/__init__.py
@@ -1,1 +1,1 @@
-"""NVMe over TCP, the subset a head and its shelves speak: bytes to PDUs and back. No I/O, no clock."""
+"""The subset of NVMe over TCP that the gateway and its backends use, without I/O and without a clock."""
--- a/gorsethread/nvme/command.py
+++ b/gorsethread/nvme/command.py
@@ -1,5 +1,8 @@
-"""Commands and completions (NVM Express Base 2.0, sections 3.3.3 and 4; Fabrics commands in section 6), and
-the fields the specification leaves free that a head, its clients and shelves use (table in docs/wire.md)."""
+"""Encodes and decodes commands and completions.
+
+They are as in NVM Express Base 2.0, sections 3.3.3 and 4, and for Fabrics commands in section 6. Gateways,
+clients and backends also use fields that the specification leaves free, listed in docs/wire.md.
+"""
 
 import struct
 from enum import IntEnum
@@ -13,7 +16,7 @@
 
 
 class Opcode(IntEnum):
-    """NVM command set; admin ones below."""
+    """Opcodes of the NVM command set, and the opcode of Fabrics commands."""
 
     FLUSH = 0x00
     WRITE = 0x01
@@ -22,6 +25,8 @@
 
 
 class Admin(IntEnum):
+    """Opcodes of admin commands."""
+
     GET_LOG_PAGE = 0x02
     IDENTIFY = 0x06
     ABORT = 0x08
@@ -32,6 +37,8 @@
 
 
 class Fabrics(IntEnum):
+    """Types of Fabrics commands."""
+
     PROPERTY_SET = 0x00
     CONNECT = 0x01
     PROPERTY_GET = 0x04
@@ -39,7 +46,7 @@
 
 
 class Status(IntEnum):
-    """Status code type in the high byte, status code in the low one."""
+    """Status of a completion: status code type in the high byte, status code in the low byte."""
 
     SUCCESS = 0x000
     INVALID_OPCODE = 0x001
@@ -66,7 +73,7 @@
 
 
 class Command(NamedTuple):
-    """A submission queue entry. metadata, cdw2 and cdw3 carry the free fields in Read and Write."""
+    """A submission queue entry; metadata, cdw2 and cdw3 carry the free fields of Read and Write."""
 
     opcode: int
     cid: int = 0
@@ -85,10 +92,11 @@
     cdw15: int = 0
 
     def pack(self) -> bytes:
+        """Encodes the entry."""
         return self.pack_as(self.cid, self.sgl_type, self.sgl_length)
 
     def pack_as(self, cid: int, sgl_type: int, sgl_length: int) -> bytes:
-        """The entry under another command id and with another description of its data."""
+        """Encodes the entry with another command id and another description of its data."""
         return SQE.pack(
             self.opcode,
             PSDT_SGL,
@@ -113,47 +121,52 @@
 
     @property
     def first_block(self) -> int:
+        """The first block of a Read or Write."""
         return self.cdw10 | self.cdw11 << 32
 
     @property
     def blocks(self) -> int:
+        """The number of blocks of a Read or Write."""
         return (self.cdw12 & 0xFFFF) + 1
 
     @property
     def hints(self) -> int:
-        """Dataset management byte of Read and Write: frequency, latency, sequential, incompressible."""
+        """The dataset management byte of a Read or Write: frequency, latency, sequential, incompressible."""
         return self.cdw13 & 0xFF
 
     @property
     def client_timeout(self) -> float:
-        """Seconds the client waits for this command; 0: as its profile says."""
+        """Seconds for which the client waits for the answer; 0: the timeout of the request class."""
         return self.cdw2 / 1000.0
 
     @property
     def is_retry(self) -> bool:
+        """Whether the client has sent the request before."""
         return bool(self.cdw3 & 1)
 
     @property
     def attempt(self) -> int:
-        """Which try of the client's this is, from 0."""
+        """The number of the client's attempt, from 0."""
         return self.cdw3 >> 1 & 0x7F
 
     @property
     def shard_hint(self) -> int:
-        """The shard the client was told holds this extent; -1: it names none."""
+        """The shard that holds this extent as the client was told, or -1."""
         return (self.cdw3 >> 16) - 1
 
     @property
     def label(self) -> int:
+        """The client's number for the request, the same in all of its attempts."""
         return self.metadata
 
     @property
     def to_controller(self) -> bool:
-        """Whether data goes to the controller: bits 1:0 of the opcode, of the Fabrics type in Fabrics."""
+        """Whether data goes to the controller: by bits 1:0 of the opcode, or of a Fabrics command's type."""
         return (self.nsid if self.opcode == Opcode.FABRICS else self.opcode) & 3 == 1
 
 
 def unpack_command(raw: bytes) -> Command:
+    """Decodes a submission queue entry."""
     (opcode, _, cid, nsid, cdw2, cdw3, metadata, address, length, _, _, _, sgl, *rest) = SQE.unpack(raw)
     return Command(opcode, cid, nsid, cdw2, cdw3, metadata, address, length, sgl, *rest)
 
@@ -170,7 +183,19 @@
     shard: int = -1,
     label: int = 0,
 ) -> Command:
-    """A Read, Write or Flush; client_timeout in seconds, the free fields left 0 where not given."""
+    """Returns a Read, Write or Flush.
+
+    Args:
+        opcode: READ, WRITE or FLUSH.
+        volume: The namespace.
+        first_block: The first block.
+        blocks: The number of blocks.
+        hints: The dataset management byte.
+        client_timeout: Seconds for which the client waits; 0 for the request class's timeout.
+        attempt: The number of the client's attempt, from 0; also marks a retry.
+        shard: The shard that the client was told, or -1.
+        label: The client's number for the request.
+    """
     return Command(
         opcode,
         nsid=volume,
@@ -185,11 +210,17 @@
 
 
 class Completion(NamedTuple):
-    """A completion queue entry. retry: index of the controller's retry delay, 0 for none."""
+    """A completion queue entry.
+
+    Attributes:
+        do_not_retry: The DNR bit.
+        retry: Index of one of the controller's retry delays, from 1; 0 for none.
+        queue: Identifier of the submission queue.
+    """
 
     cid: int
     status: int = Status.SUCCESS
-    do_not_retry: bool = False  # the DNR bit
+    do_not_retry: bool = False
     retry: int = 0
     dw0: int = 0
     dw1: int = 0
@@ -197,47 +228,58 @@
     queue: int = 0
 
     def pack(self) -> bytes:
+        """Encodes the entry."""
         return self.pack_as(self.cid, self.sq_head, self.queue)
 
     def pack_as(self, cid: int, sq_head: int, queue: int) -> bytes:
-        """The entry as a queue sends it for one of its commands."""
+        """Encodes the entry for a command of a queue, with the queue's head and number."""
         code = (self.status & 0xFF) << 1 | (self.status >> 8 & 7) << 9
         field = code | (self.retry & 3) << 12 | (0x8000 if self.do_not_retry else 0)
         return CQE.pack(self.dw0, self.dw1, sq_head, queue, cid, field)
 
     @property
     def succeeded(self) -> bool:
+        """Whether the command succeeded."""
         return self.status == Status.SUCCESS
 
     @property
     def rejected(self) -> bool:
-        """Never ran and may come again: Command Interrupted with do-not-retry clear."""
+        """Whether the command did not run and may be retried: Command Interrupted without DNR."""
         return self.status == Status.COMMAND_INTERRUPTED and not self.do_not_retry
 
 
 def unpack_completion(raw: bytes) -> Completion:
+    """Decodes a completion queue entry."""
     dw0, dw1, sq_head, queue, cid, field = CQE.unpack(raw)
     status = field >> 1 & 0xFF | (field >> 9 & 7) << 8
     return Completion(cid, status, bool(field & 0x8000), field >> 12 & 3, dw0, dw1, sq_head, queue)
 
 
-# What a shelf tells in the completion of a Read or Write: dw0 holds units served elsewhere (low half) and
-# usage (high half: 0 or 1 + percent), dw1 its own service time in microseconds. A head tells its clients
-# 1 + the shard that holds the extent in dw0, and the return time of a push-back in milliseconds in dw1.
+# In a backend's completion of a Read or Write, the low half of dw0 has the units served for other gateways,
+# the high half the usage (0, or 1 + percent), and dw1 the backend's service time in microseconds. In a
+# gateway's completion, dw0 has 1 + the extent's shard, and dw1 the retry delay of a rejection in
+# milliseconds.
 def pack_service_report(elsewhere: int, usage: int, seconds: float) -> tuple[int, int]:
+    """Returns dw0 and dw1 of a backend's completion; values that are too large are capped.
+
+    Args:
+        elsewhere: Units served for other gateways.
+        usage: 1 + the usage in percent, or 0 if it is not reported.
+        seconds: Service time at the backend.
+    """
     return min(elsewhere, 0xFFFF) | min(usage, 0xFFFF) << 16, min(round(seconds * 1e6), 0xFFFFFFFF)
 
 
-def unpack_service_report(c: Completion) -> tuple[int, int, float]:
-    """Units served elsewhere, usage (0: none told), seconds in work at the shelf."""
-    return c.dw0 & 0xFFFF, c.dw0 >> 16, c.dw1 / 1e6
+def unpack_service_report(completion: Completion) -> tuple[int, int, float]:
+    """Returns units served for other gateways, usage (0: not reported), and seconds of service time."""
+    return completion.dw0 & 0xFFFF, completion.dw0 >> 16, completion.dw1 / 1e6
 
 
 CONNECT_DATA = struct.Struct("<16sH238s256s256s256s")
 
 
 def connect(queue: int, size: int, keep_alive: float = 0.0) -> Command:
-    """Fabrics Connect; size in entries, keep_alive in seconds (0: none)."""
+    """Returns a Fabrics Connect; size in entries, keep_alive in seconds (0: none)."""
     return Command(
         Opcode.FABRICS,
         nsid=Fabrics.CONNECT,
@@ -248,10 +290,16 @@
 
 
 def connect_data(host_id: bytes, controller: int, subsystem: str, host: str) -> bytes:
+    """Encodes the data of a Fabrics Connect."""
     return CONNECT_DATA.pack(host_id, controller, b"", subsystem.encode(), host.encode(), b"")
 
 
 def read_connect_data(raw: bytes) -> tuple[bytes, int, str, str]:
-    """Host id, controller, subsystem NQN, host NQN; UnicodeDecodeError where a name is no UTF-8."""
+    """Returns the host id, controller, subsystem NQN and host NQN of a Fabrics Connect.
+
+    Raises:
+        struct.error: The data has another length.
+        UnicodeDecodeError: A name is not UTF-8.
+    """
     host_id, controller, _, subsystem, host, _ = CONNECT_DATA.unpack(raw)
     return host_id, controller, subsystem.split(b"\0")[0].decode(), host.split(b"\0")[0].decode()
--- a/gorsethread/nvme_gateway/backend_link.py
+++ b/gorsethread/nvme_gateway/backend_link.py
@@ -128,7 +128,7 @@
                 self.transport,
                 self.address,
                 self.names,
-                within=self.connect_timeout,
+                timeout=self.connect_timeout,
                 size=self.queue_size,
                 digests=self.digests,
             )
--- a/gorsethread/nvme_transport/__init__.py
+++ b/gorsethread/nvme_transport/__init__.py
@@ -1,1 +1,1 @@
-"""NVMe queues carried over transport streams: serving them and dialing them. Decides nothing."""
+"""Carries NVMe queues over transport streams: the server, and the host that connects to one."""
--- a/gorsethread/nvme_transport/host_connection.py
+++ b/gorsethread/nvme_transport/host_connection.py
@@ -1,4 +1,4 @@
-"""Dials a subsystem: an admin queue, then I/O queues, as a host does it (Fabrics 1.1, section 3)."""
+"""Connects to an NVM subsystem as a host: an admin queue, then I/O queues (Fabrics 1.1, section 3)."""
 
 import asyncio
 import struct
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AssociationNames:
-    """Who dials whom: NQNs, and the host's id."""
+    """The NQNs of the subsystem and the host, and the host's id."""
 
     subsystem: str
     host: str
@@ -33,19 +33,25 @@
 
 
 class CommandRejected(GorsethreadError):
-    """The controller answered a command of the set-up with a failure."""
+    """The controller failed a command that is needed to connect or to identify."""
 
-    action = "Compare the subsystem's and host's names in the site file with those that the other side knows."
+    action = (
+        "Compare the NQNs of subsystem and host in the site file with those configured on the other side."
+    )
 
 
 class HostConnection:
-    """A host queue on a stream. ended: called once, with the reason, if it ends after it was open."""
+    """A connection to a controller, which carries one queue.
+
+    Attributes:
+        ended: If set, called once with the reason when the queue ends.
+    """
 
     def __init__(self, transport: Transport, stream: Stream, size: int, digests: bool) -> None:
         self.stream = stream
         self.ended: Callable[[str], None] | None = None
         self._opened: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._calls: dict[asyncio.Future[tuple[Completion, bytes]], None] = {}  # emptied by answers
+        self._calls: dict[asyncio.Future[tuple[Completion, bytes]], None] = {}  # completed calls are removed
         self.queue = HostQueue(stream.write, self._ready, self._ended, size, digests)
         transport.spawn(self._pump())
 
@@ -75,42 +81,64 @@
             self.stream.close()
 
     async def opened(self) -> None:
+        """Waits until the controller has accepted the connection's parameters.
+
+        Raises:
+            StreamClosed: The queue has ended before.
+        """
         await self._opened
 
-    async def call(self, command: Command, data: bytes = b"", read: int = 0) -> tuple[Completion, bytes]:
-        """The completion and what was read; StreamClosed where the queue ends first."""
+    async def call(
+        self, command: Command, data: bytes = b"", read_bytes: int = 0
+    ) -> tuple[Completion, bytes]:
+        """Sends a command; returns its completion and the data read.
+
+        Raises:
+            StreamClosed: The queue has ended, or ends before the completion.
+        """
         if self.queue.closed:
             raise StreamClosed("the queue has ended")
         answer: asyncio.Future[tuple[Completion, bytes]] = asyncio.get_running_loop().create_future()
         self._calls[answer] = None
 
-        def done(completion: Completion, got: bytes) -> None:
+        def on_completion(completion: Completion, received: bytes) -> None:
             if not answer.done():
-                answer.set_result((completion, got))
+                answer.set_result((completion, received))
 
-        self.queue.submit(command, done, data, read)
+        self.queue.submit(command, on_completion, data, read_bytes)
         try:
             return await answer
         finally:
             self._calls.pop(answer, None)
 
     async def call_checked(
-        self, command: Command, data: bytes = b"", read: int = 0
+        self, command: Command, data: bytes = b"", read_bytes: int = 0
     ) -> tuple[Completion, bytes]:
-        completion, got = await self.call(command, data, read)
+        """Sends a command; returns its completion and the data read.
+
+        Raises:
+            CommandRejected: The controller failed the command.
+            StreamClosed: The queue has ended, or ends before the completion.
+        """
+        completion, received = await self.call(command, data, read_bytes)
         if not completion.succeeded:
             raise CommandRejected(
                 f"opcode 0x{command.opcode:02x} ended with status 0x{completion.status:03x}"
             )
-        return completion, got
+        return completion, received
 
     def close(self, reason: str = "closed here") -> None:
+        """Ends the queue and closes the stream."""
         self.queue.close(reason)
         self.stream.close()
 
 
 class Association:
-    """A host's admin queue and I/O queues at one controller."""
+    """A host's admin queue and I/O queues at one controller.
+
+    Attributes:
+        retry_delays: The controller's retry delays in seconds (CRDT1 to CRDT3).
+    """
 
     def __init__(self, admin: HostConnection, controller: int) -> None:
         self.admin, self.controller = admin, controller
@@ -119,29 +147,38 @@
 
     @property
     def io(self) -> HostConnection:
+        """The first I/O queue."""
         return self.queues[0]
 
-    def abort(self, cid: int, queue: int = 1, missed: Callable[[], None] = lambda: None) -> None:
-        """Asks the controller to drop a command; what comes of it shows in the command's own completion.
-        missed: told if the controller had no such command, or not yet, as it came by another queue."""
+    def abort(self, cid: int, queue: int = 1, not_found: Callable[[], None] = lambda: None) -> None:
+        """Asks the controller to abort a command; the command's own completion shows the result.
+
+        not_found is called if the controller does not have the command, or not yet, since the command is sent
+        on another queue than the abort. Does nothing if the admin queue is closed or full.
+        """
         if not self.admin.queue.closed and len(self.admin.queue) < self.admin.queue.size:
             self.admin.queue.submit(
                 Command(Admin.ABORT, cdw10=queue | cid << 16),
-                lambda done, _: missed() if done.dw0 & 1 else None,
+                lambda completion, _: not_found() if completion.dw0 & 1 else None,
             )
 
     async def keep_alive(self) -> None:
+        """Sends a Keep Alive."""
         await self.admin.call_checked(Command(Admin.KEEP_ALIVE))
 
     async def identify(self, kind: int, nsid: int = 0) -> bytes:
-        """CNS 0: a namespace, 1: the controller, 2: the list of active namespaces."""
-        return (await self.admin.call_checked(Command(Admin.IDENTIFY, nsid=nsid, cdw10=kind), read=4096))[1]
+        """Sends an Identify; kind is its CNS: 0 a namespace, 1 the controller, 2 the active namespaces."""
+        return (
+            await self.admin.call_checked(Command(Admin.IDENTIFY, nsid=nsid, cdw10=kind), read_bytes=4096)
+        )[1]
 
     async def namespaces(self) -> list[int]:
+        """Returns the numbers of the active namespaces."""
         page = await self.identify(2)
         return [n for n in struct.unpack("<1024I", page) if n]
 
     def close(self, reason: str = "closed here") -> None:
+        """Ends all queues."""
         for queue in (*self.queues, self.admin):
             queue.close(reason)
 
@@ -151,53 +188,67 @@
     address: tuple[str, int],
     names: AssociationNames,
     *,
-    within: float,
+    timeout: float,
     size: int = 64,
     queues: int = 1,
     digests: bool = False,
     keep_alive: float = 0.0,
 ) -> Association:
-    """An association with its I/O queues connected, in at most that many seconds; Unreachable where not."""
-    by = transport.now() + within
+    """Connects the admin queue and the I/O queues.
+
+    Args:
+        transport: Opens the connections.
+        address: Host and port of the subsystem.
+        names: The NQNs, and the host's id.
+        timeout: Seconds in which all queues must be connected.
+        size: Entries of each I/O queue.
+        queues: Number of I/O queues.
+        digests: Whether to ask for header and data digests.
+        keep_alive: Keep-alive time in seconds; 0 for none.
+
+    Raises:
+        Unreachable: The queues could not be connected in time.
+    """
+    deadline = transport.now() + timeout
     open_queues: list[HostConnection] = []
 
-    async def queue() -> HostConnection:
-        stream = await transport.connect(*address, max(0.001, by - transport.now()))
-        dialed = HostConnection(transport, stream, size, digests)
-        open_queues.append(dialed)
-        await dialed.opened()
-        return dialed
+    async def open_queue() -> HostConnection:
+        stream = await transport.connect(*address, max(0.001, deadline - transport.now()))
+        connection = HostConnection(transport, stream, size, digests)
+        open_queues.append(connection)
+        await connection.opened()
+        return connection
 
-    def give_up() -> None:
-        for dialed in open_queues:
-            dialed.close("not set up in time")
+    def close_all() -> None:
+        for connection in open_queues:
+            connection.close("not connected in time")
 
-    limit = transport.call_at(by, give_up)
+    timer = transport.call_at(deadline, close_all)
     try:
-        admin = await queue()
+        admin = await open_queue()
         data = connect_data(names.host_id, 0xFFFF, names.subsystem, names.host)
-        done, _ = await admin.call_checked(connect(0, min(size, 32), keep_alive), data)
-        association = Association(admin, done.dw0 & 0xFFFF)
+        completion, _ = await admin.call_checked(connect(0, min(size, 32), keep_alive), data)
+        association = Association(admin, completion.dw0 & 0xFFFF)
         enable = Command(Opcode.FABRICS, nsid=Fabrics.PROPERTY_SET, cdw11=CONFIGURATION, cdw12=0x460001)
         await admin.call_checked(enable)
         await admin.call_checked(
             Command(Admin.SET_FEATURES, cdw10=7, cdw11=(queues - 1) | (queues - 1) << 16)
         )
         page = await association.identify(1)
-        in_capsule = struct.unpack_from("<I", page, 1792)[0] * 16 - 64
-        association.retry_delays = tuple(d / 10 for d in struct.unpack_from("<3H", page, 128))
+        max_in_capsule = struct.unpack_from("<I", page, 1792)[0] * 16 - 64
+        association.retry_delays = tuple(delay / 10 for delay in struct.unpack_from("<3H", page, 128))
         for number in range(1, queues + 1):
-            dialed = await queue()
+            connection = await open_queue()
             data = connect_data(names.host_id, association.controller, names.subsystem, names.host)
-            await dialed.call_checked(connect(number, size), data)
-            dialed.queue.in_capsule = in_capsule
-            association.queues.append(dialed)
+            await connection.call_checked(connect(number, size), data)
+            connection.queue.max_in_capsule = max_in_capsule
+            association.queues.append(connection)
         return association
     except (StreamClosed, CommandRejected) as error:
-        give_up()
+        close_all()
         raise Unreachable(f"{address[0]}:{address[1]}: {error}") from None
     except Unreachable:
-        give_up()
+        close_all()
         raise
     finally:
-        limit.cancel()
+        timer.cancel()
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -192,7 +192,7 @@
         address = split_address(self.site.head[head].address)
         names = AssociationNames(self.site.subsystem, self.site.tenant[0].host[0])
         return await connect_association(
-            self.transport, address, names, within=2.0, size=size, digests=digests
+            self.transport, address, names, timeout=2.0, size=size, digests=digests
         )
 
     def send(
--- a/tests/test_nvme.py
+++ b/tests/test_nvme.py
@@ -149,7 +149,7 @@
         if pair.controller.closed and pair.to_host:
             last = bytes(pair.to_host)
             self.assertIn(last[0], (PduType.IC_RESP, PduType.C2H_TERM, PduType.CAPSULE_RESP, PduType.R2T))
-        self.assertLess(len(pair.controller._decoder._held), MOST + 1024)
+        self.assertLess(len(pair.controller._decoder._buffer), MOST + 1024)
 
     @settings(deadline=None, max_examples=200)
     @given(st.data())
@@ -239,7 +239,7 @@
         pair = Pair(False, 4096)
         pair.carry()
         pair.host.feed(Encoder().capsule_resp(Completion(5).pack()))
-        self.assertEqual(["answer to command 5, which is not out"], pair.ended)
+        self.assertEqual(["completion of command 5, which is not in flight"], pair.ended)
 
     def test_a_short_read_is_not_taken_for_whole(self) -> None:
         pair = Pair(False, 4096)
--- a/tests/test_nvme_gateway.py
+++ b/tests/test_nvme_gateway.py
@@ -62,7 +62,7 @@
             (Command(0x55, nsid=1), 0, Status.INVALID_OPCODE),
         ]
         for command, read, status in cases:
-            done, _ = await client.io.call(command, read=read)
+            done, _ = await client.io.call(command, read_bytes=read)
             self.assertEqual((status, True), (done.status, done.do_not_retry))
         self.assertEqual([], self.arrivals())
 
