--- a/gorsethread/site_config/__init__.py
+++ b/gorsethread/site_config/__init__.py
@@ -1,1 +1,1 @@
-"""The site file: protobuf text format, its schema in site.proto, validation that names line and field."""
+"""The site file: protobuf text format with the schema site.proto, and its validation."""
--- a/gorsethread/site_config/sizing.py
+++ b/gorsethread/site_config/sizing.py
@@ -1,4 +1,4 @@
-"""A site of another size, for days, benches and virtual worlds."""
+"""Changes the size of a site, for tests, benchmarks and simulations."""
 
 from collections.abc import Sequence
 
@@ -6,29 +6,32 @@
 
 
 def addresses_needed(site: pb.Site, heads: int, shelves: int) -> int:
-    """How many addresses resized_site() takes."""
+    """Returns how many addresses resized_site() needs."""
     return 1 + shelves + heads * (2 if any(h.peers for h in site.head) else 1)
 
 
 def resized_site(site: pb.Site, heads: int, shelves: int, addresses: Sequence[str]) -> pb.Site:
-    """The same site with another number of heads and shelves, at these addresses: the list, heads, shelves,
-    and those for peers where the site has any. Volumes stay spread as before, if there are as many."""
+    """Returns a copy of the site with other numbers of gateways (heads) and backends (shelves).
+
+    The addresses are given to the list service, the heads, the shelves, and, if the site has addresses for
+    peers, to the heads again. The volumes' heads or shards are only changed if their number changes.
+    """
     new = pb.Site()
     new.CopyFrom(site)
     del new.head[:], new.shelf[:]
-    given = iter(addresses)
-    new.list.address = next(given)
-    rooms = max((h.zone for h in site.head), default=0) + 1
+    remaining = iter(addresses)
+    new.list.address = next(remaining)
+    head_zones = max((h.zone for h in site.head), default=0) + 1
     for n in range(heads):
-        new.head.add(number=n, address=next(given), zone=n % rooms)
+        new.head.add(number=n, address=next(remaining), zone=n % head_zones)
     new.records.copies = min(site.records.copies, heads - 1)
     new.records.held_by = min(site.records.held_by, new.records.copies)
-    zones = max((s.zone for s in site.shelf), default=0) + 1
+    shelf_zones = max((s.zone for s in site.shelf), default=0) + 1
     for n in range(shelves):
-        new.shelf.add(number=n, address=next(given), shard=n, zone=n % zones)
+        new.shelf.add(number=n, address=next(remaining), shard=n, zone=n % shelf_zones)
     if any(h.peers for h in site.head):
         for head in new.head:
-            head.peers = next(given)
+            head.peers = next(remaining)
     for v in new.volume:
         if heads != len(site.head):
             v.head[:] = sorted({(h + v.number) % heads for h in v.head})
--- a/tests/test_site_config.py
+++ b/tests/test_site_config.py
@@ -27,7 +27,7 @@
             (
                 "promised: 0.3",
                 "promised: -1",
-            ): "s:7: profile[0].promised: -1 is not over 0 and 3600 at most (seconds)",
+            ): "s:7: profile[0].promised: -1 is out of range; it must be over 0 and at most 3600 (seconds)",
             (
                 "shard: 0 shard: 1 head",
                 "shard: 0 shard: 8 head",
@@ -35,19 +35,19 @@
             (
                 "key_rest: 0.3",
                 "key_rest: 300",
-            ): "s:17: rules.key_rest: 300 is not 0 or more and 60 at most (seconds)",
+            ): "s:17: rules.key_rest: 300 is out of range; it must be 0 or more and at most 60 (seconds)",
             (
                 "units: 40",
                 "units: 4000",
-            ): "s:18: rules.cold.units: 4000 units are more than the machine bears cold " "(600)",
+            ): "s:18: rules.cold.units: 4000 units are more than a newly started backend can take (600)",
             (
                 "largest_bytes: 131072",
                 "largest_bytes: 100000",
-            ): "s:19: links.largest_bytes: 100000 is no power of two",
+            ): "s:19: links.largest_bytes: 100000 is not a power of two",
             (
                 'number: 1 address: "127.0.0.1:4"',
                 'number: 0 address: "127.0.0.1:4"',
-            ): "s:6: shelf[1].number: 0 stands twice",
+            ): "s:6: shelf[1].number: 0 is used more than once",
             (
                 'address: "127.0.0.1:2"',
                 'address: "127.0.0.1"',
@@ -59,8 +59,8 @@
             (
                 "match { operation: WRITE }",
                 "match { operation: WRITE hints: 3 }",
-            ): "s:7: profile: no profile takes every other WRITE; the last one of each operation must match "
-            "without conditions",
+            ): "s:7: profile: no profile matches all remaining WRITE; the last profile of each operation "
+            "must match without conditions",
         }
         for change, told in cases.items():
             with self.subTest(told):
