--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""A whole site in one process on loopback, for tests: list, shelves that can be scripted, heads, a client."""
+"""Runs a whole site in one process on loopback: list service, scripted backends, gateways and a client."""
 
 import asyncio
 import unittest
@@ -46,38 +46,49 @@
 """
 
 
-Answered = tuple[str, Completion, bytes]
+Answer = tuple[str, Completion, bytes]
 
 
 class MemoryRecorder(Recorder):
-    def __init__(self, transport: RealTransport, who: str, seen: list[dict[str, Any]]) -> None:
+    """Appends events to a list that all recorders of a test share."""
+
+    def __init__(self, transport: RealTransport, who: str, events: list[dict[str, Any]]) -> None:
         super().__init__(transport, who, "")
-        self._seen = seen
+        self._events = events
 
     def saw(self, event: str, **facts: Any) -> None:
-        self._seen.append({"t": self._transport.now(), "who": self._who, "e": event, **facts})
+        self._events.append({"t": self._transport.now(), "who": self._who, "e": event, **facts})
+
 
+class ScriptedBackend(Shelf):
+    """A fake backend whose commands a test can handle.
 
-class ScriptedShelf(Shelf):
-    """takes(io) may take a command over: True, and the model does nothing with it."""
+    Attributes:
+        intercept: If set, called with each command; if it returns True, the fake backend ignores the command.
+    """
 
-    takes: Callable[[IoCommand], bool] | None = None
+    intercept: Callable[[IoCommand], bool] | None = None
 
     def command_received(self, io: IoCommand, data: bytes) -> None:
         io.owner_state.data = data
-        if self.takes is None or not self.takes(io):
+        if self.intercept is None or not self.intercept(io):
             super().command_received(io, data)
 
     def die(self) -> None:
-        """As a killed process: its connections end, nothing more comes of what it held."""
+        """Behaves like a killed process: the connections end, and commands it holds are never answered."""
         self.recorder.saw("shelf killed", shelf=self.number)
         self._listener.close()
         for connection in list(self.server.connections):
             connection.stream.close()
 
 
-class Rig(unittest.IsolatedAsyncioTestCase):
-    """Each test says what was seen on the wire; the witness then judges all of it."""
+class SiteTestCase(unittest.IsolatedAsyncioTestCase):
+    """Base of tests that run a site; the invariant checker can check all the events that were recorded.
+
+    Attributes:
+        events: What clients and backends recorded, in order.
+        last_label: The label of the last request sent.
+    """
 
     site_text = SITE
 
@@ -86,14 +97,14 @@
         asyncio.get_running_loop().set_debug(False)
         self.transport = RealTransport(7)
         self.streams: list[Stream] = []
-        honest = self.transport.connect
+        original_connect = self.transport.connect
 
         async def connect(host: str, port: int, within: float) -> Stream:
-            stream = await honest(host, port, within)
+            stream = await original_connect(host, port, within)
             self.streams.append(stream)
             return stream
 
-        honest_listen = self.transport.listen
+        original_listen = self.transport.listen
 
         def listen(
             host: str,
@@ -101,51 +112,51 @@
             on_stream: Callable[[Stream], Awaitable[None]],
             admits: Callable[[], bool] | None = None,
         ) -> Any:
-            async def kept(stream: Stream) -> None:
+            async def on_recorded_stream(stream: Stream) -> None:
                 self.streams.append(stream)
                 await on_stream(stream)
 
-            return honest_listen(host, port, kept, admits)
+            return original_listen(host, port, on_recorded_stream, admits)
 
         self.transport.connect = connect  # type: ignore[method-assign]
         self.transport.listen = listen  # type: ignore[method-assign]
-        self.seen: list[dict[str, Any]] = []
-        self.label = 0
-        self.site = self.sized(parse_site(self.site_text))
-        self.list: NodeList | None = None
-        self.shelves: dict[int, ScriptedShelf] = {}
-        self.heads: dict[int, NvmeGateway] = {}
-
-    def sized(self, site: pb.Site) -> pb.Site:
+        self.events: list[dict[str, Any]] = []
+        self.last_label = 0
+        self.site = self.with_free_addresses(parse_site(self.site_text))
+        self.discovery: NodeList | None = None
+        self.backends: dict[int, ScriptedBackend] = {}
+        self.gateways: dict[int, NvmeGateway] = {}
+
+    def with_free_addresses(self, site: pb.Site) -> pb.Site:
         return resized(site, len(site.head), len(site.shelf))
 
     async def asyncTearDown(self) -> None:
-        for head in self.heads.values():
-            head.discovery.stop()
-            head.peers.stop()
-            head.server.stop("end of the test")
-            head._listener.close()
-            for link in head.driver.links.values():
+        for gateway in self.gateways.values():
+            gateway.discovery.stop()
+            gateway.peers.stop()
+            gateway.server.stop("end of the test")
+            gateway._listener.close()
+            for link in gateway.driver.links.values():
                 link.close()
-        for shelf in self.shelves.values():
-            shelf.stop()
-        if self.list:
-            self.list.stop()
+        for backend in self.backends.values():
+            backend.stop()
+        if self.discovery:
+            self.discovery.stop()
         for stream in self.streams:
             stream.close()
         for task in asyncio.all_tasks() - {asyncio.current_task()}:
             task.cancel()
 
     def recorder(self, who: str) -> MemoryRecorder:
-        return MemoryRecorder(self.transport, who, self.seen)
+        return MemoryRecorder(self.transport, who, self.events)
 
-    def start_list(self) -> None:
-        self.list = NodeList(self.transport, self.site, self.recorder("list"), [], log_for())
-        self.list.start()
+    def start_discovery(self) -> None:
+        self.discovery = NodeList(self.transport, self.site, self.recorder("list"), [], log_for())
+        self.discovery.start()
 
-    def start_shelf(self, number: int, warm: bool = True) -> ScriptedShelf:
+    def start_backend(self, number: int, warm: bool = True) -> ScriptedBackend:
         folder = self.enterContext(_folder())
-        shelf = ScriptedShelf(
+        backend = ScriptedBackend(
             self.transport,
             self.site,
             number,
@@ -156,40 +167,42 @@
             log_for(),
             lambda: None,
         )
-        shelf.start()
-        self.shelves[number] = shelf
-        return shelf
+        backend.start()
+        self.backends[number] = backend
+        return backend
 
-    def start_head(self, number: int = 0, remember: str = "") -> NvmeGateway:
-        head = NvmeGateway(self.transport, self.site, number, 1, remember, log_for())
-        head.start()
-        self.heads[number] = head
-        return head
+    def start_gateway(self, number: int = 0, remember: str = "") -> NvmeGateway:
+        gateway = NvmeGateway(self.transport, self.site, number, 1, remember, log_for())
+        gateway.start()
+        self.gateways[number] = gateway
+        return gateway
 
     async def start_all(self) -> None:
-        """List, shelves and one head, which has heard of every shelf."""
-        self.start_list()
+        """Starts the list service, all backends and one gateway; waits until it knows every backend."""
+        self.start_discovery()
         for s in self.site.shelf:
-            self.start_shelf(s.number)
-        await self.until(lambda: len(self.list.entries) == len(self.site.shelf))
-        self.start_head()
-        await self.until(lambda: len(self.heads[0].driver.scheduler.shards.serving) == len(self.site.shelf))
+            self.start_backend(s.number)
+        await self.wait_until(lambda: len(self.discovery.entries) == len(self.site.shelf))
+        self.start_gateway()
+        await self.wait_until(
+            lambda: len(self.gateways[0].driver.scheduler.shards.serving) == len(self.site.shelf)
+        )
 
-    def hold(self, shelf: int) -> list[IoCommand]:
-        """From now on the shelf takes commands and answers none; they gather in the list."""
+    def hold_commands(self, backend: int) -> list[IoCommand]:
+        """Makes a backend keep commands without answering them; returns the list of the commands kept."""
         held: list[IoCommand] = []
-        self.shelves[shelf].takes = lambda io: not held.append(io)
+        self.backends[backend].intercept = lambda io: not held.append(io)
         return held
 
-    async def until(self, holds: Callable[[], Any], within: float = 5.0) -> None:
-        """Waits for something to be seen; fails where it is not."""
-        by = self.transport.now() + within
-        while not holds():
-            self.assertLess(self.transport.now(), by, "it was not seen in time")
+    async def wait_until(self, condition: Callable[[], Any], timeout: float = 5.0) -> None:
+        """Waits until the condition holds; fails the test if it does not in time."""
+        deadline = self.transport.now() + timeout
+        while not condition():
+            self.assertLess(self.transport.now(), deadline, "the condition did not hold in time")
             await asyncio.sleep(0.005)
 
-    async def client(self, head: int = 0, size: int = 64, digests: bool = False) -> Association:
-        address = split_address(self.site.head[head].address)
+    async def connect_client(self, gateway: int = 0, size: int = 64, digests: bool = False) -> Association:
+        address = split_address(self.site.head[gateway].address)
         names = AssociationNames(self.site.subsystem, self.site.tenant[0].host[0])
         return await connect_association(
             self.transport, address, names, timeout=2.0, size=size, digests=digests
@@ -197,7 +210,7 @@
 
     def send(
         self,
-        to: Association,
+        association: Association,
         operation: Opcode,
         volume: int = 1,
         block: int = 0,
@@ -205,18 +218,18 @@
         hints: int = 0,
         attempt: int = 0,
         label: int = 0,
-    ) -> "asyncio.Task[Answered]":
-        """One command, recorded as a client's for the witness; its result is how it was answered."""
+    ) -> "asyncio.Task[Answer]":
+        """Sends one command and records it as a client's; the task's result is the answer."""
         if not label:
-            self.label += 1
-            label = self.label
+            self.last_label += 1
+            label = self.last_label
         return asyncio.get_running_loop().create_task(
-            self._send(to, operation, volume, block, blocks, hints, attempt, label)
+            self._send(association, operation, volume, block, blocks, hints, attempt, label)
         )
 
     async def _send(
         self,
-        to: Association,
+        association: Association,
         operation: Opcode,
         volume: int,
         block: int,
@@ -225,41 +238,41 @@
         attempt: int,
         label: int,
     ) -> tuple[str, Completion, bytes]:
-        profile = 0 if operation == Opcode.READ else 1 if hints else 2
-        by = self.transport.now() + 1.0
+        request_class = 0 if operation == Opcode.READ else 1 if hints else 2
+        deadline = self.transport.now() + 1.0
         client = self.recorder("client")
-        key = f"{volume}/{block // 64}" if profile == 1 else ""
+        key = f"{volume}/{block // 64}" if request_class == 1 else ""
         client.saw(
             "sent",
             label=label,
             attempt=attempt,
             head=0,
             volume=volume,
-            profile=profile,
+            profile=request_class,
             key=key,
             units=-(-blocks // 2),
-            by=by,
+            by=deadline,
             due=self.transport.now(),
         )
         command = io_command(operation, volume, block, blocks, hints=hints, attempt=attempt, label=label)
         data = stamped(label, volume, block, blocks) if operation == Opcode.WRITE else b""
         try:
-            done, got = await to.io.call(command, data, 0 if data else blocks * BLOCK)
+            completion, received = await association.io.call(command, data, 0 if data else blocks * BLOCK)
         except Exception:
             client.saw("answer", label=label, attempt=attempt, how="left", status=-1, wrong=0)
             raise
-        how = "honoured" if done.succeeded else "pushed back" if done.rejected else "given up"
-        client.saw("answer", label=label, attempt=attempt, how=how, status=done.status, wrong=0)
-        return how, done, got
-
-    def arrivals(self, label: int | None = None) -> list[int]:
-        """Which shelves a transaction (or all of them) came to, in order."""
-        return [r["shelf"] for r in self.seen if r["e"] == "arrived" and label in (None, r["label"])]
-
-    def judged(self) -> None:
-        """Every rule held, by what was seen."""
-        verdict = Witness(self.site, self.seen).judge()
-        self.assertEqual([], [str(b) for b in verdict.breaks])
+        how = "honoured" if completion.succeeded else "pushed back" if completion.rejected else "given up"
+        client.saw("answer", label=label, attempt=attempt, how=how, status=completion.status, wrong=0)
+        return how, completion, received
+
+    def backends_reached(self, label: int | None = None) -> list[int]:
+        """Returns the backends that received a request, or any request, in order of arrival."""
+        return [r["shelf"] for r in self.events if r["e"] == "arrived" and label in (None, r["label"])]
+
+    def assert_invariants_hold(self) -> None:
+        """Asserts that the events violate no invariant, and that no request was lost or duplicated."""
+        verdict = Witness(self.site, self.events).judge()
+        self.assertEqual([], [str(violation) for violation in verdict.breaks])
         self.assertEqual((0, 0), (verdict.lost, verdict.duplicated))
 
 
--- a/tests/test_latency_attribution.py
+++ b/tests/test_latency_attribution.py
@@ -21,7 +21,7 @@
 from gorsethread.latency_attribution.stages import OTHERS, STAGES, WORDS, Stage, bucket_of, bucket_value
 from gorsethread.latency_attribution.window import BLAMES_MOST, BUCKETS, ROWS_MOST, Span, Window
 from gorsethread.scheduling.model import AttemptOutcome, HoldReason, RequestOutcome
-from tests.queue_model import KNOWN, QueueDay
+from tests.queue_model import KNOWN, QueueSimulation
 
 ENDINGS = [AttemptOutcome.SUCCEEDED] * 3 + list(AttemptOutcome)
 EVENTS = st.lists(
@@ -321,10 +321,10 @@
         self.site.write_text(SITE)
         self.kept = self.folder / "kept"
         self.kept.mkdir()
-        day = QueueDay(shelves=1)
+        day = QueueSimulation(backends=1)
         for volume in range(1, 5):
-            day.traffic(volume)
-        day.traffic(7, 20.0, heads=1)
+            day.add_traffic(volume)
+        day.add_traffic(7, 20.0, gateways=1)
         day.run()
         self.windows = day.windows
         for n, window in enumerate(day.windows):
--- a/tests/test_latency_attribution_running.py
+++ b/tests/test_latency_attribution_running.py
@@ -11,20 +11,20 @@
 from gorsethread.nvme.command import Opcode
 from gorsethread.nvme_gateway.gateway import NvmeGateway
 from gorsethread.scheduling.model import RequestOutcome
-from tests.rig import Rig
+from tests.rig import SiteTestCase
 
 
-class Running(Rig):
+class Running(SiteTestCase):
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
 
-    def start_head(self, number: int = 0, remember: str = "") -> NvmeGateway:
+    def start_gateway(self, number: int = 0, remember: str = "") -> NvmeGateway:
         head = NvmeGateway(
             self.transport, self.site, number, 1, remember, log_for(), accounts=self.folder, window=0.4
         )
         head.start()
-        self.heads[number] = head
+        self.gateways[number] = head
         return head
 
     def kept(self) -> Window:
@@ -35,13 +35,13 @@
 
     async def test_every_answer_is_accounted_for(self) -> None:
         await self.start_all()
-        client = await self.client()
+        client = await self.connect_client()
         for n in range(20):
             answers = await asyncio.gather(
                 *(self.send(client, Opcode.WRITE, 1, n * 16 + k) for k in range(4))
             )
             self.assertEqual({"honoured"}, {how for how, _, _ in answers})
-        await self.heads[0].end()
+        await self.gateways[0].end()
         whole = self.kept()
         rows = whole.all_rows()
         self.assertEqual(80, sum(row.outcomes[RequestOutcome.SUCCEEDED] for row in rows))
@@ -55,11 +55,11 @@
 
     async def test_a_silent_shelf_is_blamed(self) -> None:
         await self.start_all()
-        self.hold(0)
-        client = await self.client()
+        self.hold_commands(0)
+        client = await self.connect_client()
         how, _, _ = await self.send(client, Opcode.WRITE)
         self.assertNotEqual("honoured", how)
-        await self.heads[0].end()
+        await self.gateways[0].end()
         lost = {
             (b.holder, b.shelf): us for b, us in self.kept().blame.items() if b.stage == Stage.LOST_FORWARD
         }
@@ -68,12 +68,12 @@
 
     async def test_a_folder_that_goes_away_stops_nothing(self) -> None:
         await self.start_all()
-        self.heads[0].accounting.folder = f"{self.folder}/gone"  # type: ignore[union-attr]
-        client = await self.client()
+        self.gateways[0].accounting.folder = f"{self.folder}/gone"  # type: ignore[union-attr]
+        client = await self.connect_client()
         await asyncio.sleep(0.6)
         how, _, _ = await self.send(client, Opcode.WRITE)
         self.assertEqual("honoured", how)
-        await self.heads[0].end()
+        await self.gateways[0].end()
 
     async def test_old_files_make_room(self) -> None:
         old = Path(self.folder) / "head-0-000000000000001.acc"
@@ -81,7 +81,7 @@
         for path in (old, other):
             path.write_bytes(b"old")
         await self.start_all()
-        self.heads[0].accounting.max_files = 2  # type: ignore[union-attr]
-        await self.until(lambda: not old.exists())
+        self.gateways[0].accounting.max_files = 2  # type: ignore[union-attr]
+        await self.wait_until(lambda: not old.exists())
         self.assertTrue(other.exists(), "another head's")
-        await self.until(lambda: len(list(Path(self.folder).glob("head-0-*.acc"))) == 2)
+        await self.wait_until(lambda: len(list(Path(self.folder).glob("head-0-*.acc"))) == 2)
--- a/tests/test_latency_causes.py
+++ b/tests/test_latency_causes.py
@@ -7,13 +7,13 @@
 from gorsethread.latency_attribution.causes import Findings, find
 from gorsethread.latency_attribution.stages import HEAD, SHELF, Stage
 from gorsethread.latency_attribution.window import Window
-from tests.queue_model import KNOWN, QueueDay
+from tests.queue_model import KNOWN, QueueSimulation
 
 
-def quiet_day(seed: int = 1, **how: float) -> QueueDay:
-    day = QueueDay(seed, **how)  # type: ignore[arg-type]
+def quiet_day(seed: int = 1, **how: float) -> QueueSimulation:
+    day = QueueSimulation(seed, **how)  # type: ignore[arg-type]
     for volume in range(1, 7):
-        day.traffic(volume)
+        day.add_traffic(volume)
     return day
 
 
@@ -52,7 +52,7 @@
         for seed in range(4):
             with self.subTest(seed=seed):
                 day = quiet_day(seed)
-                day.shelves[1].slow = 3.0
+                day.backends[1].slowdown = 3.0
                 found = day.run()
                 self.named(found, slow={1})
                 self.assertAlmostEqual(3.0, found.slow[1], delta=0.3)
@@ -61,8 +61,8 @@
                 self.assertIn("as quick as its peers", report.shelf(found, 0).sentence)
 
     def test_flood_through_four_heads_adds_up(self) -> None:
-        day = quiet_day(heads=4)
-        day.traffic(7, 25.0, shelf=2)
+        day = quiet_day(gateways=4)
+        day.add_traffic(7, 25.0, backend=2)
         found = day.run()
         self.named(found, floods={7})
         alone = [
@@ -78,8 +78,8 @@
 
     def test_slow_and_flood_on_one_shelf(self) -> None:
         day = quiet_day()
-        day.shelves[0].slow = 3.0
-        day.traffic(7, 20.0, shelf=0)
+        day.backends[0].slowdown = 3.0
+        day.add_traffic(7, 20.0, backend=0)
         found = day.run()
         self.named(found, slow={0}, floods={7})
         parts = waited_for(found, 1)
@@ -88,15 +88,15 @@
 
     def test_slow_and_flood_on_different_shelves(self) -> None:
         day = quiet_day()
-        day.shelves[0].slow = 3.0
-        day.traffic(7, 20.0, shelf=2)
+        day.backends[0].slowdown = 3.0
+        day.add_traffic(7, 20.0, backend=2)
         found = day.run()
         self.named(found, slow={0}, floods={7})
         self.assertNotIn((7, 0), found.holders(shelf=0))
 
     def test_volume_behind_itself(self) -> None:
-        day = QueueDay()
-        day.traffic(7, 25.0, shelf=0, heads=1)
+        day = QueueSimulation()
+        day.add_traffic(7, 25.0, backend=0, gateways=1)
         found = day.run()
         self.named(found, floods={7})
         self.assertGreater(waited_for(found, 7)[7], 0.99)
@@ -105,7 +105,7 @@
     def test_limit_holds_a_volume_alone(self) -> None:
         day = quiet_day()
         day.limited[7] = (24.0, 0.0)
-        day.traffic(7, 6.0)
+        day.add_traffic(7, 6.0)
         found = day.run()
         self.named(found, floods={7})
         limited = {b.waiter for b in found.blame if b.stage == Stage.LIMIT}
@@ -117,8 +117,8 @@
     def test_paused_shelf_full_of_innocents(self) -> None:
         day = quiet_day()
         for volume in range(1, 7):
-            day.traffic(volume, 0.5, shelf=1)
-        day.shelves[1].still = (2.0, 3.6)
+            day.add_traffic(volume, 0.5, backend=1)
+        day.backends[1].paused = (2.0, 3.6)
         found = day.run()
         self.named(found, stopped={1})
         holders = found.holders(shelf=1)
@@ -127,7 +127,7 @@
 
     def test_hung_shelf(self) -> None:
         day = quiet_day()
-        day.shelves[2].hung_from = 2.0
+        day.backends[2].hung_from = 2.0
         found = day.run()
         self.named(found, stopped={2})
         self.assertGreater(found.paces[2].lost, 0)
@@ -137,7 +137,7 @@
         answers = []
         for skew in (0.0, 0.05):
             day = quiet_day(3, skew=skew)
-            day.shelves[1].slow = 3.0
+            day.backends[1].slowdown = 3.0
             found = day.run()
             self.named(found, slow={1})
             answers.append((sum(r.lives for r in found.whole.all_rows()), report.top(found).sentence))
@@ -146,7 +146,7 @@
 
     def test_head_that_died_leaves_a_gap(self) -> None:
         day = quiet_day()
-        day.shelves[0].slow = 3.0
+        day.backends[0].slowdown = 3.0
         day.run()
         missing = [w for w in day.windows if any(s.head == 1 and 1003 <= s.start < 1006 for s in w.spans)]
         self.assertEqual(3, len(missing))
@@ -158,13 +158,13 @@
         self.assertIn("shelf 0 took", answer.sentence)
 
     def test_few_transactions_are_a_guess(self) -> None:
-        day = QueueDay()
-        day.traffic(1, seconds=1.0)
+        day = QueueSimulation()
+        day.add_traffic(1, seconds=1.0)
         self.assertTrue(report.top(day.run()).sure.startswith("a guess"))
 
     def test_what_changed(self) -> None:
         before, day = quiet_day(1).run(), quiet_day(2)
-        day.shelves[1].slow = 3.0
+        day.backends[1].slowdown = 3.0
         sentence = report.diff(before, day.run()).sentence
         self.assertRegex(sentence, r"1\.\d\d times as long as before; new is: shelf 1 took")
         self.assertIn("nothing new", report.diff(before, quiet_day(3).run()).sentence)
--- a/tests/test_nvme_gateway.py
+++ b/tests/test_nvme_gateway.py
@@ -1,4 +1,4 @@
-"""A real head on loopback, met with the hard cases. What counts is what shelves and clients saw."""
+"""Tests a gateway on loopback, mostly its handling of failures; checks what backends and clients observe."""
 
 import asyncio
 import gc
@@ -18,42 +18,44 @@
 from gorsethread.nvme_transport.controller_server import IoCommand
 from gorsethread.scheduling.model import AttemptOutcome
 from gorsethread.transport.base import StreamClosed
-from tests.rig import Rig
+from tests.rig import SiteTestCase
 
-POST = 16
-ENDINGS = {attempt_count(outcome) for outcome in AttemptOutcome}
+NON_IDEMPOTENT_HINT = 16
+ATTEMPT_COUNTS = {attempt_count(outcome) for outcome in AttemptOutcome}
 
 
-class Ordinary(Rig):
-    async def test_bytes_come_back_by_the_whole_path(self) -> None:
+class NormalOperation(SiteTestCase):
+    async def test_reads_return_the_bytes_written(self) -> None:
         await self.start_all()
-        client = await self.client(digests=True)
+        client = await self.connect_client(digests=True)
         self.assertEqual([1, 2], await client.namespaces())
         for block, blocks in ((0, 1), (64, 2), (200, 32)):
             how, _, _ = await self.send(client, Opcode.WRITE, block=block, blocks=blocks)
             self.assertEqual("honoured", how)
             how, _, data = await self.send(client, Opcode.READ, block=block, blocks=blocks)
-            self.assertEqual(("honoured", stamped(self.label - 1, 1, block, blocks)), (how, data))
+            self.assertEqual(("honoured", stamped(self.last_label - 1, 1, block, blocks)), (how, data))
         done, _ = await client.io.call(io_command(Opcode.FLUSH, 1))
         self.assertTrue(done.succeeded)
-        self.judged()
+        self.assert_invariants_hold()
 
-    async def test_a_new_extent_stays_where_it_was_first_written(self) -> None:
+    async def test_an_extent_stays_on_the_shard_of_its_first_write(self) -> None:
         await self.start_all()
-        client = await self.client()
+        client = await self.connect_client()
         how, done, _ = await self.send(client, Opcode.READ, volume=2)
         self.assertEqual(Status.UNWRITTEN_BLOCK, done.status)
-        sent = [self.send(client, Opcode.WRITE, volume=2, block=n, label=100 + n) for n in range(8)]
-        answers = [await s for s in sent]
+        pending = [self.send(client, Opcode.WRITE, volume=2, block=n, label=100 + n) for n in range(8)]
+        answers = [await answer for answer in pending]
         self.assertLessEqual({how for how, _, _ in answers}, {"honoured", "pushed back"})
-        self.assertEqual(1, len(set(self.arrivals())), "one extent, one shelf")
-        told = {done.dw0 for how, done, _ in answers if how == "honoured"}
-        self.assertEqual({self.arrivals()[0] + 1}, told, "the head tells where the extent lies")
-        self.judged()
+        self.assertEqual(1, len(set(self.backends_reached())), "one extent, one backend")
+        shards = {done.dw0 for how, done, _ in answers if how == "honoured"}
+        self.assertEqual(
+            {self.backends_reached()[0] + 1}, shards, "the gateway tells the client the extent's shard"
+        )
+        self.assert_invariants_hold()
 
-    async def test_a_bad_command_gets_its_status_and_nothing_is_sent(self) -> None:
+    async def test_an_invalid_command_fails_with_its_status_and_is_not_forwarded(self) -> None:
         await self.start_all()
-        client = await self.client()
+        client = await self.connect_client()
         cases = [
             (io_command(Opcode.READ, 9), 4096, Status.INVALID_NAMESPACE),
             (io_command(Opcode.READ, 1, 1024), 4096, Status.LBA_OUT_OF_RANGE),
@@ -64,28 +66,28 @@
         for command, read, status in cases:
             done, _ = await client.io.call(command, read_bytes=read)
             self.assertEqual((status, True), (done.status, done.do_not_retry))
-        self.assertEqual([], self.arrivals())
+        self.assertEqual([], self.backends_reached())
 
-    async def test_a_host_nobody_knows_is_not_let_in(self) -> None:
+    async def test_an_unknown_host_cannot_connect(self) -> None:
         await self.start_all()
         self.site.tenant[0].host[0] = "nqn.2026-12.org.gorsethread:host:stranger"
         with self.assertRaisesRegex(Exception, "0x184"):
-            await self.client()
+            await self.connect_client()
 
-    async def test_more_commands_than_slots_everywhere(self) -> None:
-        """Queue of the client 64, of the link 16, of the shelf 20, two cores: each is answered once."""
+    async def test_more_commands_than_any_queue_holds_are_each_answered_once(self) -> None:
+        """The queues have 64 entries (client), 16 (link) and 20 (backend); the backend has two cores."""
         await self.start_all()
-        client = await self.client()
-        sent = [self.send(client, Opcode.READ, block=n % 128) for n in range(64)]
-        answers = [await s for s in sent]
+        client = await self.connect_client()
+        pending = [self.send(client, Opcode.READ, block=n % 128) for n in range(64)]
+        answers = [await answer for answer in pending]
         self.assertEqual(64, len(answers))
         self.assertIn("honoured", {how for how, _, _ in answers})
-        self.judged()
+        self.assert_invariants_hold()
 
-    async def test_transactions_leave_nothing_for_the_collector(self) -> None:
-        """Each once left some forty objects in cycles; the collector then stopped the head noticeably."""
+    async def test_requests_leave_no_reference_cycles(self) -> None:
+        """Each request used to leave some forty objects in cycles; collecting them delayed the gateway."""
         await self.start_all()
-        client = await self.client()
+        client = await self.connect_client()
         for n in range(50):
             await self.send(client, Opcode.READ, block=n)
         gc.collect()
@@ -96,246 +98,254 @@
             found = gc.collect()
         finally:
             gc.enable()
-        self.assertLess(found, 200, "under one object a transaction")
+        self.assertLess(found, 200, "under one object per request")
 
-    async def test_sigterm_answers_what_is_open_and_takes_nothing_new(self) -> None:
+    async def test_shutdown_answers_open_commands_and_rejects_new_ones(self) -> None:
         await self.start_all()
-        client = await self.client()
-        held = self.hold(0)
+        client = await self.connect_client()
+        held = self.hold_commands(0)
         first = self.send(client, Opcode.READ)
-        await self.until(lambda: held)
-        ending = asyncio.get_running_loop().create_task(self.heads[0].end())
+        await self.wait_until(lambda: held)
+        ending = asyncio.get_running_loop().create_task(self.gateways[0].end())
         await asyncio.sleep(0)
         second = self.send(client, Opcode.READ, block=1)
         self.assertEqual("pushed back", (await second)[0])
-        self.shelves[0]._saw_end(held[0], "honoured", False)
+        self.backends[0]._saw_end(held[0], "honoured", False)
         held[0].answer(Completion(0), bytes(4096))
         self.assertEqual("honoured", (await first)[0])
         await ending
-        self.judged()
+        self.assert_invariants_hold()
 
 
-class Failing(Rig):
-    async def test_a_shelf_dies_after_it_took_an_irreversible_write(self) -> None:
+class Failures(SiteTestCase):
+    async def test_a_non_idempotent_write_is_not_retried_after_its_backend_crashes(self) -> None:
         await self.start_all()
-        client = await self.client()
-        took = self.hold(0)
-        sent = self.send(client, Opcode.WRITE, hints=POST)
-        await self.until(lambda: took)
-        self.shelves[0].die()
-        how, done, _ = await sent
+        client = await self.connect_client()
+        held = self.hold_commands(0)
+        pending = self.send(client, Opcode.WRITE, hints=NON_IDEMPOTENT_HINT)
+        await self.wait_until(lambda: held)
+        self.backends[0].die()
+        how, done, _ = await pending
         self.assertEqual(("given up", True), (how, done.do_not_retry))
-        self.start_shelf(0)
-        # Another transaction of that shelf gets through again; the write must not have come with it.
-        write = self.label
+        self.start_backend(0)
+        # Once another request reaches that backend again, the write must not have been sent again.
+        write = self.last_label
         for _ in range(50):
             if (await self.send(client, Opcode.READ))[0] == "honoured":
                 break
-        self.assertIn(self.label, [r["label"] for r in self.seen if r["e"] == "ended"])
-        self.assertEqual([0], self.arrivals(write))
-        self.judged()
+        self.assertIn(self.last_label, [r["label"] for r in self.events if r["e"] == "ended"])
+        self.assertEqual([0], self.backends_reached(write))
+        self.assert_invariants_hold()
 
-    async def test_a_shelf_dies_with_a_read_out(self) -> None:
-        """A redoable transaction is tried again when the shelf is back, or answered in time."""
+    async def test_a_read_is_retried_or_rejected_after_its_backend_crashes(self) -> None:
+        """An idempotent request is retried when the backend is back, or rejected in time."""
         await self.start_all()
-        client = await self.client()
-        took = self.hold(0)
-        sent = self.send(client, Opcode.READ)
-        await self.until(lambda: took)
-        self.shelves[0].die()
-        self.start_shelf(0)
-        self.assertIn((await sent)[0], ("honoured", "pushed back"))
-        self.judged()
-
-    async def test_a_client_closes_with_a_read_out(self) -> None:
+        client = await self.connect_client()
+        held = self.hold_commands(0)
+        pending = self.send(client, Opcode.READ)
+        await self.wait_until(lambda: held)
+        self.backends[0].die()
+        self.start_backend(0)
+        self.assertIn((await pending)[0], ("honoured", "pushed back"))
+        self.assert_invariants_hold()
+
+    async def test_a_client_that_disconnects_during_a_read_leaves_nothing_open(self) -> None:
         await self.start_all()
-        client, other = await self.client(), await self.client()
-        held = self.hold(0)
-        sent = self.send(client, Opcode.READ)
-        await self.until(lambda: held)
+        client, other = await self.connect_client(), await self.connect_client()
+        held = self.hold_commands(0)
+        pending = self.send(client, Opcode.READ)
+        await self.wait_until(lambda: held)
         client.close()
         with self.assertRaises(StreamClosed):
-            await sent
-        await self.until(lambda: not self.heads[0].driver.open_requests, within=2.0)
-        self.shelves[0].takes = None
+            await pending
+        await self.wait_until(lambda: not self.gateways[0].driver.open_requests, timeout=2.0)
+        self.backends[0].intercept = None
         self.assertEqual("honoured", (await self.send(other, Opcode.READ, block=64))[0])
-        self.assertEqual(1, len(self.arrivals(1)))
-        self.judged()
+        self.assertEqual(1, len(self.backends_reached(1)))
+        self.assert_invariants_hold()
 
-    async def test_an_abort_reaches_the_shelf_and_is_answered(self) -> None:
+    async def test_an_aborted_command_is_answered_and_closed(self) -> None:
         await self.start_all()
-        client = await self.client()
-        held = self.hold(0)
-        sent = self.send(client, Opcode.READ)
-        await self.until(lambda: held)
+        client = await self.connect_client()
+        held = self.hold_commands(0)
+        pending = self.send(client, Opcode.READ)
+        await self.wait_until(lambda: held)
         client.abort(1)
-        _, done, _ = await sent
+        _, done, _ = await pending
         self.assertEqual(Status.ABORT_REQUESTED, done.status)
-        await self.until(lambda: not self.heads[0].driver.open_requests)
+        await self.wait_until(lambda: not self.gateways[0].driver.open_requests)
 
-    async def test_a_shelf_that_accepts_and_never_speaks(self) -> None:
-        """No ICResp: the connection is not established in time, so the forward never ran."""
-        # Long before a forward's own time, also where a machine at work elsewhere makes timers late.
+    async def test_a_backend_that_accepts_connections_but_sends_nothing_is_unreachable(self) -> None:
+        """Without an ICResp the connection is not established in time, so the attempt cannot have run."""
+        # Much shorter than the attempt's own timeout, even if a busy machine delays timers.
         self.site.links.connect_within = 0.05
-        self.start_list()
+        self.start_discovery()
         silent: list[object] = []
 
         async def accept(stream: object) -> None:
             silent.append(stream)
             await asyncio.sleep(3600)
 
-        self.start_shelf(0)
-        await self.until(lambda: 0 in self.list.entries)
-        self.shelves[0]._listener.close()
+        self.start_backend(0)
+        await self.wait_until(lambda: 0 in self.discovery.entries)
+        self.backends[0]._listener.close()
         port = int(self.site.shelf[0].address.rpartition(":")[2])
         listener = self.transport.listen("127.0.0.1", port, accept)
-        self.start_head()
-        await self.until(lambda: 0 in self.heads[0].driver.scheduler.shards.serving)
-        client = await self.client()
-        how, _, _ = await self.send(client, Opcode.WRITE, hints=POST)
+        self.start_gateway()
+        await self.wait_until(lambda: 0 in self.gateways[0].driver.scheduler.shards.serving)
+        client = await self.connect_client()
+        how, _, _ = await self.send(client, Opcode.WRITE, hints=NON_IDEMPOTENT_HINT)
         listener.close()
         self.assertIn(how, ("pushed back", "given up"))
         self.assertTrue(silent)
-        ended = {k for k in self.heads[0].driver.counts if k in ENDINGS}
+        ended = {k for k in self.gateways[0].driver.counts if k in ATTEMPT_COUNTS}
         self.assertEqual({attempt_count(AttemptOutcome.UNREACHABLE)}, ended)
-        self.judged()
+        self.assert_invariants_hold()
 
-    async def test_half_a_pdu_and_silence(self) -> None:
-        """From a client: its other commands go on; from a fresh connection: it is ended."""
+    async def test_an_incomplete_pdu_on_a_new_connection_affects_no_other_client(self) -> None:
+        """Other clients are served meanwhile, and the incomplete connection is closed by its timeout."""
         await self.start_all()
-        client = await self.client()
+        client = await self.connect_client()
         host, _, port = self.site.head[0].address.rpartition(":")
         stream = await self.transport.connect(host, int(port), 1.0)
         stream.write(initialize(PduType.IC_REQ, False, False, 0)[:60])
         self.assertEqual("honoured", (await self.send(client, Opcode.READ))[0])
-        connection = next(c for c in self.heads[0].server.connections if c.controller is None)
+        connection = next(c for c in self.gateways[0].server.connections if c.controller is None)
         connection._not_connected()
         with self.assertRaises(StreamClosed):
             await stream.read()
 
-    async def test_a_shelf_answers_twice_or_what_was_never_sent(self) -> None:
-        """The link can't be trusted any more: it is made anew, and clients still get one answer each."""
+    async def test_a_backend_that_answers_twice_is_disconnected(self) -> None:
+        """The link reconnects, as its answers cannot be trusted, and each client still gets one answer."""
         await self.start_all()
-        client = await self.client()
+        client = await self.connect_client()
 
-        def twice(io: IoCommand) -> bool:
-            self.shelves[0]._saw_end(io, "honoured", False)
+        def answer_twice(io: IoCommand) -> bool:
+            self.backends[0]._saw_end(io, "honoured", False)
             io.answer(Completion(0), bytes(4096))
             io.connection.queue._open.add(io.command.cid)
             io.connection.queue.respond(Completion(io.command.cid))
             return True
 
-        self.shelves[0].takes = twice
+        self.backends[0].intercept = answer_twice
         self.assertEqual("honoured", (await self.send(client, Opcode.READ))[0])
-        await self.until(lambda: self.heads[0].driver.links[0].association is None)
-        self.shelves[0].takes = None
+        await self.wait_until(lambda: self.gateways[0].driver.links[0].association is None)
+        self.backends[0].intercept = None
         for _ in range(3):
             how, _, _ = await self.send(client, Opcode.READ, block=2)
             if how == "honoured":
                 break
             await asyncio.sleep(0.3)
         self.assertEqual("honoured", how)
-        self.judged()
+        self.assert_invariants_hold()
 
-    async def test_an_answer_and_its_time_out_in_one_turn(self) -> None:
-        """Whichever is worked on first ends the forward; the other does nothing."""
-        for first in ("answer", "time-out"):
+    async def test_an_answer_and_a_timeout_in_one_loop_iteration_answer_once(self) -> None:
+        """The first of the two ends the attempt, and the other has no effect."""
+        for first in ("answer", "timeout"):
             with self.subTest(first=first):
                 await self.asyncTearDown()
                 await self.asyncSetUp()
                 await self.start_all()
-                client = await self.client()
+                client = await self.connect_client()
                 held: list[IoCommand] = []
-                self.shelves[0].takes = lambda io, held=held: not held.append(io)  # type: ignore[misc]
-                sent = self.send(client, Opcode.WRITE, hints=POST)
-                await self.until(lambda held=held: held)
-                driver = self.heads[0].driver
-                t = next(iter(driver.open_requests.values()))
-                f = t.in_flight[0]
-                acts = [lambda f=f: self._answer(f), lambda t=t, d=driver: d._time_is_up(t)]
-                for act in acts if first == "answer" else reversed(acts):
-                    act()
-                how, _, _ = await sent
+                self.backends[0].intercept = lambda io, held=held: not held.append(io)  # type: ignore[misc]
+                pending = self.send(client, Opcode.WRITE, hints=NON_IDEMPOTENT_HINT)
+                await self.wait_until(lambda held=held: held)
+                driver = self.gateways[0].driver
+                request = next(iter(driver.open_requests.values()))
+                attempt = request.in_flight[0]
+                actions = [
+                    lambda attempt=attempt: self._answer(attempt),
+                    lambda request=request, driver=driver: driver._time_is_up(request),
+                ]
+                for action in actions if first == "answer" else reversed(actions):
+                    action()
+                how, _, _ = await pending
                 self.assertEqual("honoured" if first == "answer" else "given up", how)
-                await self.until(lambda d=driver: not d.open_requests)
+                await self.wait_until(lambda driver=driver: not driver.open_requests)
 
-    def _answer(self, f: Attempt) -> None:
-        self.heads[0].driver.links[f.backend]._end_attempt(f, AttemptOutcome.SUCCEEDED, AttemptResult())
+    def _answer(self, attempt: Attempt) -> None:
+        self.gateways[0].driver.links[attempt.backend]._end_attempt(
+            attempt, AttemptOutcome.SUCCEEDED, AttemptResult()
+        )
 
-    async def test_the_list_is_gone_at_start(self) -> None:
-        """The head serves by the list it remembers; without one it pushes back in time."""
+    async def test_a_gateway_serves_from_the_saved_list_when_discovery_is_down(self) -> None:
+        """The gateway uses the list that it saved before it was restarted."""
         with tempfile.TemporaryDirectory() as folder:
             path = str(Path(folder) / "list")
             await self.start_all()
-            first = self.heads[0]
-            first.discovery.path = path
-            first.discovery._save_list()
+            original = self.gateways[0]
+            original.discovery.path = path
+            original.discovery._save_list()
             self.assertTrue(Path(path).exists())
-            first.discovery.stop()
-            first.server.stop("killed")
-            first._listener.close()
-            self.list.stop()
-            for follower in list(self.list.followers):
+            original.discovery.stop()
+            original.server.stop("killed")
+            original._listener.close()
+            self.discovery.stop()
+            for follower in list(self.discovery.followers):
                 follower.stream.close()
-            self.start_head(0, path)
-            client = await self.client()
+            self.start_gateway(0, path)
+            client = await self.connect_client()
             self.assertEqual("honoured", (await self.send(client, Opcode.READ))[0])
-        self.judged()
+        self.assert_invariants_hold()
 
-    async def test_a_remembered_list_that_is_garbage_is_left_alone(self) -> None:
+    async def test_an_unreadable_saved_list_is_ignored_and_kept(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "list"
             path.write_bytes(b"{half a li")
-            self.start_head(0, str(path))
-            client = await self.client()
+            self.start_gateway(0, str(path))
+            client = await self.connect_client()
             self.assertIn((await self.send(client, Opcode.READ))[0], ("pushed back", "given up"))
             self.assertEqual(b"{half a li", path.read_bytes())
 
-    async def test_a_drain_is_told_while_a_forward_is_being_written(self) -> None:
-        """What is on its way ends in order; later ones for that shard are not sent there."""
+    async def test_a_drain_during_a_write_lets_the_write_finish(self) -> None:
+        """The attempt in flight finishes; later requests for that shard are not sent to the backend."""
         await self.start_all()
-        client = await self.client()
-        held = self.hold(0)
-        sent = self.send(client, Opcode.WRITE, blocks=32)
-        # On its connection, not only decided: an attempt that waits for one ends with the drain, unsent.
-        await self.until(lambda: self.heads[0].driver.links[0].in_flight)
-        self.list._order(Order(0, "draining"), _Deaf())
-        await self.until(lambda: 0 not in self.heads[0].driver.scheduler.shards.serving)
+        client = await self.connect_client()
+        held = self.hold_commands(0)
+        pending = self.send(client, Opcode.WRITE, blocks=32)
+        # It must have been sent: the drain ends an attempt that still waits for a connection.
+        await self.wait_until(lambda: self.gateways[0].driver.links[0].in_flight)
+        self.discovery._order(Order(0, "draining"), _IgnoringStream())
+        await self.wait_until(lambda: 0 not in self.gateways[0].driver.scheduler.shards.serving)
         late = self.send(client, Opcode.READ)
-        await self.until(lambda: held)
-        self.shelves[0]._saw_end(held[0], "honoured", True)
+        await self.wait_until(lambda: held)
+        self.backends[0]._saw_end(held[0], "honoured", True)
         held[0].answer(Completion(0))
-        self.assertEqual("honoured", (await sent)[0])
+        self.assertEqual("honoured", (await pending)[0])
         self.assertIn((await late)[0], ("pushed back", "given up"))
-        self.assertEqual(1, len(self.arrivals()))
-        self.judged()
+        self.assertEqual(1, len(self.backends_reached()))
+        self.assert_invariants_hold()
 
-    async def test_a_link_goes_after_its_shelf_and_its_last_forward(self) -> None:
-        """A shelf that left with a forward out once kept its link for ever."""
+    async def test_a_link_is_removed_after_its_backend_leaves_and_its_last_attempt_ends(self) -> None:
+        """A backend that left the list with an attempt in flight used to keep its link forever."""
         await self.start_all()
-        client = await self.client()
-        held = self.hold(0)
-        sent = self.send(client, Opcode.READ)
-        await self.until(lambda: held)
-        driver, discovery = self.heads[0].driver, self.heads[0].discovery
+        client = await self.connect_client()
+        held = self.hold_commands(0)
+        pending = self.send(client, Opcode.READ)
+        await self.wait_until(lambda: held)
+        driver, discovery = self.gateways[0].driver, self.gateways[0].discovery
         discovery._line_received(
-            b'{"kind":"changes","version":90,"shelves":[%s]}' % _gone(self.site.shelf[0].address)
+            b'{"kind":"changes","version":90,"shelves":[%s]}'
+            % _entry_of_gone_backend(self.site.shelf[0].address)
         )
         self.assertIn(0, driver.links)
-        self.shelves[0]._saw_end(held[0], "honoured", False)
+        self.backends[0]._saw_end(held[0], "honoured", False)
         held[0].answer(Completion(0), bytes(4096))
-        self.assertEqual("honoured", (await sent)[0])
+        self.assertEqual("honoured", (await pending)[0])
         discovery._line_received(b'{"kind":"changes","version":91,"shelves":[]}')
         self.assertEqual([1], list(driver.links))
 
-    async def test_r2t_data_comes_a_byte_at_a_time(self) -> None:
+    async def test_write_data_may_arrive_byte_by_byte(self) -> None:
         await self.start_all()
-        whole = await self.client()
+        association = await self.connect_client()
         host, _, port = self.site.head[0].address.rpartition(":")
         stream = await self.transport.connect(host, int(port), 1.0)
         encoder = Encoder()
         stream.write(initialize(PduType.IC_REQ, False, False, 0))
-        data = connect_data(bytes(16), whole.controller, self.site.subsystem, self.site.tenant[0].host[0])
+        data = connect_data(
+            bytes(16), association.controller, self.site.subsystem, self.site.tenant[0].host[0]
+        )
         command = Command(**{**_fields(connect(1, 8)), "sgl_type": 1, "sgl_length": 1024})
         stream.write(encoder.capsule_cmd(command.pack(), data))
         write = io_command(Opcode.WRITE, 1, 0, 1, label=77)
@@ -343,24 +353,24 @@
         command = Command(**{**_fields(write), "cid": 5, "sgl_type": 0x5A, "sgl_length": len(payload)})
         stream.write(encoder.capsule_cmd(command.pack()))
         pdu = encoder.data(PduType.H2C_DATA, 5, 5, 0, payload, True)
-        head = self.heads[0].server
-        await self.until(lambda: any(5 in c.open_commands for c in head.connections))
+        server = self.gateways[0].server
+        await self.wait_until(lambda: any(5 in c.open_commands for c in server.connections))
         for at in range(len(pdu)):
             stream.write(pdu[at : at + 1])
             if at % 64 == 0:
                 await stream.drained()
-        await self.until(lambda: any(r["e"] == "ran" and r["label"] == 77 for r in self.seen))
-        how, _, got = await self.send(await self.client(), Opcode.READ)
+        await self.wait_until(lambda: any(r["e"] == "ran" and r["label"] == 77 for r in self.events))
+        how, _, got = await self.send(await self.connect_client(), Opcode.READ)
         self.assertEqual(("honoured", payload), (how, got))
 
 
-def _gone(address: str) -> bytes:
+def _entry_of_gone_backend(address: str) -> bytes:
     return (
         b'{"number":0,"address":"%s","shard":0,"zone":0,"state":"gone","start":1,"age":0}' % address.encode()
     )
 
 
-class _Deaf:
+class _IgnoringStream:
     def write(self, data: bytes) -> None:
         pass
 
@@ -369,17 +379,22 @@
     return command._asdict()
 
 
-class Waiting(unittest.TestCase):
-    def test_what_is_called_off_before_its_connection_stands_is_not_sent(self) -> None:
-        class Spawns:
+class CancelledAttempts(unittest.TestCase):
+    def test_an_attempt_cancelled_while_connecting_is_not_sent(self) -> None:
+        class SpawnsNothing:
             def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-                work.close()  # the connection is not up yet, and stays so
-
-        link = BackendLink(Spawns(), 1, ("shelf", 1), None, 1.0, 8, False, None)  # type: ignore[arg-type]
-        ends: list[AttemptOutcome] = []
-        f = Attempt(
-            1, 0, 1, 0.0, BackendCommand(io_command(Opcode.READ, 1)), lambda f, how, told: ends.append(how)
+                work.close()  # the connection is never established
+
+        link = BackendLink(SpawnsNothing(), 1, ("shelf", 1), None, 1.0, 8, False, None)  # type: ignore[arg-type]
+        outcomes: list[AttemptOutcome] = []
+        attempt = Attempt(
+            1,
+            0,
+            1,
+            0.0,
+            BackendCommand(io_command(Opcode.READ, 1)),
+            lambda attempt, outcome, result: outcomes.append(outcome),
         )
-        link.send(f)
-        link.cancel(f)
-        self.assertEqual(([AttemptOutcome.NOT_SENT], []), (ends, link.awaiting_connection))
+        link.send(attempt)
+        link.cancel(attempt)
+        self.assertEqual(([AttemptOutcome.NOT_SENT], []), (outcomes, link.awaiting_connection))
--- a/tests/test_site_config.py
+++ b/tests/test_site_config.py
@@ -1,4 +1,4 @@
-"""The site file: every fault is told with line and field, and nothing starts with one."""
+"""Tests the site file: each fault is reported with line and field; settings derived from a valid file."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 from tests.rig import SITE
 
 
-class Faults(unittest.TestCase):
+class InvalidSiteFiles(unittest.TestCase):
     def faults(self, *changes: tuple[str, str]) -> list[str]:
         text = SITE
         for old, new in changes:
@@ -62,35 +62,35 @@
             ): "s:7: profile: no profile matches all remaining WRITE; the last profile of each operation "
             "must match without conditions",
         }
-        for change, told in cases.items():
-            with self.subTest(told):
-                self.assertEqual([told], self.faults(change))
+        for change, expected in cases.items():
+            with self.subTest(expected):
+                self.assertEqual([expected], self.faults(change))
 
-    def test_all_faults_come_at_once_in_order(self) -> None:
+    def test_all_faults_are_reported_in_the_order_of_lines(self) -> None:
         found = self.faults(
             ("weight: 1", "weight: 0"), ("queue: 20", "queue: 0"), ('tenant: "t"', 'tenant: "u"')
         )
-        self.assertEqual(["11", "13", "21"], [f.split(":")[1] for f in found])
+        self.assertEqual(["11", "13", "21"], [fault.split(":")[1] for fault in found])
 
-    def test_what_does_not_parse(self) -> None:
+    def test_syntax_errors_name_their_line(self) -> None:
         self.assertIn("s:2: ", self.faults(('name: "test"', "nome: 1"))[0])
         self.assertRegex(self.faults(("promised: 0.3", 'promised: "soon"'))[0], "^s:7: .*soon")
 
     @given(st.text(max_size=80))
-    def test_no_text_raises_anything_else(self, text: str) -> None:
+    def test_any_text_parses_or_raises_a_site_file_error(self, text: str) -> None:
         try:
             parse_site(text)
-        except SiteFileError as bad:
-            self.assertTrue(bad.faults)
+        except SiteFileError as error:
+            self.assertTrue(error.faults)
 
 
-class Facts(unittest.TestCase):
-    def test_the_first_profile_that_fits(self) -> None:
+class DerivedSettings(unittest.TestCase):
+    def test_a_command_gets_the_first_request_class_that_matches(self) -> None:
         site = parse_site(SITE)
-        sorter = RequestClassifier(site)
+        classifier = RequestClassifier(site)
         found = [
-            sorter.classify("plain", op, 4096, hints)
-            for op, hints in ((Opcode.READ, 0), (Opcode.WRITE, 16), (Opcode.WRITE, 0))
+            classifier.classify("plain", opcode, 4096, hints)
+            for opcode, hints in ((Opcode.READ, 0), (Opcode.WRITE, 16), (Opcode.WRITE, 0))
         ]
         self.assertEqual([0, 1, 2], found)
         self.assertEqual(
