--- a/gorsethread/nvme/pdu.py
+++ b/gorsethread/nvme/pdu.py
@@ -153,15 +153,15 @@
 def initialize(type: PduType, header_digest: bool, data_digest: bool, limit: int) -> bytes:
     """Encodes an ICReq or ICResp; limit is its MAXR2T or MAXH2CDATA."""
     digests = (1 if header_digest else 0) | (2 if data_digest else 0)
-    head = COMMON.pack(type, 0, 128, 0, 128) + IC_BODY.pack(0, 0, digests, limit)
-    return head + bytes(128 - len(head))
+    start = COMMON.pack(type, 0, 128, 0, 128) + IC_BODY.pack(0, 0, digests, limit)
+    return start + bytes(128 - len(start))
 
 
 def terminate(type: PduType, error: int, information: int, header: bytes) -> bytes:
     """Encodes a TermReq; header is the beginning of the PDU that caused it."""
     cause = header[:MAX_TERM_DATA_BYTES]
-    head = COMMON.pack(type, 0, 24, 0, 24 + len(cause)) + TERM_BODY.pack(error, information)
-    return head + bytes(24 - len(head)) + cause
+    start = COMMON.pack(type, 0, 24, 0, 24 + len(cause)) + TERM_BODY.pack(error, information)
+    return start + bytes(24 - len(start)) + cause
 
 
 class Encoder:
@@ -176,10 +176,10 @@
         total = offset + (len(data) + (4 if self.data_digest else 0) if data else 0)
         flags |= HEADER_DIGEST if self.header_digest else 0
         flags |= DATA_DIGEST if data and self.data_digest else 0
-        head = COMMON.pack(type, flags, length, offset if data else 0, total) + body
-        parts = [head]
+        header = COMMON.pack(type, flags, length, offset if data else 0, total) + body
+        parts = [header]
         if self.header_digest:
-            parts.append(_digest(head))
+            parts.append(_digest(header))
         if data:
             parts.append(data)
             if self.data_digest:
--- a/gorsethread/nvme_gateway/client_side.py
+++ b/gorsethread/nvme_gateway/client_side.py
@@ -68,20 +68,20 @@
         """Answers a write that a disconnected branch has queued and will apply later; names no shard."""
         self.io.answer(Completion(0))
 
-    def rejected(self, return_after: float) -> None:
-        """Rejects the command; the client may retry after return_after seconds.
+    def rejected(self, retry_after: float) -> None:
+        """Rejects the command; the client may retry after retry_after seconds.
 
         The time is sent rounded up to one of the controller's retry delays, and exactly in a vendor field.
         """
         self.open_request = None
         delays = self.side.subsystem.retry_delays
         retry = 0
-        if return_after > 0 and delays:
-            retry = next((n for n, d in enumerate(delays, 1) if d >= return_after), len(delays))
+        if retry_after > 0 and delays:
+            retry = next((n for n, d in enumerate(delays, 1) if d >= retry_after), len(delays))
         self.side.log.debug(
-            "command rejected", volume=self.io.command.nsid, return_after=round(return_after, 3)
+            "command rejected", volume=self.io.command.nsid, retry_after=round(retry_after, 3)
         )
-        self.io.answer(Completion(0, Status.COMMAND_INTERRUPTED, retry=retry, dw1=round(return_after * 1000)))
+        self.io.answer(Completion(0, Status.COMMAND_INTERRUPTED, retry=retry, dw1=round(retry_after * 1000)))
 
     def failed(self) -> None:
         """Fails the command for good: the client must not retry it."""
--- a/gorsethread/nvme_gateway/discovery.py
+++ b/gorsethread/nvme_gateway/discovery.py
@@ -105,7 +105,7 @@
             return
         now = self.transport.now()
         # The clock restarts with the machine, so a saved start may lie in the future; it is replaced by now.
-        self.backends = {s.number: (s, min(since, now)) for s, since in saved.shelves}
+        self.backends = {backend.number: (backend, min(since, now)) for backend, since in saved.shelves}
         self._pass_on(list(self.backends.values()), True, True)
 
     def watch(self) -> None:
@@ -175,32 +175,32 @@
         now = self.transport.now()
         complete = message.kind == "all"
         entries = []
-        for s in message.shelves:
-            known = self.backends.get(s.number)
-            if known and known[0].start == s.start:
+        for backend in message.shelves:
+            known = self.backends.get(backend.number)
+            if known and known[0].start == backend.start:
                 since = known[1]
             else:
-                since = now - s.age if s.age else 0.0
-            entries.append((s, since))
+                since = now - backend.age if backend.age else 0.0
+            entries.append((backend, since))
         if complete:
             self.backends = {}
-        for s, since in entries:
-            if s.state == "gone":
-                self.backends.pop(s.number, None)
+        for backend, since in entries:
+            if backend.state == "gone":
+                self.backends.pop(backend.number, None)
             else:
-                self.backends[s.number] = (s, since)
+                self.backends[backend.number] = (backend, since)
         self.log.info(
             "endpoint list received",
             kind=message.kind,
             version=message.version,
-            backends={s.number: s.state for s in message.shelves},
+            backends={backend.number: backend.state for backend in message.shelves},
         )
         freed: list[int] = []
         if self.peers is not None:
             freed = self.peers.list_updated(
                 message.life,
                 message.version,
-                [(s.number, s.start, s.state) for s in message.shelves],
+                [(backend.number, backend.start, backend.state) for backend in message.shelves],
                 complete,
             )
         self._pass_on(entries, complete, False)
@@ -208,23 +208,26 @@
         self._save_list()
 
     def _pass_on(self, entries: list[tuple[ListedBackend, float]], complete: bool, remembered: bool) -> None:
-        for s, _ in entries:
-            self.links.update(s.number, s.shard, split_address(s.address), s.state)
+        for backend, _ in entries:
+            self.links.update(backend.number, backend.shard, split_address(backend.address), backend.state)
         # This also removes a link that was kept for attempts in flight when its backend left the list.
         self.links.keep_only(set(self.backends))
         self._update_links(entries)
         endpoints = [
-            EndpointEntry(s.number, s.zone, s.shard, self._is_usable(s), since) for s, since in entries
+            EndpointEntry(backend.number, backend.zone, backend.shard, self._is_usable(backend), since)
+            for backend, since in entries
         ]
         self.driver.endpoints_listed(endpoints, complete, remembered)
 
     def _update_links(self, entries: list[tuple[ListedBackend, float]]) -> None:
-        for s, _ in entries:
-            if (link := self.driver.links.get(s.number)) is not None:
-                link.ready(self._is_usable(s))
+        for backend, _ in entries:
+            if (link := self.driver.links.get(backend.number)) is not None:
+                link.ready(self._is_usable(backend))
 
-    def _is_usable(self, s: ListedBackend) -> bool:
-        return s.state == "ready" and (self.peers is None or not self.peers.news_table.is_stopped(s.number))
+    def _is_usable(self, backend: ListedBackend) -> bool:
+        return backend.state == "ready" and (
+            self.peers is None or not self.peers.news_table.is_stopped(backend.number)
+        )
 
     def republish(self, numbers: list[int]) -> None:
         """Passes these backends to the driver again, as the list and the peers' news now describe them."""
@@ -232,7 +235,8 @@
         if known:
             self._update_links(known)
             endpoints = [
-                EndpointEntry(s.number, s.zone, s.shard, self._is_usable(s), since) for s, since in known
+                EndpointEntry(backend.number, backend.zone, backend.shard, self._is_usable(backend), since)
+                for backend, since in known
             ]
             self.driver.endpoints_listed(endpoints, False, False)
 
--- a/gorsethread/nvme_gateway/latency_accounting.py
+++ b/gorsethread/nvme_gateway/latency_accounting.py
@@ -30,20 +30,20 @@
         self,
         transport: Transport,
         site: pb.Site,
-        head: int,
+        gateway: int,
         driver: Driver,
         folder: str,
         seconds: float,
         log: Any,
     ) -> None:
         self.transport, self.driver, self.log = transport, driver, log
-        self.site_name, self.head, self.folder, self.seconds = site.name, head, folder, seconds
+        self.site_name, self.gateway, self.folder, self.seconds = site.name, gateway, folder, seconds
         self.accounts = Accounts([p.promised for p in site.profile], transport.now())
         self.start = transport.wall_time()
         self.life = int(self.start * 1e6)
         self.max_files = MAX_FILES
         self.ended = False
-        prefix = f"head-{head}-"
+        prefix = f"head-{gateway}-"
         # Names of the snapshots kept, oldest first: the names contain the time. Bounded by max_files.
         self._snapshots = sorted(
             name for name in transport.list_files(folder) if name.startswith(prefix) and name.endswith(SUFFIX)
@@ -80,10 +80,10 @@
         end = self.transport.wall_time()
         window = self.accounts.close_window(self.transport.now())
         # If the clock was set back, the span must not end before it begins.
-        window.spans.add(Span(self.head, self.life, self.start, max(self.start, end), last))
+        window.spans.add(Span(self.gateway, self.life, self.start, max(self.start, end), last))
         if window.remainders:
             self.log.error("latency accounts are inconsistent", requests=window.remainders)
-        name = f"head-{self.head}-{int(self.start * 1000):015d}{SUFFIX}"
+        name = f"head-{self.gateway}-{int(self.start * 1000):015d}{SUFFIX}"
         self.start = end
         try:
             self.transport.save(f"{self.folder}/{name}", encode(self.site_name, window))
--- a/gorsethread/nvme_gateway/peers.py
+++ b/gorsethread/nvme_gateway/peers.py
@@ -92,7 +92,7 @@
     def alive_gateways(self) -> list[int]:
         """Returns the other gateways that the membership view does not consider dead."""
         return (
-            [w.member for w in self.membership.view.alive if w.member != self.gateway]
+            [member.member for member in self.membership.view.alive if member.member != self.gateway]
             if self.membership is not None
             else []
         )
@@ -156,7 +156,9 @@
     def _send_news(self, news: list[BackendNews], fresh: bool) -> None:
         if self.stopped or self.membership is None:
             return
-        for peer in self.news_table.draw_recipients(fresh, [w.member for w in self.membership.view.alive]):
+        for peer in self.news_table.draw_recipients(
+            fresh, [member.member for member in self.membership.view.alive]
+        ):
             for begin in range(0, len(news), NEWS_PER_DATAGRAM):
                 if self.news_allowance.try_consume(self.transport.now()):
                     self.membership.send(
