--- a/tests/test_nvme_gateway.py
+++ b/tests/test_nvme_gateway.py
@@ -34,20 +34,20 @@
             self.assertEqual("honoured", how)
             how, _, data = await self.send(client, Opcode.READ, block=block, blocks=blocks)
             self.assertEqual(("honoured", stamped(self.last_label - 1, 1, block, blocks)), (how, data))
-        done, _ = await client.io.call(io_command(Opcode.FLUSH, 1))
-        self.assertTrue(done.succeeded)
+        completion, _ = await client.io.call(io_command(Opcode.FLUSH, 1))
+        self.assertTrue(completion.succeeded)
         self.assert_invariants_hold()
 
     async def test_an_extent_stays_on_the_shard_of_its_first_write(self) -> None:
         await self.start_all()
         client = await self.connect_client()
-        how, done, _ = await self.send(client, Opcode.READ, volume=2)
-        self.assertEqual(Status.UNWRITTEN_BLOCK, done.status)
+        how, completion, _ = await self.send(client, Opcode.READ, volume=2)
+        self.assertEqual(Status.UNWRITTEN_BLOCK, completion.status)
         pending = [self.send(client, Opcode.WRITE, volume=2, block=n, label=100 + n) for n in range(8)]
         answers = [await answer for answer in pending]
         self.assertLessEqual({how for how, _, _ in answers}, {"honoured", "pushed back"})
         self.assertEqual(1, len(set(self.backends_reached())), "one extent, one backend")
-        shards = {done.dw0 for how, done, _ in answers if how == "honoured"}
+        shards = {completion.dw0 for how, completion, _ in answers if how == "honoured"}
         self.assertEqual(
             {self.backends_reached()[0] + 1}, shards, "the gateway tells the client the extent's shard"
         )
@@ -64,8 +64,8 @@
             (Command(0x55, nsid=1), 0, Status.INVALID_OPCODE),
         ]
         for command, read, status in cases:
-            done, _ = await client.io.call(command, read_bytes=read)
-            self.assertEqual((status, True), (done.status, done.do_not_retry))
+            completion, _ = await client.io.call(command, read_bytes=read)
+            self.assertEqual((status, True), (completion.status, completion.do_not_retry))
         self.assertEqual([], self.backends_reached())
 
     async def test_an_unknown_host_cannot_connect(self) -> None:
@@ -125,8 +125,8 @@
         pending = self.send(client, Opcode.WRITE, hints=NON_IDEMPOTENT_HINT)
         await self.wait_until(lambda: held)
         self.backends[0].die()
-        how, done, _ = await pending
-        self.assertEqual(("given up", True), (how, done.do_not_retry))
+        how, completion, _ = await pending
+        self.assertEqual(("given up", True), (how, completion.do_not_retry))
         self.start_backend(0)
         # Once another request reaches that backend again, the write must not have been sent again.
         write = self.last_label
@@ -171,8 +171,8 @@
         pending = self.send(client, Opcode.READ)
         await self.wait_until(lambda: held)
         client.abort(1)
-        _, done, _ = await pending
-        self.assertEqual(Status.ABORT_REQUESTED, done.status)
+        _, completion, _ = await pending
+        self.assertEqual(Status.ABORT_REQUESTED, completion.status)
         await self.wait_until(lambda: not self.gateways[0].driver.open_requests)
 
     async def test_a_backend_that_accepts_connections_but_sends_nothing_is_unreachable(self) -> None:
@@ -290,6 +290,7 @@
         self.assert_invariants_hold()
 
     async def test_an_unreadable_saved_list_is_ignored_and_kept(self) -> None:
+        """Without a list the gateway still answers each request in time, by rejecting or failing it."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "list"
             path.write_bytes(b"{half a li")
