--- a/gorsethread/cli/faults.py
+++ b/gorsethread/cli/faults.py
@@ -10,8 +10,8 @@
 
 from gorsethread.cli.options import SitePath, site_at, tell, write_json
 from gorsethread.experiments.script_comparison import beside
-from gorsethread.harness.process_faults import unplayable
-from gorsethread.harness.site import PARTIES, PLAYED
+from gorsethread.harness.process_faults import unsupported_acts
+from gorsethread.harness.site import SUPPORTED_ACTS, SUPPORTED_PARTIES
 from gorsethread.simulation.durable_log_mutants import KEPT_MUTANTS
 from gorsethread.simulation.http_mutants import WEB_MUTANTS
 from gorsethread.simulation.mutants import MUTANTS
@@ -239,7 +239,7 @@
     """Plays one script on real sockets, every process on its own, and on the virtual clock, side by side."""
     known = site_at(site)
     script = _script(known, what)
-    if no := unplayable(script, PLAYED, PARTIES):
+    if no := unsupported_acts(script, SUPPORTED_ACTS, SUPPORTED_PARTIES):
         typer.echo(f"{what}: real processes are not put through: {'; '.join(no)}", err=True)
         raise typer.Exit(2)
     found = beside(known, script)
--- a/gorsethread/cli/lab.py
+++ b/gorsethread/cli/lab.py
@@ -26,7 +26,7 @@
 from gorsethread.experiments.slow_start_leases import Trial, script_of
 from gorsethread.experiments.sockets import compare
 from gorsethread.harness.branches import BranchTrial
-from gorsethread.harness.process_faults import unplayable
+from gorsethread.harness.process_faults import unsupported_acts
 from gorsethread.harness.processes import Processes
 from gorsethread.logs import log_for, start_logs
 from gorsethread.simulation.script import BadScript, Script, read_script
@@ -456,7 +456,7 @@
     try:
         text = Path(script).read_text() if script else SHORT
         known = replace(read_script(f"heads {processes}\n{text}"), heads=processes, seed=seed)
-        if no := unplayable(known, PLAYED, PARTIES):
+        if no := unsupported_acts(known, PLAYED, PARTIES):
             raise BadScript(no)
     except OSError as error:
         typer.echo(f"{script}: {error.strerror}", err=True)
--- a/gorsethread/cli/main.py
+++ b/gorsethread/cli/main.py
@@ -22,9 +22,9 @@
 from gorsethread.experiments.alternating_load import TurnLoad
 from gorsethread.experiments.bench_peers import Load, Relay, Sink
 from gorsethread.experiments.day import TROUBLES, Day, DayPlan, DayResult
-from gorsethread.fakes.backend import Shelf
+from gorsethread.fakes.backend import FakeBackend
 from gorsethread.fakes.client import LoadClient, Surge
-from gorsethread.fakes.discovery import NodeList
+from gorsethread.fakes.discovery import FakeDiscovery
 from gorsethread.fakes.record import Recorder, read_script
 from gorsethread.logs import log_for, start_logs
 from gorsethread.nvme_gateway.gateway import Head
@@ -185,12 +185,14 @@
         typer.echo(f"{site}: shelf: there is no shelf {shelf}", err=True)
         raise typer.Exit(2)
     logger = log_for(shelf=shelf)
-    made: list[Shelf] = []
+    made: list[FakeBackend] = []
 
-    def make(transport: RealTransport) -> Shelf:
+    def make(transport: RealTransport) -> FakeBackend:
         recorder = Recorder(transport, f"shelf {shelf}", record)
         faults = read_script(transport.load(script) if script else None)
-        made.append(Shelf(transport, known, shelf, recorder, folder, faults, warm, logger, transport.finish))
+        made.append(
+            FakeBackend(transport, known, shelf, recorder, folder, faults, warm, logger, transport.finish)
+        )
         return made[0]
 
     _serve(make, seed, logger)
@@ -211,9 +213,9 @@
     known = site_at(site)
     logger = log_for(list=known.name)
 
-    def make(transport: RealTransport) -> NodeList:
+    def make(transport: RealTransport) -> FakeDiscovery:
         faults = read_script(transport.load(script) if script else None)
-        return NodeList(transport, known, Recorder(transport, "list", record), faults, logger)
+        return FakeDiscovery(transport, known, Recorder(transport, "list", record), faults, logger)
 
     _serve(make, seed, logger)
 
@@ -291,7 +293,7 @@
     console.print(f"lost {v.lost}, duplicated {v.duplicated}, blocks read wrong {v.wrong_reads}")
     if result.accounts:
         console.print(f"accounts: {result.accounts}", markup=False, highlight=False)
-    for each in v.breaks[:10]:
+    for each in v.violations[:10]:
         console.print(str(each), markup=False, highlight=False)
     for defect in result.defects:
         console.print(f"defect: {defect}", markup=False)
--- a/gorsethread/experiments/alternating_load.py
+++ b/gorsethread/experiments/alternating_load.py
@@ -9,7 +9,7 @@
 
 import psutil
 
-from gorsethread.fakes.client import stamped
+from gorsethread.fakes.client import stamped_blocks
 from gorsethread.nvme.command import Completion, Opcode, io_command
 from gorsethread.nvme.subsystem import BLOCK
 from gorsethread.nvme_transport.host_connection import Association, Names, dial
@@ -66,7 +66,7 @@
         block = self.chance.randrange(volume.blocks)
         write = self.chance.random() < 0.5
         command = io_command(Opcode.WRITE if write else Opcode.READ, volume.number, block)
-        data = stamped(1, volume.number, block, 1) if write else b""
+        data = stamped_blocks(1, volume.number, block, 1) if write else b""
 
         def done(completion: Completion, _: bytes) -> None:
             self.out -= 1
--- a/gorsethread/experiments/bench.py
+++ b/gorsethread/experiments/bench.py
@@ -13,8 +13,8 @@
 
 from gorsethread.experiments.alternating_load import in_turn
 from gorsethread.experiments.latency_attribution import footprint
-from gorsethread.fakes.discovery import Register
-from gorsethread.harness.processes import Processes, resized
+from gorsethread.fakes.discovery import Registration
+from gorsethread.harness.processes import Processes, resize_site
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.reading import parse_site, split_address
 from gorsethread.transport.base import Stream, Transport, Unreachable
@@ -63,7 +63,7 @@
         "placement: FIXED shard: 0 head: 0 }\n"
         for n in range(VOLUMES)
     )
-    site = resized(parse_site(text), 1 + others, shelves)
+    site = resize_site(parse_site(text), 1 + others, shelves)
     for volume in site.volume:
         volume.shard[:] = range(SINKS)
     return site
@@ -115,7 +115,7 @@
         await self._until_reached(split_address(self.site.list.address))
         for shelf in self.site.shelf[SINKS:]:
             stream = await self.transport.connect(*split_address(self.site.list.address), 5.0)
-            line = Register(shelf.number, shelf.address, shelf.shard, shelf.zone, 1, 0.0)
+            line = Registration(shelf.number, shelf.address, shelf.shard, shelf.zone, 1, 0.0)
             stream.write(msgspec.json.encode(line) + b"\n")
             self.idle.append(stream)
         if self.subject == "head":
--- a/gorsethread/experiments/bench_peers.py
+++ b/gorsethread/experiments/bench_peers.py
@@ -5,8 +5,8 @@
 
 from hdrh.histogram import HdrHistogram
 
-from gorsethread.fakes.backend import Shelf
-from gorsethread.fakes.client import stamped
+from gorsethread.fakes.backend import FakeBackend
+from gorsethread.fakes.client import stamped_blocks
 from gorsethread.gateway.attempts import Attempt, AttemptResult
 from gorsethread.nvme.command import Completion, Opcode, Status, io_command
 from gorsethread.nvme.subsystem import BLOCK, Namespace, Subsystem
@@ -78,7 +78,7 @@
 TOLD = Completion(0, dw1=20)  # a service time of 20 microseconds, as shelves tell theirs
 
 
-class Sink(Shelf):
+class Sink(FakeBackend):
     """A shelf without a machine: what comes is answered at once."""
 
     def announced(self, io: IoCommand) -> None: ...
@@ -146,7 +146,7 @@
         block = self.chance.randrange(volume.blocks)
         write = self.chance.random() < 0.5
         command = io_command(Opcode.WRITE if write else Opcode.READ, volume.number, block)
-        data = stamped(1, volume.number, block, 1) if write else b""
+        data = stamped_blocks(1, volume.number, block, 1) if write else b""
 
         def done(completion: Completion, _: bytes) -> None:
             self.out -= 1
--- a/gorsethread/experiments/day.py
+++ b/gorsethread/experiments/day.py
@@ -13,10 +13,10 @@
 import psutil
 
 from gorsethread.fakes.client import Surge
-from gorsethread.fakes.discovery import Order
+from gorsethread.fakes.discovery import DrainOrder
 from gorsethread.fakes.record import Fault, Recorder
-from gorsethread.harness.processes import Processes, resized
-from gorsethread.invariants.history_checker import Verdict, Witness
+from gorsethread.harness.processes import Processes, resize_site
+from gorsethread.invariants.history_checker import HistoryChecker, Verdict
 from gorsethread.latency_attribution import causes, report
 from gorsethread.latency_attribution.site_baseline import known_of
 from gorsethread.latency_attribution.snapshots import SUFFIX, decode
@@ -57,7 +57,7 @@
     @property
     def good(self) -> bool:
         v = self.verdict
-        return not (v.breaks or v.lost or v.duplicated or v.wrong_reads or self.defects)
+        return not (v.violations or v.lost or v.duplicated or v.wrong_reads or self.defects)
 
     def as_json(self) -> dict[str, Any]:
         v, c = self.verdict, self.verdict.counts
@@ -94,7 +94,7 @@
         self.folder = folder
         if list(self.folder.glob("*.jsonl")):
             raise FileExistsError(f"{self.folder} holds the records of another day")
-        self.site = resized(site, plan.heads, plan.shelves)
+        self.site = resize_site(site, plan.heads, plan.shelves)
         self.processes = Processes(folder, self.site)
         self.recorder = Recorder(transport, "day", str(self.processes.record("day")))
         self.chance: RandomStream = transport.random_stream("day")
@@ -172,7 +172,7 @@
 
     async def _kill_head(self, head: int) -> None:
         self.say(f"head {head}: killed")
-        self.recorder.saw("head killed", head=head)
+        self.recorder.record("head killed", head=head)
         await self.processes.end(f"head {head}", signal.SIGKILL)
 
     async def _start_head(self, head: int, how: str = "") -> None:
@@ -229,12 +229,12 @@
     async def _kill_shelf(self, shelf: int) -> None:
         self.say(f"shelf {shelf}: killed")
         await self.processes.end(f"shelf {shelf}", signal.SIGKILL)
-        self.recorder.saw("shelf killed", shelf=shelf)
+        self.recorder.record("shelf killed", shelf=shelf)
 
     async def _end_shelf(self, shelf: int) -> None:
         self.say(f"shelf {shelf}: ended")
         await self.processes.end(f"shelf {shelf}")
-        self.recorder.saw("shelf killed", shelf=shelf)
+        self.recorder.record("shelf killed", shelf=shelf)
 
     async def _drain(self, shelf: int) -> None:
         await self._order(shelf, "draining")
@@ -246,7 +246,7 @@
         except Unreachable as error:
             self.defects.append(f"the list took no order: {error}")
             return
-        stream.write(msgspec.json.encode(Order(shelf, state)) + b"\n")
+        stream.write(msgspec.json.encode(DrainOrder(shelf, state)) + b"\n")
         await stream.read()
         stream.close()
 
@@ -335,7 +335,7 @@
             if status != 0 and not (self.plan.plant and name.startswith("shelf"))
         ]
         both = [name for name in late if name in early]
-        verdict = Witness(self.site, self.records()).judge()
+        verdict = HistoryChecker(self.site, self.records()).judge()
         if not verdict.counts["honoured"]:
             self.defects.append("nothing was honoured: this day shows nothing")
         accounts = self._accounts()
--- a/gorsethread/experiments/latency_attribution.py
+++ b/gorsethread/experiments/latency_attribution.py
@@ -83,7 +83,7 @@
         "rules": result.verdict.rules,
         "good": result.good,
         "defects": result.defects,
-        "breaks": [str(b) for b in result.verdict.breaks],
+        "breaks": [str(b) for b in result.verdict.violations],
     }
 
 
--- a/gorsethread/experiments/membership_processes.py
+++ b/gorsethread/experiments/membership_processes.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from gorsethread.experiments.operator_queries import NoAnswer, Shown, ask
-from gorsethread.harness.process_faults import Cast
+from gorsethread.harness.process_faults import FaultPlayer
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.relay import DatagramRelay
 from gorsethread.membership.gossip_messages import MemberState
@@ -48,7 +48,7 @@
         self.transport, self.processes, self.script, self.say = transport, processes, script, say
         ports = free_ports(2 * script.heads)
         self.public, self.private = ports[: script.heads], ports[script.heads :]
-        self.cast = Cast(transport, processes, script.heads, self._start, say)
+        self.cast = FaultPlayer(transport, processes, script.heads, self._start, say)
         names = [f"head {n}" for n in range(script.heads)]
         self.relay = DatagramRelay(
             transport,
--- a/gorsethread/experiments/recovery.py
+++ b/gorsethread/experiments/recovery.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 from typing import Any
 
-from gorsethread.fakes.backend import Shelf
-from gorsethread.harness.durable_log_trial import KeptTrial
+from gorsethread.fakes.backend import FakeBackend
+from gorsethread.harness.durable_log_trial import DurableLogTrial
 from gorsethread.harness.processes import Processes
 from gorsethread.simulation.durable_log_simulation import RecordsWorld
 from gorsethread.simulation.script import Act, Script
@@ -122,7 +122,7 @@
     return [t for t in found if t >= begin]
 
 
-def counting(kind: type[Shelf], opened: Callable[[float], None]) -> type[Shelf]:
+def counting(kind: type[FakeBackend], opened: Callable[[float], None]) -> type[FakeBackend]:
     """Shelves that tell of each new stream to them."""
 
     class Counted(kind):  # type: ignore[misc, valid-type]
@@ -173,7 +173,9 @@
     site: pb.Site, heads: int, shelves: int, seed: int, factor: float, kinds: tuple[str, ...], alone: bool
 ) -> Found:
     script, opened = script_of(kinds, heads, shelves, seed, factor), list[float]()
-    world_kind = type("World", (ReturnWorld,), {"alone": alone, "shelf_kind": counting(Shelf, opened.append)})
+    world_kind = type(
+        "World", (ReturnWorld,), {"alone": alone, "shelf_kind": counting(FakeBackend, opened.append)}
+    )
     world = world_kind(site_of(site, heads, shelves, alone), script)
     forgotten = Forgotten(world, BEFORE + APART * len(kinds) - APART if kinds[-1].endswith("lost") else 1e9)
     world._denied = forgotten.denied
@@ -214,7 +216,7 @@
         self.count += self.world.loop.time() < self.world.zero + self.until
 
 
-class ReturnTrial(KeptTrial):
+class ReturnTrial(DurableLogTrial):
     """alone: heads keep no records."""
 
     alone = False
@@ -245,7 +247,7 @@
     with tempfile.TemporaryDirectory(prefix="gorsethread-return-") as folder:
         trial = ReturnTrial(transport, Processes(Path(folder), known), known, log, script)
         trial.alone, trial.say = alone, say
-        trial.shelf_kind = counting(Shelf, opened.append)
+        trial.shelf_kind = counting(FakeBackend, opened.append)
         if kinds[-1].endswith("lost"):
             trial.forgets_from = BEFORE + APART * (len(kinds) - 1)
         r = await trial.play()
--- a/gorsethread/fakes/backend.py
+++ b/gorsethread/fakes/backend.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from gorsethread.fakes.backend_model import Job, Machine
-from gorsethread.fakes.discovery import Register
+from gorsethread.fakes.discovery import Registration
 from gorsethread.fakes.record import Fault, Recorder
 from gorsethread.nvme.command import Completion, Opcode, Status, tell_service
 from gorsethread.nvme.subsystem import BLOCK, Namespace, Subsystem
@@ -17,18 +17,18 @@
 from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import RandomAccessFile, Stream, StreamClosed, Timer, Transport, Unreachable
 
-HEAD_NAME = ":head:"
+GATEWAY_MARK = ":head:"
 
 
 @dataclass(slots=True)
-class Held:
+class ReceivedCommand:
     """What a shelf keeps of a command: its units, and its data once that is here."""
 
     units: int
     data: bytes = b""
 
 
-class Shelf:
+class FakeBackend:
     """warm: as if up for long. folder: where its bytes are kept; fell: called when it is pushed over."""
 
     def __init__(
@@ -79,7 +79,7 @@
             self.transport.call_at(fault.at, lambda fault=fault: self._fault(fault))  # type: ignore[misc]
         if self.site.machine.put_off:
             self._pay()
-        self.recorder.saw(
+        self.recorder.record(
             "up",
             shelf=self.number,
             shard=self.me.shard,
@@ -102,7 +102,7 @@
     def _fault(self, fault: Fault) -> None:
         now = self.transport.now()
         self.log.warning("fault", kind=fault.kind, seconds=fault.seconds, part=fault.part)
-        self.recorder.saw("fault", kind=fault.kind, seconds=fault.seconds)
+        self.recorder.record("fault", kind=fault.kind, seconds=fault.seconds)
         if fault.kind == "still":
             self.machine.stand_still(now, fault.seconds)
             self.transport.call_at(self.machine.still_until, self._move_again)
@@ -128,15 +128,15 @@
     # ---- I/O commands
 
     def _admits(self, host: str) -> list[Namespace] | None:
-        _, mark, number = host.rpartition(HEAD_NAME)
+        _, mark, number = host.rpartition(GATEWAY_MARK)
         return self.namespaces if mark and number.isdigit() else None
 
     def announced(self, io: IoCommand) -> None:
         """Stamped as the capsule comes, before anything else is known of it."""
         c = io.command
         units = units_of(c.blocks * BLOCK, self.site.links.unit_bytes)
-        io.owned = Held(units)
-        self.recorder.saw(
+        io.owned = ReceivedCommand(units)
+        self.recorder.record(
             "arrived",
             shelf=self.number,
             start=self.start_id,
@@ -149,7 +149,7 @@
         )
         self.machine.arrives(self.transport.now(), units)
         if self.machine.fallen:
-            self.recorder.saw("fell", shelf=self.number, start=self.start_id)
+            self.recorder.record("fell", shelf=self.number, start=self.start_id)
             self.log.error("pushed over while cold")
             self.stop()
             self.fell()
@@ -249,7 +249,7 @@
 
     def _apply(self, io: IoCommand) -> None:
         self._file(io.command.nsid).write(io.command.first_block * BLOCK, io.owned.data)
-        self.recorder.saw("ran", shelf=self.number, label=io.command.label, attempt=io.command.attempt)
+        self.recorder.record("ran", shelf=self.number, label=io.command.label, attempt=io.command.attempt)
 
     def _file(self, volume: int) -> RandomAccessFile:
         if volume not in self.files:
@@ -278,7 +278,7 @@
 
     def _saw_end(self, io: IoCommand, how: str, ran: bool) -> None:
         c = io.command
-        self.recorder.saw(
+        self.recorder.record(
             "ended",
             shelf=self.number,
             start=self.start_id,
@@ -297,7 +297,9 @@
             try:
                 stream: Stream = await self.transport.connect(*split_address(self.site.list.address), 1.0)
                 age = 0.0 if self.warm else max(0.001, self.transport.now() - self.machine.since)
-                me = Register(self.number, self.me.address, self.me.shard, self.me.zone, self.start_id, age)
+                me = Registration(
+                    self.number, self.me.address, self.me.shard, self.me.zone, self.start_id, age
+                )
                 stream.write(msgspec.json.encode(me) + b"\n")
                 while True:
                     await stream.read()
@@ -306,4 +308,4 @@
 
 
 def _head(io: IoCommand) -> int:
-    return int(io.host.rpartition(HEAD_NAME)[2])
+    return int(io.host.rpartition(GATEWAY_MARK)[2])
--- a/gorsethread/fakes/client.py
+++ b/gorsethread/fakes/client.py
@@ -38,7 +38,7 @@
     times: float
 
 
-def stamped(label: int, volume: int, first_block: int, blocks: int) -> bytes:
+def stamped_blocks(label: int, volume: int, first_block: int, blocks: int) -> bytes:
     """What a write puts in each block: who wrote it, and where it belongs."""
     times = BLOCK // STAMP.size
     return b"".join(STAMP.pack(label, first_block + n, volume, 0, MARK) * times for n in range(blocks))
@@ -56,13 +56,13 @@
     return wrong
 
 
-class HeadLink:
+class GatewayConnection:
     """The association with one head, made anew whenever it breaks."""
 
     def __init__(self, transport: Transport, number: int, address: tuple[str, int], names: Names) -> None:
         self.transport, self.number, self.address, self.names = transport, number, address, names
         self.association: Association | None = None
-        self.open: dict[int, Try] = {}  # by command id; emptied by answers or the connection's end
+        self.open: dict[int, LoadAttempt] = {}  # by command id; emptied by answers or the connection's end
 
     async def keep(self) -> None:
         while True:
@@ -86,7 +86,7 @@
             t.ended("unreachable", None, b"")
 
 
-class Transaction:
+class LoadRequest:
     """What an application wants, over all its tries."""
 
     __slots__ = (
@@ -120,10 +120,10 @@
         self.due, self.by = due, by
 
 
-class Try:
+class LoadAttempt:
     """One command of a transaction, from its sending to its one answer."""
 
-    def __init__(self, client: "LoadClient", t: Transaction, attempt: int, link: Any) -> None:
+    def __init__(self, client: "LoadClient", t: LoadRequest, attempt: int, link: Any) -> None:
         self.client, self.t, self.attempt, self.link = client, t, attempt, link
         self.over = False
         self.cid = -1
@@ -152,8 +152,8 @@
         )
         data = b""
         if t.operation == Opcode.WRITE:
-            data = stamped(t.label, t.volume.number, t.first_block, t.blocks)
-        client.recorder.saw(
+            data = stamped_blocks(t.label, t.volume.number, t.first_block, t.blocks)
+        client.recorder.record(
             "sent",
             label=t.label,
             attempt=self.attempt,
@@ -199,7 +199,7 @@
 
     def _abort_missed(self) -> None:
         """The head answered before, or had not read the command yet: it knows nothing of this leaving."""
-        self.client.recorder.saw("abort missed", label=self.t.label, attempt=self.attempt)
+        self.client.recorder.record("abort missed", label=self.t.label, attempt=self.attempt)
 
     def _time_is_up(self, turns: int = 3) -> None:
         # What had come in time may still lie unread where this process itself stood still for a moment.
@@ -213,7 +213,7 @@
         self.link.open.pop(self.cid, None)
         if self.over:
             if completion.status != Status.ABORT_REQUESTED:
-                self.client.recorder.saw("answered late", label=self.t.label, attempt=self.attempt)
+                self.client.recorder.record("answered late", label=self.t.label, attempt=self.attempt)
             return
         if completion.honoured:
             self.ended("honoured", completion, data)
@@ -267,10 +267,10 @@
 
     def _link(self, head: pb.Head) -> Any:
         names = Names(self.site.subsystem, self.me.host[0])
-        return HeadLink(self.transport, head.number, split_address(head.address), names)
+        return GatewayConnection(self.transport, head.number, split_address(head.address), names)
 
-    def _one_try(self, t: Transaction, attempt: int, link: Any) -> Try:
-        return Try(self, t, attempt, link)
+    def _one_try(self, t: LoadRequest, attempt: int, link: Any) -> LoadAttempt:
+        return LoadAttempt(self, t, attempt, link)
 
     async def run(self) -> None:
         for link in self.links.values():
@@ -283,7 +283,7 @@
         until = self.transport.now() + longest + 1.0
         while self.unfinished and self.transport.now() < until:
             await self.transport.sleep(0.05)
-        self.recorder.saw("end", unfinished=self.unfinished)
+        self.recorder.record("end", unfinished=self.unfinished)
 
     async def _arrivals(self, volume: pb.Volume) -> None:
         """Open-loop: the next arrival is due by the clock, however late this loop or an answer is."""
@@ -300,7 +300,7 @@
             if (wait := due - self.transport.now()) > 0:
                 await self.transport.sleep(wait)
 
-    def _next(self, volume: pb.Volume, due: float) -> Transaction:
+    def _next(self, volume: pb.Volume, due: float) -> LoadRequest:
         draw = self.chance.random()
         extents = volume.blocks // volume.extent_blocks
         hints, key = 0, ""
@@ -329,7 +329,7 @@
             key = f"{volume.number}/{extent}"
         self.labels += 1
         by = due + self.site.profile[profile].cut_off
-        return Transaction(self.labels, volume, profile, operation, first, blocks, hints, key, due, by)
+        return LoadRequest(self.labels, volume, profile, operation, first, blocks, hints, key, due, by)
 
     def _head_for(self, volume: pb.Volume) -> Any:
         """A volume uses its heads unevenly, and which one most changes."""
@@ -342,7 +342,7 @@
             lead = volume.head[self.chance.randrange(len(volume.head))]
         return self.links[lead]
 
-    def _try(self, t: Transaction, attempt: int, link: Any = None) -> None:
+    def _try(self, t: LoadRequest, attempt: int, link: Any = None) -> None:
         link = link or self._head_for(t.volume)
         one = self._one_try(t, attempt, link)
         if not one.send():
@@ -352,9 +352,9 @@
         if t.operation == Opcode.READ and self.chance.random() < self.leaves:
             one.leave_after(self.chance.uniform(0.0, 0.3))
 
-    def never_sent(self, one: Try) -> None:
+    def never_sent(self, one: LoadAttempt) -> None:
         t = one.t
-        self.recorder.saw(
+        self.recorder.record(
             "not sent",
             label=t.label,
             attempt=one.attempt,
@@ -364,7 +364,7 @@
             due=t.due,
         )
 
-    def answered(self, one: Try, how: str, completion: Completion | None, data: bytes) -> None:
+    def answered(self, one: LoadAttempt, how: str, completion: Completion | None, data: bytes) -> None:
         t, now = one.t, self.transport.now()
         self.unfinished -= 1
         wrong = 0
@@ -382,7 +382,9 @@
                 if len(self.shards) > 100_000:
                     self.shards.popitem(last=False)
         status = completion.status if completion is not None else -1
-        self.recorder.saw("answer", label=t.label, attempt=one.attempt, how=how, status=status, wrong=wrong)
+        self.recorder.record(
+            "answer", label=t.label, attempt=one.attempt, how=how, status=status, wrong=wrong
+        )
         if how in ("honoured", "left", "unanswered") or one.attempt or self.chance.random() > REPEATS:
             return
         effect = self.site.profile[t.profile].effect
@@ -399,6 +401,6 @@
             self.unfinished += 1  # else this client would end with a repeat still to come
             self.transport.call_at(now + wait, lambda: self._repeat(t, one.link))
 
-    def _repeat(self, t: Transaction, link: Any) -> None:
+    def _repeat(self, t: LoadRequest, link: Any) -> None:
         self.unfinished -= 1
         self._try(t, 1, link)
--- a/gorsethread/fakes/discovery.py
+++ b/gorsethread/fakes/discovery.py
@@ -19,7 +19,7 @@
 IN_ORDER = 1e-6  # seconds between two tellings
 
 
-class Register(msgspec.Struct, frozen=True, tag="register", tag_field="say"):
+class Registration(msgspec.Struct, frozen=True, tag="register", tag_field="say"):
     """A shelf's first line; age in seconds, 0: long ago."""
 
     number: int
@@ -30,14 +30,14 @@
     age: float
 
 
-class Order(msgspec.Struct, frozen=True, tag="order", tag_field="say"):
+class DrainOrder(msgspec.Struct, frozen=True, tag="order", tag_field="say"):
     """An operator's line; state: draining or ready."""
 
     shelf: int
     state: str
 
 
-class Follower:
+class ListWatcher:
     """One head's stream and the news on its way to it, in order."""
 
     def __init__(self, head: int, stream: Stream) -> None:
@@ -45,7 +45,7 @@
         self.last = 0.0  # when its latest news is due
 
 
-class NodeList:
+class FakeDiscovery:
     def __init__(
         self, transport: Transport, site: pb.Site, recorder: Recorder, script: list[Fault], log: Any
     ) -> None:
@@ -54,9 +54,9 @@
         self.chance = transport.random_stream("list")
         self.version = 1
         self.life = int(transport.wall_time() * 1e6)  # versions of another life of the list don't compare
-        self.entries: dict[int, tuple[Register, str, float]] = {}  # shelf: what it said, its state, since
+        self.entries: dict[int, tuple[Registration, str, float]] = {}  # shelf: what it said, its state, since
         self.changes: deque[tuple[int, int]] = deque(maxlen=CHANGES_KEPT)  # version, shelf
-        self.followers: dict[Follower, None] = {}  # emptied as heads' streams end
+        self.followers: dict[ListWatcher, None] = {}  # emptied as heads' streams end
         self.late_until = self.refuse_until = self.extra = 0.0
 
     def start(self) -> None:
@@ -89,10 +89,12 @@
                 if len(held) > LINE_MOST:
                     raise StreamClosed("a line without an end")
             line, _, held = held.partition(b"\n")
-            said: Register | Order | Ask = msgspec.json.decode(line, type=Register | Order | Ask)
-            if isinstance(said, Register):
+            said: Registration | DrainOrder | Ask = msgspec.json.decode(
+                line, type=Registration | DrainOrder | Ask
+            )
+            if isinstance(said, Registration):
                 await self._shelf(said, stream)
-            elif isinstance(said, Order):
+            elif isinstance(said, DrainOrder):
                 self._order(said, stream)
             else:
                 await self._head(said, stream)
@@ -103,7 +105,7 @@
         finally:
             stream.close()
 
-    async def _shelf(self, said: Register, stream: Stream) -> None:
+    async def _shelf(self, said: Registration, stream: Stream) -> None:
         self._set(said, "ready", self.transport.now() - said.age if said.age else 0.0)
         try:
             while True:
@@ -113,7 +115,7 @@
             if now and now[0].start == said.start:
                 self._set(said, "gone", now[2])
 
-    def _order(self, said: Order, stream: Stream) -> None:
+    def _order(self, said: DrainOrder, stream: Stream) -> None:
         stream.write(b"done\n" if self.order(said.shelf, said.state) else b"no such shelf or state\n")
 
     def order(self, shelf: int, state: str) -> bool:
@@ -124,7 +126,7 @@
         self._set(entry[0], state, entry[2])
         return True
 
-    def _set(self, said: Register, state: str, since: float) -> None:
+    def _set(self, said: Registration, state: str, since: float) -> None:
         self.version += 1
         self.entries[said.number] = (said, state, since)
         self.changes.append((self.version, said.number))
@@ -137,7 +139,7 @@
             stream.write(msgspec.json.encode(Told("refused")) + b"\n")
             await stream.drained()
             return
-        follower = Follower(said.head, stream)
+        follower = ListWatcher(said.head, stream)
         self.followers[follower] = None
         try:
             # A head whose version is not from this life of the list, or too old, gets the whole of it.
@@ -147,7 +149,7 @@
         finally:
             self.followers.pop(follower, None)
 
-    def _tell_later(self, follower: Follower, shelves: list[int], kind: str) -> None:
+    def _tell_later(self, follower: ListWatcher, shelves: list[int], kind: str) -> None:
         now = self.transport.now()
         least, most = self.site.list.late_least, self.site.list.late_most
         wait = self.chance.uniform(least, most) + (self.extra if now < self.late_until else 0.0)
@@ -160,7 +162,7 @@
         self.transport.call_at(follower.last, lambda: self._tell(follower, entries, kind, version))
 
     def _tell(
-        self, follower: Follower, entries: list[tuple[Register, str, float]], kind: str, version: int
+        self, follower: ListWatcher, entries: list[tuple[Registration, str, float]], kind: str, version: int
     ) -> None:
         if follower not in self.followers:
             return
@@ -179,7 +181,7 @@
         ]
         follower.stream.write(msgspec.json.encode(Told(kind, version, listed, self.life)) + b"\n")
         for s in listed:
-            self.recorder.saw("told", head=follower.head, shelf=s.number, state=s.state, start=s.start)
+            self.recorder.record("told", head=follower.head, shelf=s.number, state=s.state, start=s.start)
 
     def _say_alive(self) -> None:
         for follower in self.followers:
--- a/gorsethread/fakes/record.py
+++ b/gorsethread/fakes/record.py
@@ -17,7 +17,7 @@
         self._transport, self._who = transport, who
         self._append: Callable[[bytes], None] | None = transport.open_appender(path) if path else None
 
-    def saw(self, event: str, **facts: Any) -> None:
+    def record(self, event: str, **facts: Any) -> None:
         if self._append:
             line = {"t": self._transport.now(), "who": self._who, "e": event, **facts}
             self._append(_encode(line) + b"\n")
--- a/gorsethread/fakes/web/backend.py
+++ b/gorsethread/fakes/web/backend.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from gorsethread.fakes.backend import HEAD_NAME, Held, Shelf
+from gorsethread.fakes.backend import GATEWAY_MARK, FakeBackend, ReceivedCommand
 from gorsethread.fakes.record import Fault
-from gorsethread.fakes.web.messages import ATTEMPTS, HEADS_FROM, body_of, id_of
+from gorsethread.fakes.web.messages import ATTEMPTS, FIRST_GATEWAY_PORT, body_of, id_of
 from gorsethread.http1.framing import InvalidRequestError
 from gorsethread.http1.server_codec import Request, ServerCodec, closing_response
 from gorsethread.nvme.command import Command, Completion, Opcode, Status, io_command, told_service
@@ -17,14 +17,14 @@
 ENDS = GOOD - 1  # the one that has no length, and is whole as its connection ends
 
 
-class WebIo:
+class HttpCommand:
     """A request at a shelf, in the shape that the machine behind it knows."""
 
     __slots__ = ("command", "host", "owned", "target", "connection", "answered")
 
-    def __init__(self, connection: "ShelfConnection", command: Command, head: int, target: bytes) -> None:
+    def __init__(self, connection: "BackendConnection", command: Command, head: int, target: bytes) -> None:
         self.connection, self.command, self.target = connection, command, target
-        self.host = f"{HEAD_NAME}{head}"
+        self.host = f"{GATEWAY_MARK}{head}"
         self.owned: Any = None
         self.answered = False
 
@@ -34,13 +34,13 @@
             self.connection.answer(self, completion)
 
 
-class ShelfConnection:
+class BackendConnection:
     """One connection of one head; one request at a time."""
 
-    def __init__(self, shelf: "WebShelf", stream: Stream, head: int) -> None:
+    def __init__(self, shelf: "HttpFakeBackend", stream: Stream, head: int) -> None:
         self.shelf, self.stream, self.head = shelf, stream, head
         self.codec = ServerCodec()
-        self.io: WebIo | None = None
+        self.io: HttpCommand | None = None
 
     async def serve(self) -> None:
         try:
@@ -51,7 +51,7 @@
             if self.io is not None and not self.io.answered:
                 self.shelf.given_up(self.io)
         except InvalidRequestError as error:
-            self.shelf.recorder.saw("bad request", shelf=self.shelf.number, reason=str(error))
+            self.shelf.recorder.record("bad request", shelf=self.shelf.number, reason=str(error))
             self.stream.write(closing_response(error.status))
             self.stream.close()
 
@@ -67,7 +67,7 @@
         elif self.codec.partial:
             self.shelf.transport.call_soon(self.proceed)
 
-    def answer(self, io: WebIo, completion: Completion) -> None:
+    def answer(self, io: HttpCommand, completion: Completion) -> None:
         self.io = None
         if completion.pushed_back:
             self.say(503, [(b"srv-declined", b"1")], b"")
@@ -90,14 +90,14 @@
     return b"HTTP/1.1 200 OK\r\n" + more + b"Content-Length: %d\r\n\r\n" % len(body) + body
 
 
-class WebShelf(Shelf):
+class HttpFakeBackend(FakeBackend):
     """Has the fault 'spoil' besides: that part of its answers can't be used, though all of them ran."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
         self.profiles = {p.name.encode(): p for p in self.site.profile}
         self.spoil_part = self.spoil_until = 0.0
-        self.noises: list[Callable[[WebIo], bytes]] = [
+        self.noises: list[Callable[[HttpCommand], bytes]] = [
             lambda io: b"\x00\xff\x17 what is this \r\n\r\n" * 3,
             lambda io: b"HTTP/1.1 200 OK\r\nX-Pad: " + b"a" * 40_000,
             lambda io: b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 77\r\n\r\nhello",
@@ -112,11 +112,11 @@
             lambda io: _whole(self.body_for(io), b"Other-Hosts: x\r\nVolume-Load: -7e9999\r\n") + b"\r\n",
         ]
 
-    def body_for(self, io: WebIo) -> bytes:
+    def body_for(self, io: HttpCommand) -> bytes:
         """Made for this request alone, and says where it lies."""
         return f"{id_of(io.command.label, io.command.attempt)} {self.me.shard}".encode()
 
-    def noise(self) -> Callable[[WebIo], bytes] | None:
+    def noise(self) -> Callable[[HttpCommand], bytes] | None:
         if self.transport.now() >= self.spoil_until or self.chance.random() >= self.spoil_part:
             return None
         return self.noises[self.chance.randrange(len(self.noises))]
@@ -132,9 +132,9 @@
 
     def _listen_to(self, host: str, head: int) -> Any:
         async def on_stream(stream: Stream) -> None:
-            await ShelfConnection(self, stream, head).serve()
+            await BackendConnection(self, stream, head).serve()
 
-        return self.transport.listen(host, HEADS_FROM + head, on_stream)
+        return self.transport.listen(host, FIRST_GATEWAY_PORT + head, on_stream)
 
     def stop(self) -> None:
         for listener in self._listeners:
@@ -143,14 +143,14 @@
     def _profile(self, io: Any) -> pb.Profile:
         return self.profiles[io.target.split(b"/")[1]]
 
-    def requested(self, connection: ShelfConnection, request: Request) -> None:
+    def requested(self, connection: BackendConnection, request: Request) -> None:
         try:
             id = int((request.header(b"req-id") or b"").decode(), 16)
             info = dict(part.split("=") for part in (request.header(b"io-info") or b"").decode().split(","))
             volume, units, shard = int(info["volume"], 16), int(info["units"]), int(info["shard"])
             volume, blocks = self.volumes[volume].number, units * self.site.links.unit_bytes // BLOCK
         except (ValueError, KeyError) as error:
-            self.recorder.saw("bad request", shelf=self.number, reason=repr(error))
+            self.recorder.record("bad request", shelf=self.number, reason=repr(error))
             connection.say(400, [], b"")
             return
         write = request.method == b"PUT"
@@ -164,17 +164,17 @@
             label=id // ATTEMPTS,
         )
         if request.body != (body_of(id, units) if write else b""):
-            self.recorder.saw("bad request", shelf=self.number, reason="not the body that the client sent")
-        io = connection.io = WebIo(connection, command, connection.head, request.target)
+            self.recorder.record("bad request", shelf=self.number, reason="not the body that the client sent")
+        io = connection.io = HttpCommand(connection, command, connection.head, request.target)
         self.announced(io)  # type: ignore[arg-type]
-        io.owned = Held(units, request.body)
+        io.owned = ReceivedCommand(units, request.body)
         if shard not in (-1, self.me.shard):
             self._saw_end(io, "turned away", False)  # type: ignore[arg-type]
             io.answer(Completion(0, Status.COMMAND_INTERRUPTED))
             return
         self.taken(io, request.body)  # type: ignore[arg-type]
 
-    def given_up(self, io: WebIo) -> None:
+    def given_up(self, io: HttpCommand) -> None:
         """Its connection has ended: what has not begun is dropped, what runs runs on."""
         self._withdraw(io)  # type: ignore[arg-type]
         io.answered = True
--- a/gorsethread/fakes/web/bad_clients.py
+++ b/gorsethread/fakes/web/bad_clients.py
@@ -5,10 +5,10 @@
 from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import RandomStream, StreamClosed, Transport, Unreachable
 
-OWED_WITHIN = 3.5  # seconds from connecting in which a bad client is owed an error or a close
+ANSWER_WITHIN_SECONDS = 3.5  # seconds from connecting in which a bad client is owed an error or a close
 
 
-class RudeClient:
+class MalformedClient:
     """Sends what can't be read, and holds that it is owed an error or a close."""
 
     def __init__(self, transport: Transport, site: pb.Site, recorder: Recorder) -> None:
@@ -51,7 +51,7 @@
         except Unreachable:
             return
         stream.write(words)
-        timer = self.transport.call_at(self.transport.now() + OWED_WITHIN, stream.close)
+        timer = self.transport.call_at(self.transport.now() + ANSWER_WITHIN_SECONDS, stream.close)
         began = self.transport.now()
         got = b""
         try:
@@ -61,6 +61,8 @@
             pass
         timer.cancel()
         stream.close()
-        late = self.transport.now() - began >= OWED_WITHIN - 0.001
+        late = self.transport.now() - began >= ANSWER_WITHIN_SECONDS - 0.001
         if late or got and got[9:10] not in (b"4", b"5"):
-            self.recorder.saw("rude", head=head.number, words=repr(words[:80]), got=repr(got[:40]), late=late)
+            self.recorder.record(
+                "rude", head=head.number, words=repr(words[:80]), got=repr(got[:40]), late=late
+            )
--- a/gorsethread/fakes/web/clients.py
+++ b/gorsethread/fakes/web/clients.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from gorsethread.fakes.client import LoadClient, Transaction, Try
+from gorsethread.fakes.client import LoadAttempt, LoadClient, LoadRequest
 from gorsethread.fakes.web.messages import body_of, id_of
 from gorsethread.http1.client_codec import ClientCodec, Response
 from gorsethread.http1.framing import InvalidResponseError
@@ -22,11 +22,11 @@
 class ClientConnection:
     """A client's connection to one head, kept as long as both keep it."""
 
-    def __init__(self, link: "WebLink", stream: Stream) -> None:
+    def __init__(self, link: "HttpConnections", stream: Stream) -> None:
         self.link, self.stream = link, stream
         self.asking = ClientCodec()
-        self.one: WebTry | None = None
-        self.last: WebTry | None = None
+        self.one: HttpAttempt | None = None
+        self.last: HttpAttempt | None = None
         self.idle_since = 0.0
         self.used = False
         link.open += 1
@@ -65,7 +65,7 @@
         one, self.one = self.one, None
         idle = self.link.transport.now() - self.idle_since
         if one is None and self.used and closed and idle < MAY_CLOSE - CROSSING:
-            self.link.client.recorder.saw("closed early", head=self.link.number, idle=round(idle, 3))
+            self.link.client.recorder.record("closed early", head=self.link.number, idle=round(idle, 3))
         if one is not None:
             one.connection_ended(self, spoilt)
         elif spoilt is not None:
@@ -74,13 +74,15 @@
     def _more(self) -> None:
         """A second answer, or noise that nobody asked for."""
         if self.last is not None:
-            self.link.client.recorder.saw("answered late", label=self.last.t.label, attempt=self.last.attempt)
+            self.link.client.recorder.record(
+                "answered late", label=self.last.t.label, attempt=self.last.attempt
+            )
 
 
-class WebLink:
+class HttpConnections:
     """The connections of one client to one head."""
 
-    def __init__(self, client: "WebClient", number: int, address: tuple[str, int]) -> None:
+    def __init__(self, client: "HttpLoadClient", number: int, address: tuple[str, int]) -> None:
         self.client, self.number, self.address = client, number, address
         self.transport = client.transport
         self.idle: list[ClientConnection] = []  # emptied by use and as they end
@@ -90,10 +92,10 @@
         """Connections are opened as they are needed."""
 
 
-class WebTry(Try):
+class HttpAttempt(LoadAttempt):
     """One request of a transaction."""
 
-    client: "WebClient"
+    client: "HttpLoadClient"
     connection: ClientConnection | None = None
     written_at = 0.0
     again = False
@@ -149,7 +151,7 @@
         method = b"PUT" if write else b"GET"
         connection.stream.write(connection.asking.request(method, target, headers, body))
         if first:
-            client.recorder.saw(
+            client.recorder.record(
                 "sent",
                 label=t.label,
                 attempt=self.attempt,
@@ -163,7 +165,7 @@
             )
             self.timer = client.transport.call_at(t.by + ANSWER_SLACK, self._time_is_up)
         else:
-            client.recorder.saw("sent anew", label=t.label, attempt=self.attempt)
+            client.recorder.record("sent anew", label=t.label, attempt=self.attempt)
 
     def answered(self, answer: Response) -> None:
         if self.over:
@@ -198,7 +200,7 @@
             )
         ):
             self.again = True
-            self.client.recorder.saw("crossed", label=self.t.label, attempt=self.attempt)
+            self.client.recorder.record("crossed", label=self.t.label, attempt=self.attempt)
             self.client.transport.spawn(self._once_more())
         elif (
             self.again
@@ -212,10 +214,10 @@
     def _shut_out(self) -> None:
         """No connection of it was taken: it found no head, and none has lost it."""
         client = self.client
-        client.recorder.saw(
+        client.recorder.record(
             "apart", client=f"client {client.tenant}", head=self.link.number, until=client.transport.now()
         )
-        client.recorder.saw("shut out", head=self.link.number)
+        client.recorder.record("shut out", head=self.link.number)
         self.ended("unreachable", None, b"")
 
     async def _once_more(self) -> None:
@@ -244,27 +246,27 @@
             self.connection.stream.close()
 
 
-class WebClient(LoadClient):
+class HttpLoadClient(LoadClient):
     """Applications on the platform. crosses: whether a request was not read yet as its connection ended, for
     all that is known; whoever watches the network knows."""
 
-    crosses: Callable[[WebTry], bool] = staticmethod(lambda one: True)
+    crosses: Callable[[HttpAttempt], bool] = staticmethod(lambda one: True)
 
     def _link(self, head: pb.Head) -> Any:
-        return WebLink(self, head.number, split_address(head.address))
+        return HttpConnections(self, head.number, split_address(head.address))
 
-    def _one_try(self, t: Transaction, attempt: int, link: Any) -> Try:
-        return WebTry(self, t, attempt, link)
+    def _one_try(self, t: LoadRequest, attempt: int, link: Any) -> LoadAttempt:
+        return HttpAttempt(self, t, attempt, link)
 
-    def units(self, t: Transaction) -> int:
+    def units(self, t: LoadRequest) -> int:
         return max(1, -(-t.blocks * BLOCK // self.site.links.unit_bytes))
 
-    def shard(self, t: Transaction) -> int:
+    def shard(self, t: LoadRequest) -> int:
         extent = t.first_block // t.volume.extent_blocks
         if t.volume.placement != pb.FIRST_WRITE:
             return t.volume.shard[extent % len(t.volume.shard)]
         return self.shards.get((t.volume.number, extent), -1)
 
-    def key(self, t: Transaction) -> str:
+    def key(self, t: LoadRequest) -> str:
         """The platform keeps turns by the piece of data."""
         return f"{t.volume.number}/{t.first_block // t.volume.extent_blocks}" if t.key else ""
--- a/gorsethread/fakes/web/discovery.py
+++ b/gorsethread/fakes/web/discovery.py
@@ -5,9 +5,9 @@
 
 import msgspec
 
-from gorsethread.fakes.discovery import CHANGES_KEPT, NodeList, Register
+from gorsethread.fakes.discovery import CHANGES_KEPT, FakeDiscovery, Registration
 from gorsethread.fakes.record import Fault
-from gorsethread.fakes.web.messages import HEADS_FROM, instance
+from gorsethread.fakes.web.messages import FIRST_GATEWAY_PORT, instance
 from gorsethread.http1.framing import InvalidRequestError
 from gorsethread.http1.server_codec import ServerCodec
 from gorsethread.site_config.reading import split_address
@@ -18,13 +18,13 @@
     """due: when each head may hear of it."""
 
     version: int
-    said: Register
+    said: Registration
     state: str
     since: float
     due: dict[int, float]
 
 
-class WebList(NodeList):
+class HttpFakeDiscovery(FakeDiscovery):
     """Shelves register as with the other list; heads watch it by HTTP, each at an address of its own."""
 
     def __init__(self, *arguments: Any) -> None:
@@ -62,7 +62,7 @@
                         status, body, told = await self._answer(request.target.decode(), head)
                         stream.write(codec.respond(status, [], body)[0])
                         for c in told:
-                            self.recorder.saw(
+                            self.recorder.record(
                                 "told", head=head, shelf=c.said.number, state=c.state, start=c.said.start
                             )
             except (StreamClosed, InvalidRequestError):
@@ -71,7 +71,7 @@
                 self._watches.pop(number, None)
                 stream.close()
 
-        return self.transport.listen(host, HEADS_FROM + head, on_stream)
+        return self.transport.listen(host, FIRST_GATEWAY_PORT + head, on_stream)
 
     def _fault(self, fault: Fault) -> None:
         super()._fault(fault)
@@ -79,7 +79,7 @@
             for stream in list(self._watches.values()):
                 stream.close()
 
-    def _set(self, said: Register, state: str, since: float) -> None:
+    def _set(self, said: Registration, state: str, since: float) -> None:
         super()._set(said, state, since)
         now, due = self.transport.now(), {}
         extra = self.extra if now < self.late_until else 0.0
--- a/gorsethread/fakes/web/messages.py
+++ b/gorsethread/fakes/web/messages.py
@@ -5,7 +5,7 @@
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.reading import split_address
 
-HEADS_FROM = 8000  # the port at which a shelf or discovery is reached by head 0; the next ones follow
+FIRST_GATEWAY_PORT = 8000  # the port at which a shelf or discovery is reached by head 0; the next ones follow
 ATTEMPTS = 4  # of a client's transaction, told apart in an id
 EFFECTS = {pb.REDOABLE: "free", pb.LABELLED: "guarded", pb.IRREVERSIBLE: "single_shot"}
 GROUPS = {pb.GROUP_UNSET: "all", pb.ALL: "all", pb.ZONE: "zone", pb.SHARD: "cell"}
@@ -85,7 +85,7 @@
     """An entry of discovery's list as one head gets it. started: Unix time, 0 for long ago."""
     return {
         "instanceId": f"s-{number}",
-        "hostPort": f"{split_address(address)[0]}:{HEADS_FROM + head}",
+        "hostPort": f"{split_address(address)[0]}:{FIRST_GATEWAY_PORT + head}",
         "zone": f"room-{zone}",
         "cell": shard,
         "lifecycle": state,
--- a/gorsethread/harness/branches.py
+++ b/gorsethread/harness/branches.py
@@ -6,14 +6,14 @@
 from typing import Any
 
 from gorsethread.harness import durable_log_trial
-from gorsethread.harness.durable_log_trial import KeptTrial
+from gorsethread.harness.durable_log_trial import DurableLogTrial
 from gorsethread.invariants.history_checker import Verdict
 from gorsethread.nvme_gateway.log_folders import own_log_folder
 from gorsethread.simulation.branch_checks import BranchClient, judge, on_disks
 from gorsethread.simulation.script import Script
 from gorsethread.site_config import site_pb2 as pb
 
-PLAYED = (*durable_log_trial.PLAYED, "link")
+SUPPORTED_ACTS = (*durable_log_trial.SUPPORTED_ACTS, "link")
 SETTLES_WITHIN = 60.0  # seconds after the last answer
 LOOK = 0.5  # seconds between looks at the disks
 
@@ -41,7 +41,7 @@
         )
 
 
-class BranchTrial(KeptTrial):
+class BranchTrial(DurableLogTrial):
     result_kind = Result
     client_kind = BranchClient
 
--- a/gorsethread/harness/durable_log_trial.py
+++ b/gorsethread/harness/durable_log_trial.py
@@ -23,7 +23,7 @@
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.real import RealTransport
 
-PLAYED = (*site.PLAYED, *FOLDERS)
+SUPPORTED_ACTS = (*site.SUPPORTED_ACTS, *FOLDERS)
 
 
 @dataclass
@@ -41,7 +41,7 @@
         return super().good and not (self.denied or self.parted or self.numbers_reused)
 
 
-class KeptTrial(SiteTrial):
+class DurableLogTrial(SiteTrial):
     result_kind: Callable[[int], Any] = Result
     client_kind: type[LoadClient] = Forgetful
 
--- a/gorsethread/harness/kill_points.py
+++ b/gorsethread/harness/kill_points.py
@@ -29,6 +29,6 @@
 """
 
 
-def planted(flags: Mapping[str, Path]) -> str:
+def kill_point_code(flags: Mapping[str, Path]) -> str:
     """flags: by the point's name in scripts."""
     return CODE.replace("{flags!r}", repr([(*POINTS[p][1:], str(flag)) for p, flag in flags.items()]))
--- a/gorsethread/harness/process_faults.py
+++ b/gorsethread/harness/process_faults.py
@@ -21,7 +21,7 @@
 REACHED_WITHIN = 15.0  # seconds from a stab until the point must have been come to
 
 
-def unplayable(script: Script, kinds: tuple[str, ...], parties: tuple[str, ...]) -> list[str]:
+def unsupported_acts(script: Script, kinds: tuple[str, ...], parties: tuple[str, ...]) -> list[str]:
     """Acts that a scene with these kinds and parties is not put through."""
     return [
         f"{act}: not for real processes"
@@ -33,7 +33,7 @@
     ]
 
 
-class Cast:
+class FaultPlayer:
     """starts: how each party's process comes up. own: acts of a scene on what runs in this very process, by
     the party's kind; they return when it is over. saw: what judges are told of."""
 
--- a/gorsethread/harness/processes.py
+++ b/gorsethread/harness/processes.py
@@ -15,7 +15,7 @@
 from gorsethread.transport.real import free_ports
 
 
-def resized(site: pb.Site, heads: int, shelves: int) -> pb.Site:
+def resize_site(site: pb.Site, heads: int, shelves: int) -> pb.Site:
     """The same site on free loopback ports, with another number of heads and shelves."""
     ports = free_ports(needed(site, heads, shelves))
     return sized(site, heads, shelves, [f"127.0.0.1:{port}" for port in ports])
--- a/gorsethread/harness/service.py
+++ b/gorsethread/harness/service.py
@@ -13,27 +13,27 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from gorsethread.fakes.backend import Shelf
+from gorsethread.fakes.backend import FakeBackend
 from gorsethread.fakes.client import LoadClient, Surge
-from gorsethread.fakes.discovery import NodeList
+from gorsethread.fakes.discovery import FakeDiscovery
 from gorsethread.fakes.record import Fault, Recorder
-from gorsethread.fakes.web.backend import WebShelf
-from gorsethread.fakes.web.clients import WebClient
-from gorsethread.fakes.web.discovery import WebList
-from gorsethread.fakes.web.messages import HEADS_FROM, instance, settings_of
-from gorsethread.harness.kill_points import planted
-from gorsethread.harness.process_faults import Cast
+from gorsethread.fakes.web.backend import HttpFakeBackend
+from gorsethread.fakes.web.clients import HttpLoadClient
+from gorsethread.fakes.web.discovery import HttpFakeDiscovery
+from gorsethread.fakes.web.messages import FIRST_GATEWAY_PORT, instance, settings_of
+from gorsethread.harness.kill_points import kill_point_code
+from gorsethread.harness.process_faults import FaultPlayer
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.relay import DatagramRelay, StreamRelay
-from gorsethread.invariants.history_checker import Verdict, Witness
+from gorsethread.invariants.history_checker import HistoryChecker, Verdict
 from gorsethread.simulation.script import Act, Script
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.sizing import sized
 from gorsethread.transport.base import Transport, Unreachable
 from gorsethread.transport.real import RealTransport, free_ports
 
-PLAYED = ("kill", "pause", "term", "cut", "lose", "drain", "refuse", "late", "reset", "mute", "stab")
-PARTIES = ("head", "room", "shelf", "list", "point")
+SUPPORTED_ACTS = ("kill", "pause", "term", "cut", "lose", "drain", "refuse", "late", "reset", "mute", "stab")
+SUPPORTED_PARTIES = ("head", "room", "shelf", "list", "point")
 HELD = 0.3  # seconds after a pause in which a head works on what came meanwhile
 START_WITHIN = 30.0  # seconds until all heads listen
 TOLD_AFTER = 6.0  # seconds from a silence until what it hides counts as told
@@ -60,23 +60,23 @@
         return not (any(broken) or self.lost or self.duplicated or self.reasons)
 
 
-class Kept(Recorder):
+class MemoryRecorder(Recorder):
     """In memory, those of all parties in one list."""
 
     def __init__(self, transport: Transport, who: str, records: list[dict[str, Any]]) -> None:
         super().__init__(transport, who, "")
         self._records, self._clock, self._name = records, transport, who
 
-    def saw(self, event: str, **facts: Any) -> None:
+    def record(self, event: str, **facts: Any) -> None:
         self._records.append({"t": self._clock.now(), "who": self._name, "e": event, **facts})
 
 
-class Life:
+class BackendRun:
     """One life of a shelf: its own transport, so that all of it ends together."""
 
     def __init__(self, trial: "ServiceTrial", number: int, warm: bool) -> None:
         self.transport = RealTransport(trial.script.seed * 100 + number)
-        recorder = Kept(self.transport, f"shelf {number}", trial.records)
+        recorder = MemoryRecorder(self.transport, f"shelf {number}", trial.records)
         self.shelf = trial.made_shelf(
             self.transport,
             trial.site,
@@ -100,9 +100,9 @@
     that each head runs before it starts, for a defect. result_kind: what a trial of its own finds besides."""
 
     result_kind: Callable[[int], Any] = Result
-    list_kind: type[NodeList] = WebList
-    shelf_kind: type[Shelf] = WebShelf
-    client_kind: type[LoadClient] = WebClient
+    list_kind: type[FakeDiscovery] = HttpFakeDiscovery
+    shelf_kind: type[FakeBackend] = HttpFakeBackend
+    client_kind: type[LoadClient] = HttpLoadClient
 
     def __init__(
         self,
@@ -129,9 +129,11 @@
         self.site = sized(site, heads, shelves, addresses)
         self.list_led = f"{self.net}.251:{ports[-1]}"  # where heads of a site file find the list
         self.records: list[dict[str, Any]] = []
-        self.day = Kept(transport, "day", self.records)
-        self.nodes = self.list_kind(transport, self.site, Kept(transport, "list", self.records), [], log)
-        self.cast = Cast(transport, processes, heads, self._start_head, lambda line: self.say(line))
+        self.day = MemoryRecorder(transport, "day", self.records)
+        self.nodes = self.list_kind(
+            transport, self.site, MemoryRecorder(transport, "list", self.records), [], log
+        )
+        self.cast = FaultPlayer(transport, processes, heads, self._start_head, lambda line: self.say(line))
         self.cast.own = {"shelf": self._shelf_act, "list": self._list_act}
         self.cast.saw = self._struck
         names = [f"head {n}" for n in range(heads)]
@@ -144,7 +146,7 @@
             dict(zip(names, self.private, strict=True)),
         )
         self.streams = self.cast.streams = StreamRelay(transport, self.cast.faults)
-        self.lives: dict[int, Life] = {}
+        self.lives: dict[int, BackendRun] = {}
         self.result = self.result_kind(heads)
 
     def made_shelf(self, *given: Any) -> Any:
@@ -167,7 +169,7 @@
         order = {
             "name": f"n{number}",
             "listen": self.site.head[number].address,
-            "discovery": f"{self.net}.251:{HEADS_FROM + number}",
+            "discovery": f"{self.net}.251:{FIRST_GATEWAY_PORT + number}",
             "seed": f"{self.script.seed * 1000 + number:016x}",
             "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 512},
             "settings": settings,
@@ -185,7 +187,7 @@
             for a in self.script.acts
             if a.kind == "stab" and a.whom == name
         }
-        points = planted(flags) if flags else ""
+        points = kill_point_code(flags) if flags else ""
         await self.processes.start(
             name,
             begins=("-c", f"{points}\n{self.plant}\n{HEAD}"),
@@ -211,7 +213,7 @@
         if event in ("cut", "reset", "mute"):
             client, head = (act.whom, act.to) if act.whom.startswith("client") else (act.to, act.whom)
             if client.startswith("client") and head.startswith("head"):
-                self.day.saw(
+                self.day.record(
                     "apart",
                     client=client,
                     head=int(head.split(" ")[1]),
@@ -222,22 +224,22 @@
         if event == "stopped":
             for t in self.site.tenant:
                 # What it did not take while it stood still, or had no time left for, is no loss of its.
-                self.day.saw(
+                self.day.record(
                     "apart",
                     client=f"client {t.name}",
                     head=number,
                     until=self.transport.now() + act.seconds + HELD,
                 )
         elif event == "killed":
-            self.day.saw("head killed", head=number)
+            self.day.record("head killed", head=number)
 
     async def _shelf_act(self, act: Act) -> None:
         number = int(act.whom.split(" ")[1])
         if act.kind == "kill":
             await self.lives[number].end()
-            self.day.saw("shelf killed", shelf=number)
+            self.day.record("shelf killed", shelf=number)
             await self.transport.sleep(act.seconds)
-            self.lives[number] = Life(self, number, False)
+            self.lives[number] = BackendRun(self, number, False)
         elif act.kind == "drain":
             self.nodes.order(number, "draining")
             await self.transport.sleep(act.seconds)
@@ -253,7 +255,10 @@
         list_host = self.site.list.address.rpartition(":")[0]
         for n in range(self.script.heads):
             self.streams.way(
-                f"head {n}", "list", (f"{self.net}.251", HEADS_FROM + n), (list_host, HEADS_FROM + n)
+                f"head {n}",
+                "list",
+                (f"{self.net}.251", FIRST_GATEWAY_PORT + n),
+                (list_host, FIRST_GATEWAY_PORT + n),
             )
 
     def _begun(self) -> None:
@@ -268,7 +273,7 @@
         self._ways()
         try:
             for shelf in site.shelf:
-                self.lives[shelf.number] = Life(self, shelf.number, True)
+                self.lives[shelf.number] = BackendRun(self, shelf.number, True)
             await asyncio.gather(*(self._start_head(f"head {h.number}") for h in site.head))
             await self._all_listen()
             self.zero = zero = transport.now() + 1.0
@@ -282,7 +287,7 @@
                     transport,
                     self._site_for(t.name),
                     t.name,
-                    Kept(transport, f"client {t.name}", self.records),
+                    MemoryRecorder(transport, f"client {t.name}", self.records),
                     script.factor,
                     zero,
                     zero + script.seconds,
@@ -313,12 +318,12 @@
 
     def _judged(self) -> Any:
         self._tell_late()
-        verdict, r = Witness(self.site, self.records).judge(), self.result
+        verdict, r = HistoryChecker(self.site, self.records).judge(), self.result
         self.verdict = verdict
         r.rules, r.lost, r.duplicated = verdict.rules, verdict.lost, verdict.duplicated
         r.honoured, r.taken = verdict.counts["honoured"], verdict.counts["taken"]
         r.messages = self.relay.datagrams
-        r.reasons += [str(b) for b in verdict.breaks[:3]]
+        r.reasons += [str(b) for b in verdict.violations[:3]]
         self.judge(verdict)
         return r
 
--- a/gorsethread/harness/site.py
+++ b/gorsethread/harness/site.py
@@ -10,10 +10,10 @@
 from google.protobuf import text_format
 
 from gorsethread.durable_log import replication_messages
-from gorsethread.fakes.backend import Shelf
+from gorsethread.fakes.backend import FakeBackend
 from gorsethread.fakes.client import LoadClient
-from gorsethread.fakes.discovery import NodeList
-from gorsethread.harness.kill_points import planted
+from gorsethread.fakes.discovery import FakeDiscovery
+from gorsethread.harness.kill_points import kill_point_code
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.service import ServiceTrial
 from gorsethread.nvme_gateway.discovery import Ask
@@ -24,7 +24,7 @@
 from gorsethread.transport.base import Stream
 from gorsethread.transport.real import RealTransport, free_ports
 
-PLAYED = (
+SUPPORTED_ACTS = (
     "kill",
     "pause",
     "term",
@@ -41,7 +41,7 @@
     "surge",
     "stab",
 )
-PARTIES = ("head", "room", "shelf", "list", "client", "volume", "point")
+SUPPORTED_PARTIES = ("head", "room", "shelf", "list", "client", "volume", "point")
 WAYS = ("cut", "reset", "mute")
 MAIN = "import runpy; runpy.run_module('gorsethread', run_name='__main__', alter_sys=True)"
 
@@ -63,8 +63,8 @@
 class SiteTrial(ServiceTrial):
     """Parties are heads, rooms of them, shelves, the list, clients by their tenant, volumes."""
 
-    list_kind = NodeList
-    shelf_kind = Shelf
+    list_kind = FakeDiscovery
+    shelf_kind = FakeBackend
     client_kind = LoadClient
 
     def __init__(
@@ -145,7 +145,7 @@
             for a in self.script.acts
             if a.kind == "stab" and a.whom == name
         }
-        before = f"{planted(flags) if flags else ''}\n{self.plant}"
+        before = f"{kill_point_code(flags) if flags else ''}\n{self.plant}"
         await self.processes.start(
             name,
             "head",
--- a/gorsethread/invariants/history_checker.py
+++ b/gorsethread/invariants/history_checker.py
@@ -13,7 +13,7 @@
 from gorsethread.site_config import site_pb2 as pb
 
 SLACK = 0.25  # seconds
-MOMENT = 0.002  # seconds in which two connections' bytes may be read in either order
+SAME_INSTANT_SECONDS = 0.002  # seconds in which two connections' bytes may be read in either order
 Record = dict[str, Any]
 Identity = tuple[int, int]  # a client's label and which try of it: one transaction at a head
 FINAL = ("honoured", "pushed back", "given up")
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Break:
+class Violation:
     """One break of a rule, with the history of the transaction where there is one."""
 
     rule: int
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class Verdict:
-    breaks: list[Break] = field(default_factory=list)
+    violations: list[Violation] = field(default_factory=list)
     counts: dict[str, int] = field(default_factory=dict)
     lost: int = 0
     duplicated: int = 0
@@ -49,10 +49,10 @@
 
     @property
     def rules(self) -> list[int]:
-        return [sum(b.rule == n for b in self.breaks) for n in range(1, 8)]
+        return [sum(b.rule == n for b in self.violations) for n in range(1, 8)]
 
 
-class Witness:
+class HistoryChecker:
     """slack: seconds; less than SLACK only where the network itself was watched."""
 
     def __init__(self, site: pb.Site, records: Iterable[Record], slack: float = SLACK) -> None:
@@ -125,7 +125,7 @@
         history: tuple[str, ...] = ()
         if label is not None:
             history = tuple(self.history(label))
-        self.verdict.breaks.append(Break(rule, reason, history))
+        self.verdict.violations.append(Violation(rule, reason, history))
 
     def history(self, label: int) -> list[str]:
         """A transaction's steps across client, head and shelves, as each saw them."""
@@ -271,7 +271,7 @@
         # On one connection the order of sending is that of coming; else what came in one moment has none.
         order = {identity: n for n, identity in enumerate(self.sent)}
         if self.came:
-            order = {identity: int(at / MOMENT) for identity, at in self.came.items()}
+            order = {identity: int(at / SAME_INSTANT_SECONDS) for identity, at in self.came.items()}
         for identity, arrivals in self.arrivals.items():
             sent = self.sent.get(identity)
             if sent and sent["key"]:
--- a/gorsethread/invariants/online_checker.py
+++ b/gorsethread/invariants/online_checker.py
@@ -11,12 +11,12 @@
 
 from gorsethread.invariants.history_checker import (
     FINAL,
-    MOMENT,
     NEVER_RAN,
+    SAME_INSTANT_SECONDS,
     SLACK,
-    Break,
     Identity,
     Record,
+    Violation,
     left_at,
 )
 from gorsethread.site_config import site_pb2 as pb
@@ -43,16 +43,16 @@
 
     def before(self, other: "_Seen") -> bool:
         if self.came and other.came:
-            return self.came < other.came - MOMENT
+            return self.came < other.came - SAME_INSTANT_SECONDS
         return self.order < other.order
 
 
-class OnlineWitness:
+class OnlineChecker:
     """take() each record; breaks has what was broken, with the moment."""
 
     def __init__(self, site: pb.Site, slack: float = SLACK) -> None:
         self.site, self.slack = site, slack
-        self.breaks: list[tuple[float, Break]] = []
+        self.violations: list[tuple[float, Violation]] = []
         self.seen: dict[Identity, _Seen] = {}
         self.ran: dict[int, int] = defaultdict(int)  # by label
         self.told: dict[tuple[int, int], float] = {}
@@ -128,7 +128,7 @@
         """Once for each transaction and rule."""
         if (rule, about) not in self._said:
             self._said.add((rule, about))
-            self.breaks.append((at, Break(rule, reason)))
+            self.violations.append((at, Violation(rule, reason)))
 
     def _out_of_reach(self, sent: Record, until: float) -> bool:
         spans = self._down[sent["head"]] + self._away[sent["who"], sent["head"]]
--- a/gorsethread/simulation/branch_checks.py
+++ b/gorsethread/simulation/branch_checks.py
@@ -48,7 +48,7 @@
         blocks = [(t.volume.number, t.first_block + n) for n in range(t.blocks)]
         accepted = how == "honoured" and t.operation == Opcode.WRITE and completion.dw0 == 0
         if accepted:
-            self.recorder.saw("accepted", label=t.label, attempt=one.attempt, head=one.link.number)
+            self.recorder.record("accepted", label=t.label, attempt=one.attempt, head=one.link.number)
             self.promised.update(dict.fromkeys(blocks, (t.label, now)))
         elif (
             how == "honoured" and t.operation == Opcode.READ and one.link.number in self.near[t.volume.number]
@@ -56,7 +56,7 @@
             for n, block in enumerate(blocks):
                 label, at = self.promised.get(block, (0, now))
                 if at < one.begun and not any(data[n * BLOCK : n * BLOCK + 16]):
-                    self.recorder.saw("unseen", label=label)
+                    self.recorder.record("unseen", label=label)
         super().answered(one, how, completion, data)
         if accepted:
             # Known to be there only where it is not parked: the judge looks at it by itself.
--- a/gorsethread/simulation/http_simulation.py
+++ b/gorsethread/simulation/http_simulation.py
@@ -4,11 +4,11 @@
 import json
 from typing import Any
 
-from gorsethread.fakes.web.backend import WebShelf
-from gorsethread.fakes.web.bad_clients import OWED_WITHIN, RudeClient
-from gorsethread.fakes.web.clients import WebClient, WebLink, WebTry
-from gorsethread.fakes.web.discovery import WebList
-from gorsethread.fakes.web.messages import HEADS_FROM, instance, settings_of
+from gorsethread.fakes.web.backend import HttpFakeBackend
+from gorsethread.fakes.web.bad_clients import ANSWER_WITHIN_SECONDS, MalformedClient
+from gorsethread.fakes.web.clients import HttpAttempt, HttpConnections, HttpLoadClient
+from gorsethread.fakes.web.discovery import HttpFakeDiscovery
+from gorsethread.fakes.web.messages import FIRST_GATEWAY_PORT, instance, settings_of
 from gorsethread.http_gateway.configuration import read_configuration
 from gorsethread.http_gateway.endpoint_list import backend_number
 from gorsethread.http_gateway.gateway import (
@@ -17,7 +17,7 @@
     MAX_COUNTED_WAIT_SECONDS,
     Gateway,
 )
-from gorsethread.invariants.history_checker import MOMENT
+from gorsethread.invariants.history_checker import SAME_INSTANT_SECONDS
 from gorsethread.simulation.script import Act
 from gorsethread.simulation.site_simulation import Remembering, Silent, World
 from gorsethread.simulation.states import WEB_STATES
@@ -37,7 +37,7 @@
 
     states_known = WEB_STATES
     by_stand_ins = (*World.by_stand_ins, "spoil")
-    lists, shelf_kind, client_kind = WebList, WebShelf, WebClient
+    lists, shelf_kind, client_kind = HttpFakeDiscovery, HttpFakeBackend, HttpLoadClient
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -46,11 +46,15 @@
         self._coming: dict[int, tuple[int, int]] = {}  # requests on their way to heads, by the network's ways
 
     def saw(self, who: str, event: str, facts: dict[str, Any]) -> None:
-        if event == "rude" and facts["late"] and self._stood_still(f"head {facts['head']}", OWED_WITHIN):
+        if (
+            event == "rude"
+            and facts["late"]
+            and self._stood_still(f"head {facts['head']}", ANSWER_WITHIN_SECONDS)
+        ):
             return
         if event == "shut out":
             links = [c.links.get(facts["head"]) for c in self.clients.values()]
-            facts["held"] = sum(link.open for link in links if isinstance(link, WebLink))
+            facts["held"] = sum(link.open for link in links if isinstance(link, HttpConnections))
         if event == "closed early" and self._ends_soon(facts["head"]):
             return
         if event in FAULTS:
@@ -85,10 +89,10 @@
         client: Any = self.clients[tenant]
         client.crosses = self._crosses
 
-    def _crosses(self, one: WebTry) -> bool:
+    def _crosses(self, one: HttpAttempt) -> bool:
         """It had not come, or had only just and was not read yet."""
         came = self.online.seen[one.t.label, one.attempt].came
-        return not came or self.loop.time() - came < MOMENT
+        return not came or self.loop.time() - came < SAME_INSTANT_SECONDS
 
     # ---- heads
 
@@ -111,7 +115,7 @@
         order = {
             "name": f"n{number}",
             "listen": me.address,
-            "discovery": f"{host}:{HEADS_FROM + number}",
+            "discovery": f"{host}:{FIRST_GATEWAY_PORT + number}",
             "seed": f"{self.script.seed * 1000 + number:016x}",
             "limits": LIMITS,
             "settings": {**settings_of(self.site), "index": self._index(number)},
@@ -152,7 +156,7 @@
         elif act.kind == "rude":
             rude = self._process("rude")
             struck = next(h for h in self.site.head if h.number == number)
-            client = RudeClient(rude, self.site, Remembering(self, rude, "rude"))
+            client = MalformedClient(rude, self.site, Remembering(self, rude, "rude"))
             rude.spawn(client.at(struck, rude.now() + act.seconds))
 
     async def _ending(self, act: Act, head: Any) -> None:
@@ -190,14 +194,14 @@
             and a.at < now
             and a.end > now - within
             for a in self.script.acts
-            if a.kind == "pause" or within == OWED_WITHIN
+            if a.kind == "pause" or within == ANSWER_WITHIN_SECONDS
         )
 
     def _ends_soon(self, head: int) -> bool:
         """Whether it was told to end, and may close what is idle, or its machine closed all as it died."""
         now, name = self.loop.time() - self.zero, f"head {head}"
         told = any(a.kind == "term" and a.whom == name and a.at <= now for a in self.script.acts)
-        return told or not self.processes[name].alive or self._stood_still(name, OWED_WITHIN)
+        return told or not self.processes[name].alive or self._stood_still(name, ANSWER_WITHIN_SECONDS)
 
     # ---- what must hold
 
--- a/gorsethread/simulation/runs.py
+++ b/gorsethread/simulation/runs.py
@@ -72,7 +72,7 @@
             seed, [f"raised {type(error).__name__}"], "", 0, 0.0, cpu_seconds() - began, repr(error)
         )
     gc.collect()  # a world is one large cycle, and many of them were held at once
-    first = str(outcome.verdict.breaks[0]) if outcome.verdict.breaks else ""
+    first = str(outcome.verdict.violations[0]) if outcome.verdict.violations else ""
     if not first and outcome.as_it_came:
         first = str(outcome.as_it_came[0][1])
     return Played(
@@ -227,7 +227,7 @@
 
 def timeline(outcome: Outcome, site_zero: float, breaks_most: int = 3) -> list[str]:
     """Faults and, for the first breaks, every step of their transactions, in the order of time."""
-    chosen = outcome.verdict.breaks[:breaks_most]
+    chosen = outcome.verdict.violations[:breaks_most]
     begin = outcome.records[0]["t"] if outcome.records else 0.0
     lines: set[tuple[float, str]] = set()
     for r in outcome.records:
--- a/gorsethread/simulation/site_simulation.py
+++ b/gorsethread/simulation/site_simulation.py
@@ -11,12 +11,12 @@
 
 import msgspec
 
-from gorsethread.fakes.backend import Shelf
+from gorsethread.fakes.backend import FakeBackend
 from gorsethread.fakes.client import LoadClient, Surge
-from gorsethread.fakes.discovery import NodeList, Order
+from gorsethread.fakes.discovery import DrainOrder, FakeDiscovery
 from gorsethread.fakes.record import Fault, Recorder
-from gorsethread.invariants.history_checker import Break, Verdict, Witness
-from gorsethread.invariants.online_checker import OnlineWitness
+from gorsethread.invariants.history_checker import HistoryChecker, Verdict, Violation
+from gorsethread.invariants.online_checker import OnlineChecker
 from gorsethread.latency_attribution.snapshots import decode
 from gorsethread.nvme_gateway.gateway import Head
 from gorsethread.scheduling.model import SlowStartRule
@@ -131,7 +131,7 @@
         super().__init__(transport, who, "")
         self._world, self._process, self._name = world, transport, who
 
-    def saw(self, event: str, **facts: Any) -> None:
+    def record(self, event: str, **facts: Any) -> None:
         if not self._process.alive:
             return
         if event == "told":
@@ -153,18 +153,20 @@
     seconds: float  # virtual
     records: list[dict[str, Any]] = field(default_factory=list)
     states: dict[str, int] = field(default_factory=dict)
-    as_it_came: list[tuple[float, Break]] = field(default_factory=list)  # breaks at the moment of each
+    as_it_came: list[tuple[float, Violation]] = field(default_factory=list)  # breaks at the moment of each
 
     @property
     def good(self) -> bool:
         v = self.verdict
-        return not (v.breaks or self.as_it_came or v.lost or v.duplicated or v.wrong_reads or self.defects)
+        return not (
+            v.violations or self.as_it_came or v.lost or v.duplicated or v.wrong_reads or self.defects
+        )
 
     @property
     def reasons(self) -> list[str]:
         """What is wrong, a short line each, the same for the same fault: what shrinking holds on to."""
         v = self.verdict
-        rules = {b.rule for b in v.breaks} | {b.rule for _, b in self.as_it_came}
+        rules = {b.rule for b in v.violations} | {b.rule for _, b in self.as_it_came}
         found = [f"rule {n}" for n in sorted(rules)]
         found += ["wrong reads"] if v.wrong_reads else []
         return found + sorted({d.split(":")[0] for d in self.defects})
@@ -174,8 +176,8 @@
     """change: what is done to each head before it starts, to plant a defect. Play it once."""
 
     states_known = STATES
-    lists: type[NodeList] = NodeList
-    shelf_kind: type[Shelf] = Shelf
+    lists: type[FakeDiscovery] = FakeDiscovery
+    shelf_kind: type[FakeBackend] = FakeBackend
     client_kind: type[LoadClient] = LoadClient
     by_stand_ins: tuple[str, ...] = ("late", "refuse", "still", "slow", "errors", "surge")  # which acts
 
@@ -195,7 +197,7 @@
         self.network.on_lost = lambda one, other: self._apart(one, other, 0.0)
         self.disk = Disk()
         self.records: list[dict[str, Any]] = []
-        self.online = OnlineWitness(self.site, EXACT)
+        self.online = OnlineChecker(self.site, EXACT)
         self.defects: list[str] = []
         cold = self.site.rules.cold
         if script.seed % 2:
@@ -210,8 +212,8 @@
         self.zero = self.loop.time() + START_UP
         self.day = self._process("day")
         self.processes: dict[str, VirtualTransport] = {}
-        self.list: NodeList
-        self.shelves: dict[int, Shelf] = {}
+        self.list: FakeDiscovery
+        self.shelves: dict[int, FakeBackend] = {}
         self.heads: dict[int, Any] = {}  # of the front's own kind
         self.clients: dict[str, LoadClient] = {}
         self._news: dict[int, list[tuple[float, dict[str, Any]]]] = {}  # on its way, by the network's ways
@@ -488,7 +490,7 @@
         for _ in range(20):
             try:
                 stream = await self.day.connect(*split_address(self.site.list.address), 2.0)
-                stream.write(msgspec.json.encode(Order(shelf, state)) + b"\n")
+                stream.write(msgspec.json.encode(DrainOrder(shelf, state)) + b"\n")
                 await stream.read()
                 stream.close()
                 return
@@ -511,7 +513,7 @@
             if process.failed is not None:
                 self.defects.append(f"{name.split(' ')[0]} raised: {process.failed!r}")
         self.online.end(self.loop.time())
-        verdict = Witness(self.site, self.records, EXACT).judge()
+        verdict = HistoryChecker(self.site, self.records, EXACT).judge()
         if not verdict.counts["honoured"]:
             self.defects.append("nothing was honoured: this world shows nothing")
         return Outcome(
@@ -522,7 +524,7 @@
             self.loop.time() - self.zero + START_UP,
             self.records,
             self.states,
-            self.online.breaks,
+            self.online.violations,
         )
 
     async def _play(self) -> None:
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -5,12 +5,12 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from gorsethread.fakes.backend import Shelf
-from gorsethread.fakes.client import stamped
-from gorsethread.fakes.discovery import NodeList
+from gorsethread.fakes.backend import FakeBackend
+from gorsethread.fakes.client import stamped_blocks
+from gorsethread.fakes.discovery import FakeDiscovery
 from gorsethread.fakes.record import Recorder
-from gorsethread.harness.processes import resized
-from gorsethread.invariants.history_checker import Witness
+from gorsethread.harness.processes import resize_site
+from gorsethread.invariants.history_checker import HistoryChecker
 from gorsethread.logs import log_for, start_logs
 from gorsethread.nvme.command import Completion, Opcode, io_command
 from gorsethread.nvme.subsystem import BLOCK
@@ -54,11 +54,11 @@
         super().__init__(transport, who, "")
         self._seen = seen
 
-    def saw(self, event: str, **facts: Any) -> None:
+    def record(self, event: str, **facts: Any) -> None:
         self._seen.append({"t": self._transport.now(), "who": self._who, "e": event, **facts})
 
 
-class ScriptedShelf(Shelf):
+class ScriptedShelf(FakeBackend):
     """takes(io) may take a command over: True, and the model does nothing with it."""
 
     takes: Callable[[IoCommand], bool] | None = None
@@ -70,7 +70,7 @@
 
     def die(self) -> None:
         """As a killed process: its connections end, nothing more comes of what it held."""
-        self.recorder.saw("shelf killed", shelf=self.number)
+        self.recorder.record("shelf killed", shelf=self.number)
         self._listener.close()
         for connection in list(self.server.connections):
             connection.stream.close()
@@ -112,12 +112,12 @@
         self.seen: list[dict[str, Any]] = []
         self.label = 0
         self.site = self.sized(parse_site(self.site_text))
-        self.list: NodeList | None = None
+        self.list: FakeDiscovery | None = None
         self.shelves: dict[int, ScriptedShelf] = {}
         self.heads: dict[int, Head] = {}
 
     def sized(self, site: pb.Site) -> pb.Site:
-        return resized(site, len(site.head), len(site.shelf))
+        return resize_site(site, len(site.head), len(site.shelf))
 
     async def asyncTearDown(self) -> None:
         for head in self.heads.values():
@@ -140,7 +140,7 @@
         return MemoryRecorder(self.transport, who, self.seen)
 
     def start_list(self) -> None:
-        self.list = NodeList(self.transport, self.site, self.recorder("list"), [], log_for())
+        self.list = FakeDiscovery(self.transport, self.site, self.recorder("list"), [], log_for())
         self.list.start()
 
     def start_shelf(self, number: int, warm: bool = True) -> ScriptedShelf:
@@ -227,7 +227,7 @@
         by = self.transport.now() + 1.0
         client = self.recorder("client")
         key = f"{volume}/{block // 64}" if profile == 1 else ""
-        client.saw(
+        client.record(
             "sent",
             label=label,
             attempt=attempt,
@@ -240,14 +240,14 @@
             due=self.transport.now(),
         )
         command = io_command(operation, volume, block, blocks, hints=hints, attempt=attempt, label=label)
-        data = stamped(label, volume, block, blocks) if operation == Opcode.WRITE else b""
+        data = stamped_blocks(label, volume, block, blocks) if operation == Opcode.WRITE else b""
         try:
             done, got = await to.io.call(command, data, 0 if data else blocks * BLOCK)
         except Exception:
-            client.saw("answer", label=label, attempt=attempt, how="left", status=-1, wrong=0)
+            client.record("answer", label=label, attempt=attempt, how="left", status=-1, wrong=0)
             raise
         how = "honoured" if done.honoured else "pushed back" if done.pushed_back else "given up"
-        client.saw("answer", label=label, attempt=attempt, how=how, status=done.status, wrong=0)
+        client.record("answer", label=label, attempt=attempt, how=how, status=done.status, wrong=0)
         return how, done, got
 
     def arrivals(self, label: int | None = None) -> list[int]:
@@ -256,8 +256,8 @@
 
     def judged(self) -> None:
         """Every rule held, by what was seen."""
-        verdict = Witness(self.site, self.seen).judge()
-        self.assertEqual([], [str(b) for b in verdict.breaks])
+        verdict = HistoryChecker(self.site, self.seen).judge()
+        self.assertEqual([], [str(b) for b in verdict.violations])
         self.assertEqual((0, 0), (verdict.lost, verdict.duplicated))
 
 
--- a/tests/test_durable_log.py
+++ b/tests/test_durable_log.py
@@ -16,10 +16,10 @@
 from gorsethread.durable_log import replication_messages
 from gorsethread.durable_log.log_store import LogStore
 from gorsethread.durable_log.records import ExtentPlaced, Record
-from gorsethread.harness.durable_log_trial import PLAYED, KeptTrial, Result
-from gorsethread.harness.process_faults import unplayable
+from gorsethread.harness.durable_log_trial import SUPPORTED_ACTS, DurableLogTrial, Result
+from gorsethread.harness.process_faults import unsupported_acts
 from gorsethread.harness.processes import Processes
-from gorsethread.harness.site import PARTIES
+from gorsethread.harness.site import SUPPORTED_PARTIES
 from gorsethread.logs import log_for, start_logs
 from gorsethread.nvme_gateway.peers import fleet_of
 from gorsethread.recovery.stages import Stage
@@ -336,7 +336,7 @@
 
         async def work() -> Result:
             with tempfile.TemporaryDirectory() as folder:
-                trial = KeptTrial(
+                trial = DurableLogTrial(
                     RealTransport(3), Processes(Path(folder), SITE), SITE, log_for(), read_script(text), plant
                 )
                 result = await trial.play()
@@ -346,7 +346,7 @@
         return asyncio.run(work())
 
     def test_no_way_to_lose_a_disk_makes_gateways_forget_an_owner(self) -> None:
-        self.assertEqual([], unplayable(read_script(LOSSES), PLAYED, PARTIES))
+        self.assertEqual([], unsupported_acts(read_script(LOSSES), SUPPORTED_ACTS, SUPPORTED_PARTIES))
         result = self.play(LOSSES)
         self.assertTrue(result.good, result)
         self.assertGreater(result.placed, 15)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,8 +14,8 @@
 from gorsethread.cli.fleet import record_as_json
 from gorsethread.experiments.membership_processes import FLEET, PARTIES, PLAYED, RealFleet
 from gorsethread.experiments.operator_queries import NoAnswer, Shown, ask, ask_past
-from gorsethread.harness.process_faults import unplayable
-from gorsethread.harness.processes import Processes, resized
+from gorsethread.harness.process_faults import unsupported_acts
+from gorsethread.harness.processes import Processes, resize_site
 from gorsethread.logs import log_for, start_logs
 from gorsethread.membership.gossip_messages import (
     GossipMessage,
@@ -57,7 +57,7 @@
         self.assertLess(result.bytes_a_head_a_second, 1500)
 
     async def test_gateways_see_a_kill_a_restart_and_a_graceful_shutdown_of_others(self) -> None:
-        site = resized(read_site(Path(__file__).parent.parent / "deploy" / "site.txtpb"), 4, 2)
+        site = resize_site(read_site(Path(__file__).parent.parent / "deploy" / "site.txtpb"), 4, 2)
         transport = RealTransport(3)
 
         async def until(gateway: int, condition: Callable[[Shown], bool]) -> Shown:
@@ -132,7 +132,7 @@
 
     def test_unusable_scripts_and_addresses_are_rejected(self) -> None:
         unsupported = read_script("1 slow shelf-0 by 2 for 1\n2 starve head-0 by 1 for 1\n")
-        self.assertEqual(2, len(unplayable(unsupported, PLAYED, PARTIES)))
+        self.assertEqual(2, len(unsupported_acts(unsupported, PLAYED, PARTIES)))
         for arguments, message in (
             (("fleet", "show", "--head", "nowhere"), "no host:port"),
             (("fleet", "show", "--head", "127.0.0.1:9"), "no answer"),
--- a/tests/test_harness.py
+++ b/tests/test_harness.py
@@ -11,10 +11,10 @@
 import pytest
 
 from gorsethread.harness import site
-from gorsethread.harness.process_faults import Cast, unplayable
+from gorsethread.harness.process_faults import FaultPlayer, unsupported_acts
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.relay import Faults, StreamRelay
-from gorsethread.harness.service import PARTIES, PLAYED, ServiceTrial
+from gorsethread.harness.service import SUPPORTED_ACTS, SUPPORTED_PARTIES, ServiceTrial
 from gorsethread.harness.site import SiteTrial
 from gorsethread.logs import log_for, start_logs
 from gorsethread.simulation.runs import play
@@ -158,7 +158,7 @@
 
     def test_heads_of_a_site_file_with_every_way_struck(self) -> None:
         script = read_script(WAYS)
-        self.assertEqual([], unplayable(script, site.PLAYED, site.PARTIES))
+        self.assertEqual([], unsupported_acts(script, site.SUPPORTED_ACTS, site.SUPPORTED_PARTIES))
 
         async def work() -> SiteTrial:
             with tempfile.TemporaryDirectory() as folder:
@@ -307,17 +307,17 @@
             "1 kill head-0 for 1\n2 slow shelf-0 by 2 for 1\n3 pause list for 1\n"
             "4 cut client-archive <-> head-1 for 1\n"
         )
-        self.assertEqual(3, len(unplayable(script, PLAYED, ("head", "shelf", "room"))))
-        self.assertEqual([], unplayable(read_script(COMEBACK), PLAYED, PARTIES))
+        self.assertEqual(3, len(unsupported_acts(script, SUPPORTED_ACTS, ("head", "shelf", "room"))))
+        self.assertEqual([], unsupported_acts(read_script(COMEBACK), SUPPORTED_ACTS, SUPPORTED_PARTIES))
 
     def test_a_point_that_nobody_comes_to_is_told(self) -> None:
-        async def work(folder: str) -> Cast:
+        async def work(folder: str) -> FaultPlayer:
             processes = Processes(Path(folder), SITE)
 
             async def start(name: str) -> None:
                 await processes.start(name, begins=("-c", "import time; time.sleep(60)"))
 
-            cast = Cast(RealTransport(1), processes, 1, start, lambda line: None)
+            cast = FaultPlayer(RealTransport(1), processes, 1, start, lambda line: None)
             await start("head 0")
             script = read_script("heads 1\n0 stab head-0 -> point-take by 2 for 1\n")
             with mock.patch("gorsethread.harness.process_faults.REACHED_WITHIN", 0.1):
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -3,8 +3,8 @@
 import unittest
 from typing import Any
 
-from gorsethread.invariants.history_checker import Verdict, Witness
-from gorsethread.invariants.online_checker import OnlineWitness
+from gorsethread.invariants.history_checker import HistoryChecker, Verdict
+from gorsethread.invariants.online_checker import OnlineChecker
 from gorsethread.site_config.reading import parse_site
 from tests.rig import SITE
 
@@ -82,24 +82,26 @@
 
 class Judged(unittest.TestCase):
     def judge(self, *seen: Seen, site: str = SITE) -> Verdict:
-        return Witness(parse_site(site), seen).judge()
+        return HistoryChecker(parse_site(site), seen).judge()
 
     def broken(self, rule: int, *seen: Seen, site: str = SITE) -> None:
         verdict = self.judge(*seen, site=site)
-        self.assertEqual([rule], sorted({b.rule for b in verdict.breaks}), [str(b) for b in verdict.breaks])
+        self.assertEqual(
+            [rule], sorted({b.rule for b in verdict.violations}), [str(b) for b in verdict.violations]
+        )
         self.assertEqual({rule}, self.as_it_came(seen, site))
 
     def kept(self, *seen: Seen, site: str = SITE) -> None:
-        self.assertEqual([], [str(b) for b in self.judge(*seen, site=site).breaks])
+        self.assertEqual([], [str(b) for b in self.judge(*seen, site=site).violations])
         self.assertEqual(set(), self.as_it_came(seen, site))
 
     def as_it_came(self, seen: tuple[Seen, ...], site: str) -> set[int]:
         """What the judge of each step says of the same."""
-        online = OnlineWitness(parse_site(site))
+        online = OnlineChecker(parse_site(site))
         for record in sorted(seen, key=lambda r: r["t"]):
             online.take(record)
         online.end(max((r["t"] for r in seen), default=0.0))
-        return {b.rule for _, b in online.breaks}
+        return {b.rule for _, b in online.violations}
 
     def test_one_answer(self) -> None:
         self.kept(sent(0, 1), arrived(0.1, 1), ended(0.2, 1), answer(0.3, 1))
--- a/tests/test_nvme_gateway.py
+++ b/tests/test_nvme_gateway.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 from typing import Any
 
-from gorsethread.fakes.client import stamped
-from gorsethread.fakes.discovery import Order
+from gorsethread.fakes.client import stamped_blocks
+from gorsethread.fakes.discovery import DrainOrder
 from gorsethread.gateway.attempts import Attempt, AttemptResult
 from gorsethread.gateway.driver import attempt_count
 from gorsethread.nvme.command import Command, Completion, Opcode, Status, connect, connect_data, io_command
@@ -34,7 +34,7 @@
             how, _, _ = await self.send(client, Opcode.WRITE, block=block, blocks=blocks)
             self.assertEqual("honoured", how)
             how, _, data = await self.send(client, Opcode.READ, block=block, blocks=blocks)
-            self.assertEqual(("honoured", stamped(self.label - 1, 1, block, blocks)), (how, data))
+            self.assertEqual(("honoured", stamped_blocks(self.label - 1, 1, block, blocks)), (how, data))
         done, _ = await client.io.call(io_command(Opcode.FLUSH, 1))
         self.assertTrue(done.honoured)
         self.judged()
@@ -300,7 +300,7 @@
         sent = self.send(client, Opcode.WRITE, blocks=32)
         # On its connection, not only decided: an attempt that waits for one ends with the drain, unsent.
         await self.until(lambda: self.heads[0].driver.links[0].out)
-        self.list._order(Order(0, "draining"), _Deaf())
+        self.list._order(DrainOrder(0, "draining"), _Deaf())
         await self.until(lambda: 0 not in self.heads[0].driver.scheduler.shards.serving)
         late = self.send(client, Opcode.READ)
         await self.until(lambda: held)
@@ -338,7 +338,7 @@
         command = Command(**{**_fields(connect(1, 8)), "sgl_type": 1, "sgl_length": 1024})
         stream.write(encoder.capsule_cmd(command.pack(), data))
         write = io_command(Opcode.WRITE, 1, 0, 1, label=77)
-        payload = stamped(77, 1, 0, 1)
+        payload = stamped_blocks(77, 1, 0, 1)
         command = Command(**{**_fields(write), "cid": 5, "sgl_type": 0x5A, "sgl_length": len(payload)})
         stream.write(encoder.capsule_cmd(command.pack()))
         pdu = encoder.data(PduType.H2C_DATA, 5, 5, 0, payload, True)
--- a/tests/test_offline_writes.py
+++ b/tests/test_offline_writes.py
@@ -14,10 +14,10 @@
 
 from gorsethread.cli.main import app
 from gorsethread.durable_log.replication_messages import encode
-from gorsethread.harness.branches import PLAYED, BranchTrial, Result
-from gorsethread.harness.process_faults import unplayable
+from gorsethread.harness.branches import SUPPORTED_ACTS, BranchTrial, Result
+from gorsethread.harness.process_faults import unsupported_acts
 from gorsethread.harness.processes import Processes
-from gorsethread.harness.site import PARTIES
+from gorsethread.harness.site import SUPPORTED_PARTIES
 from gorsethread.logs import log_for, start_logs
 from gorsethread.nvme_gateway.peers import fleet_of
 from gorsethread.offline_writes import messages as offline_messages
@@ -383,7 +383,7 @@
         return asyncio.run(play_trial()), branch_states
 
     def test_link_loss_and_crashes_on_both_sides(self) -> None:
-        self.assertEqual([], unplayable(read_script(REAL_PROCESSES), PLAYED, PARTIES))
+        self.assertEqual([], unsupported_acts(read_script(REAL_PROCESSES), SUPPORTED_ACTS, SUPPORTED_PARTIES))
         result, states = self.play(REAL_PROCESSES)
         self.assertTrue(result.good, result)
         self.assertGreater(result.accepted, 10)
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -51,7 +51,7 @@
 
     def good(self, outcome: Outcome) -> None:
         self.assertEqual(
-            ([], [], []), ([str(b) for b in outcome.verdict.breaks], outcome.as_it_came, outcome.defects)
+            ([], [], []), ([str(b) for b in outcome.verdict.violations], outcome.as_it_came, outcome.defects)
         )
         self.assertGreater(outcome.verdict.counts["honoured"], 300)
 
@@ -142,7 +142,7 @@
     def kept(self, text: str) -> World:
         world = World(SITE, read_script(script(text)))
         outcome = world.play()
-        self.assertEqual(([], []), ([str(b) for b in outcome.verdict.breaks], outcome.defects))
+        self.assertEqual(([], []), ([str(b) for b in outcome.verdict.violations], outcome.defects))
         return world
 
     def times(self, world: World, event: str, **facts: Any) -> list[float]:
