--- a/gorsethread/experiments/day.py
+++ b/gorsethread/experiments/day.py
@@ -335,7 +335,7 @@
             if status != 0 and not (self.plan.plant and name.startswith("shelf"))
         ]
         both = [name for name in late if name in early]
-        verdict = HistoryChecker(self.site, self.records()).judge()
+        verdict = HistoryChecker(self.site, self.records()).check()
         if not verdict.counts["honoured"]:
             self.defects.append("nothing was honoured: this day shows nothing")
         accounts = self._accounts()
--- a/gorsethread/experiments/membership_processes.py
+++ b/gorsethread/experiments/membership_processes.py
@@ -48,11 +48,11 @@
         self.transport, self.processes, self.script, self.say = transport, processes, script, say
         ports = free_ports(2 * script.heads)
         self.public, self.private = ports[: script.heads], ports[script.heads :]
-        self.cast = FaultPlayer(transport, processes, script.heads, self._start, say)
+        self.fault_player = FaultPlayer(transport, processes, script.heads, self._start, say)
         names = [f"head {n}" for n in range(script.heads)]
         self.relay = DatagramRelay(
             transport,
-            self.cast.faults,
+            self.fault_player.faults,
             dict(zip(names, self.public, strict=True)),
             dict(zip(names, self.private, strict=True)),
         )
@@ -88,7 +88,7 @@
             for number, act in enumerate(sorted(self.script.acts)):
                 await self.transport.sleep(max(0.0, zero + act.at - self.transport.now()))
                 self.say(f"{self.transport.now() - began:7.1f} s  {act}")
-                ends = await self.cast.do(act)
+                ends = await self.fault_player.apply(act)
                 following = sorted(self.script.acts)[number + 1 :]
                 if not following or following[0].at - act.at > act.seconds + 1.0:
                     await self.transport.sleep(max(0.0, ends - self.transport.now()))
@@ -97,7 +97,7 @@
             self.result.bytes_a_head_a_second = round(spent / self.script.heads, 1)
             self.result.settled = not self.result.views_differ and not self.result.reasons
         finally:
-            await self.cast.end()
+            await self.fault_player.end()
             self.relay.close()
         return self.result
 
--- a/gorsethread/experiments/slow_start_leases.py
+++ b/gorsethread/experiments/slow_start_leases.py
@@ -82,9 +82,9 @@
         super().__init__(transport, processes, site, log, script, plant)
         self.jitter = JITTER
         self.site.rules.cold.units = LENT_UNITS * script.heads
-        self.cast.faults.lossy = {f"head {n}": LOSSY for n in range(script.heads)}
+        self.fault_player.faults.lossy = {f"head {n}": LOSSY for n in range(script.heads)}
 
-    def fell(self, number: int) -> None:
+    def backend_overloaded(self, number: int) -> None:
         self.result.fell += 1
 
     def judge(self, verdict: Verdict) -> None:
--- a/gorsethread/fakes/backend.py
+++ b/gorsethread/fakes/backend.py
@@ -41,9 +41,9 @@
         script: list[Fault],
         warm: bool,
         log: Any,
-        fell: Callable[[], None],
+        on_overload: Callable[[], None],
     ) -> None:
-        self.fell = fell
+        self.on_overload = on_overload
         self.transport, self.site, self.number = transport, site, number
         self.recorder, self.folder, self.log = recorder, folder, log
         self.me = next(s for s in site.shelf if s.number == number)
@@ -152,7 +152,7 @@
             self.recorder.record("fell", shelf=self.number, start=self.start_id)
             self.log.error("pushed over while cold")
             self.stop()
-            self.fell()
+            self.on_overload()
 
     def taken(self, io: IoCommand, data: bytes) -> None:
         if self.machine.fallen:
--- a/gorsethread/fakes/client.py
+++ b/gorsethread/fakes/client.py
@@ -22,11 +22,11 @@
 QUEUE = 128
 STAMP = struct.Struct("<QQII8s")
 MARK = b"gorseth\n"
-POST_HINTS = 0x10
-OBJECTS_KNOWN = 64  # of the extents a tenant wrote last, which its reads go back to
+SMALL_WRITE_HINTS = 0x10
+MAX_REMEMBERED_EXTENTS = 64  # of the extents a tenant wrote last, which its reads go back to
 HOT_EXTENTS = 3  # of a volume, which take all its small writes, so that they meet
-REPEATS = 0.7  # part of the transactions that a client tries a second time
-LEAVES = 0.01  # part of the reads whose client does not wait for the answer
+RETRY_FRACTION = 0.7  # part of the transactions that a client tries a second time
+ABANDON_FRACTION = 0.01  # part of the reads whose client does not wait for the answer
 
 
 class Surge(msgspec.Struct, frozen=True):
@@ -44,7 +44,7 @@
     return b"".join(STAMP.pack(label, first_block + n, volume, 0, MARK) * times for n in range(blocks))
 
 
-def misplaced(data: bytes, volume: int, first_block: int) -> int:
+def misplaced_blocks(data: bytes, volume: int, first_block: int) -> int:
     """How many blocks hold neither zeros nor a whole stamp of this place."""
     wrong = 0
     for n in range(len(data) // BLOCK):
@@ -124,7 +124,7 @@
     """One command of a transaction, from its sending to its one answer."""
 
     def __init__(self, client: "LoadClient", t: LoadRequest, attempt: int, link: Any) -> None:
-        self.client, self.t, self.attempt, self.link = client, t, attempt, link
+        self.client, self.request, self.attempt, self.link = client, t, attempt, link
         self.over = False
         self.cid = -1
         self.timer: Timer | None = None
@@ -132,7 +132,7 @@
 
     def send(self) -> bool:
         """False: there is no connection or no room on it, or no time left, and nothing was sent."""
-        association, t, client = self.link.association, self.t, self.client
+        association, t, client = self.link.association, self.request, self.client
         if association is None or len(association.io.queue) >= QUEUE or association.io.queue.over:
             return False
         now = client.transport.now()
@@ -177,8 +177,8 @@
     def misread(self, data: bytes) -> int:
         """How much of what came back can't be what it asked for."""
         wrong = 0
-        if self.t.operation == Opcode.READ:
-            wrong = misplaced(data, self.t.volume.number, self.t.first_block)
+        if self.request.operation == Opcode.READ:
+            wrong = misplaced_blocks(data, self.request.volume.number, self.request.first_block)
             for n, known in enumerate(self.written):
                 if known and not any(data[n * BLOCK : n * BLOCK + 16]):
                     wrong += 1
@@ -199,7 +199,7 @@
 
     def _abort_missed(self) -> None:
         """The head answered before, or had not read the command yet: it knows nothing of this leaving."""
-        self.client.recorder.record("abort missed", label=self.t.label, attempt=self.attempt)
+        self.client.recorder.record("abort missed", label=self.request.label, attempt=self.attempt)
 
     def _time_is_up(self, turns: int = 3) -> None:
         # What had come in time may still lie unread where this process itself stood still for a moment.
@@ -213,7 +213,7 @@
         self.link.open.pop(self.cid, None)
         if self.over:
             if completion.status != Status.ABORT_REQUESTED:
-                self.client.recorder.record("answered late", label=self.t.label, attempt=self.attempt)
+                self.client.recorder.record("answered late", label=self.request.label, attempt=self.attempt)
             return
         if completion.honoured:
             self.ended("honoured", completion, data)
@@ -263,13 +263,13 @@
         self.lead: dict[int, tuple[int, float]] = {}
         self.labels = self.chance.randrange(2**40) << 20
         self.unfinished = 0
-        self.leaves = LEAVES
+        self.abandon_fraction = ABANDON_FRACTION
 
     def _link(self, head: pb.Head) -> Any:
         names = Names(self.site.subsystem, self.me.host[0])
         return GatewayConnection(self.transport, head.number, split_address(head.address), names)
 
-    def _one_try(self, t: LoadRequest, attempt: int, link: Any) -> LoadAttempt:
+    def _new_attempt(self, t: LoadRequest, attempt: int, link: Any) -> LoadAttempt:
         return LoadAttempt(self, t, attempt, link)
 
     async def run(self) -> None:
@@ -319,7 +319,7 @@
             if draw < 0.55:
                 operation, blocks = Opcode.READ, 1 + self.chance.randrange(3)
             elif draw < 0.85:
-                operation, blocks, hints = Opcode.WRITE, 1 + self.chance.randrange(2), POST_HINTS
+                operation, blocks, hints = Opcode.WRITE, 1 + self.chance.randrange(2), SMALL_WRITE_HINTS
                 extent = self.chance.randrange(min(extents, HOT_EXTENTS))
             else:
                 operation, blocks = Opcode.READ, 8 + self.chance.randrange(8)
@@ -344,16 +344,16 @@
 
     def _try(self, t: LoadRequest, attempt: int, link: Any = None) -> None:
         link = link or self._head_for(t.volume)
-        one = self._one_try(t, attempt, link)
+        one = self._new_attempt(t, attempt, link)
         if not one.send():
             self.never_sent(one)
             return
         self.unfinished += 1
-        if t.operation == Opcode.READ and self.chance.random() < self.leaves:
+        if t.operation == Opcode.READ and self.chance.random() < self.abandon_fraction:
             one.leave_after(self.chance.uniform(0.0, 0.3))
 
     def never_sent(self, one: LoadAttempt) -> None:
-        t = one.t
+        t = one.request
         self.recorder.record(
             "not sent",
             label=t.label,
@@ -365,7 +365,7 @@
         )
 
     def answered(self, one: LoadAttempt, how: str, completion: Completion | None, data: bytes) -> None:
-        t, now = one.t, self.transport.now()
+        t, now = one.request, self.transport.now()
         self.unfinished -= 1
         wrong = 0
         extent = t.first_block // t.volume.extent_blocks
@@ -375,7 +375,7 @@
                 self.acknowledged.update((t.volume.number, t.first_block + n) for n in range(t.blocks))
                 if t.volume.placement == pb.FIRST_WRITE:
                     self.written[t.volume.number].append(extent)
-                    del self.written[t.volume.number][:-OBJECTS_KNOWN]
+                    del self.written[t.volume.number][:-MAX_REMEMBERED_EXTENTS]
             if completion.dw0:
                 self.shards[t.volume.number, extent] = completion.dw0 - 1
                 self.shards.move_to_end((t.volume.number, extent))
@@ -385,7 +385,7 @@
         self.recorder.record(
             "answer", label=t.label, attempt=one.attempt, how=how, status=status, wrong=wrong
         )
-        if how in ("honoured", "left", "unanswered") or one.attempt or self.chance.random() > REPEATS:
+        if how in ("honoured", "left", "unanswered") or one.attempt or self.chance.random() > RETRY_FRACTION:
             return
         effect = self.site.profile[t.profile].effect
         if (
--- a/gorsethread/fakes/discovery.py
+++ b/gorsethread/fakes/discovery.py
@@ -14,9 +14,9 @@
 from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import Stream, StreamClosed, Transport
 
-LINE_MOST = 65536
-CHANGES_KEPT = 256
-IN_ORDER = 1e-6  # seconds between two tellings
+MAX_LINE_BYTES = 65536
+MAX_CHANGES = 256
+ORDERING_SECONDS = 1e-6  # seconds between two tellings
 
 
 class Registration(msgspec.Struct, frozen=True, tag="register", tag_field="say"):
@@ -55,7 +55,7 @@
         self.version = 1
         self.life = int(transport.wall_time() * 1e6)  # versions of another life of the list don't compare
         self.entries: dict[int, tuple[Registration, str, float]] = {}  # shelf: what it said, its state, since
-        self.changes: deque[tuple[int, int]] = deque(maxlen=CHANGES_KEPT)  # version, shelf
+        self.changes: deque[tuple[int, int]] = deque(maxlen=MAX_CHANGES)  # version, shelf
         self.followers: dict[ListWatcher, None] = {}  # emptied as heads' streams end
         self.late_until = self.refuse_until = self.extra = 0.0
 
@@ -86,7 +86,7 @@
         try:
             while b"\n" not in held:
                 held += await stream.read()
-                if len(held) > LINE_MOST:
+                if len(held) > MAX_LINE_BYTES:
                     raise StreamClosed("a line without an end")
             line, _, held = held.partition(b"\n")
             said: Registration | DrainOrder | Ask = msgspec.json.decode(
@@ -156,7 +156,7 @@
         if kind == "all":
             wait = min(wait, least)
         # Later than the news before it, if by little: timers due at one moment keep no order.
-        follower.last = max(follower.last + IN_ORDER, now + wait)
+        follower.last = max(follower.last + ORDERING_SECONDS, now + wait)
         version = self.version
         entries = [self.entries[n] for n in shelves]
         self.transport.call_at(follower.last, lambda: self._tell(follower, entries, kind, version))
--- a/gorsethread/fakes/web/backend.py
+++ b/gorsethread/fakes/web/backend.py
@@ -13,8 +13,8 @@
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.base import Stream, StreamClosed
 
-GOOD = -3  # of a shelf's noises, those that hold a whole answer in front
-ENDS = GOOD - 1  # the one that has no length, and is whole as its connection ends
+FIRST_VALID_NOISE = -3  # of a shelf's noises, those that hold a whole answer in front
+CLOSING_NOISE = FIRST_VALID_NOISE - 1  # the one that has no length, and is whole as its connection ends
 
 
 class HttpCommand:
@@ -74,11 +74,11 @@
         elif not completion.honoured:
             self.say(500, [], b"")
         elif (noise := self.shelf.noise()) is not None:
-            if noise in self.shelf.noises[GOOD:]:
+            if noise in self.shelf.noises[FIRST_VALID_NOISE:]:
                 # It goes on; else it is of no more use, though it stays open.
                 self.codec.respond(200, [], b"")
             self.stream.write(noise(io))
-            if noise is self.shelf.noises[ENDS]:
+            if noise is self.shelf.noises[CLOSING_NOISE]:
                 self.stream.close()
         else:
             elsewhere, usage, _ = told_service(completion)
--- a/gorsethread/fakes/web/clients.py
+++ b/gorsethread/fakes/web/clients.py
@@ -13,10 +13,14 @@
 from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import Stream, StreamClosed, Unreachable
 
-MAY_CLOSE = 1.9  # seconds a connection must have stood idle for a head to be free to end it
-ANSWER_SLACK = 0.1  # seconds past its time in which an answer only earns nothing: the rules' slack, the way
-CONNECTIONS = 56  # of one client at one head, as all together hold no more than a third of its descriptors
-CROSSING = 0.01  # seconds from writing in which an end of the connection may have been on its way
+MIN_IDLE_SECONDS = 1.9  # seconds a connection must have stood idle for a head to be free to end it
+ANSWER_SLACK_SECONDS = (
+    0.1  # seconds past its time in which an answer only earns nothing: the rules' slack, the way
+)
+MAX_CONNECTIONS = (
+    56  # of one client at one head, as all together hold no more than a third of its descriptors
+)
+CROSSING_SECONDS = 0.01  # seconds from writing in which an end of the connection may have been on its way
 
 
 class ClientConnection:
@@ -64,7 +68,7 @@
             self.link.idle.remove(self)
         one, self.one = self.one, None
         idle = self.link.transport.now() - self.idle_since
-        if one is None and self.used and closed and idle < MAY_CLOSE - CROSSING:
+        if one is None and self.used and closed and idle < MIN_IDLE_SECONDS - CROSSING_SECONDS:
             self.link.client.recorder.record("closed early", head=self.link.number, idle=round(idle, 3))
         if one is not None:
             one.connection_ended(self, spoilt)
@@ -75,7 +79,7 @@
         """A second answer, or noise that nobody asked for."""
         if self.last is not None:
             self.link.client.recorder.record(
-                "answered late", label=self.last.t.label, attempt=self.last.attempt
+                "answered late", label=self.last.request.label, attempt=self.last.attempt
             )
 
 
@@ -108,12 +112,12 @@
         link, transport = self.link, self.client.transport
         connection = link.idle.pop() if link.idle else None
         if connection is None:
-            if link.open >= CONNECTIONS:
+            if link.open >= MAX_CONNECTIONS:
                 self.client.unfinished -= 1
                 self.client.never_sent(self)
                 return
             try:
-                within = min(2.0, max(0.01, self.t.by - transport.now()))
+                within = min(2.0, max(0.01, self.request.by - transport.now()))
                 host, port = link.address
                 connection = ClientConnection(link, await transport.connect(host, port, within))
             except Unreachable:
@@ -121,7 +125,7 @@
                 self.client.never_sent(self)
                 return
             transport.spawn(connection.listen())
-        if transport.now() >= self.t.by - 0.02:
+        if transport.now() >= self.request.by - 0.02:
             connection.stream.close()
             self.client.unfinished -= 1
             self.client.never_sent(self)
@@ -129,7 +133,7 @@
         self._write(connection)
 
     def _write(self, connection: ClientConnection) -> None:
-        t, client, now = self.t, self.client, self.client.transport.now()
+        t, client, now = self.request, self.client, self.client.transport.now()
         write = t.operation == Opcode.WRITE
         units, id = client.units(t), id_of(t.label, self.attempt)
         shard = client.shard(t)
@@ -163,7 +167,7 @@
                 by=t.by,
                 due=t.due,
             )
-            self.timer = client.transport.call_at(t.by + ANSWER_SLACK, self._time_is_up)
+            self.timer = client.transport.call_at(t.by + ANSWER_SLACK_SECONDS, self._time_is_up)
         else:
             client.recorder.record("sent anew", label=t.label, attempt=self.attempt)
 
@@ -181,7 +185,7 @@
             self.ended("given up", Completion(0, Status.INTERNAL_ERROR, final=True), b"")
 
     def misread(self, data: bytes) -> int:
-        return data.split(b" ")[0] != id_of(self.t.label, self.attempt).encode()
+        return data.split(b" ")[0] != id_of(self.request.label, self.attempt).encode()
 
     def connection_ended(self, connection: ClientConnection, spoilt: str | None) -> None:
         """The head's end of an idle connection, or of one more than it holds, may cross the request, which is
@@ -192,20 +196,20 @@
             self.ended("honoured", Completion(0), b"what can't be read: " + spoilt.encode())
         elif (
             not self.again
-            and self.client.crosses(self)
+            and self.client.may_be_unread(self)
             and (
-                self.client.transport.now() - self.written_at < CROSSING
+                self.client.transport.now() - self.written_at < CROSSING_SECONDS
                 or connection.used
-                and self.written_at - connection.idle_since >= MAY_CLOSE
+                and self.written_at - connection.idle_since >= MIN_IDLE_SECONDS
             )
         ):
             self.again = True
-            self.client.recorder.record("crossed", label=self.t.label, attempt=self.attempt)
+            self.client.recorder.record("crossed", label=self.request.label, attempt=self.attempt)
             self.client.transport.spawn(self._once_more())
         elif (
             self.again
-            and self.client.crosses(self)
-            and (self.client.transport.now() - self.written_at < CROSSING)
+            and self.client.may_be_unread(self)
+            and (self.client.transport.now() - self.written_at < CROSSING_SECONDS)
         ):
             self._shut_out()
         else:
@@ -229,7 +233,7 @@
             return
         connection = ClientConnection(self.link, stream)
         self.client.transport.spawn(connection.listen())
-        if self.over or self.client.transport.now() >= self.t.by - 0.02:
+        if self.over or self.client.transport.now() >= self.request.by - 0.02:
             stream.close()
             self.ended("unreachable", None, b"")
         else:
@@ -247,15 +251,18 @@
 
 
 class HttpLoadClient(LoadClient):
-    """Applications on the platform. crosses: whether a request was not read yet as its connection ended, for
-    all that is known; whoever watches the network knows."""
+    """Sends one tenant's load to the gateways over HTTP.
 
-    crosses: Callable[[HttpAttempt], bool] = staticmethod(lambda one: True)
+    may_be_unread: says whether a gateway may not have read a request when its connection ended. The default
+    always answers True; a simulation that observes the network replaces it with the exact answer.
+    """
+
+    may_be_unread: Callable[[HttpAttempt], bool] = staticmethod(lambda one: True)
 
     def _link(self, head: pb.Head) -> Any:
         return HttpConnections(self, head.number, split_address(head.address))
 
-    def _one_try(self, t: LoadRequest, attempt: int, link: Any) -> LoadAttempt:
+    def _new_attempt(self, t: LoadRequest, attempt: int, link: Any) -> LoadAttempt:
         return HttpAttempt(self, t, attempt, link)
 
     def units(self, t: LoadRequest) -> int:
--- a/gorsethread/fakes/web/discovery.py
+++ b/gorsethread/fakes/web/discovery.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from gorsethread.fakes.discovery import CHANGES_KEPT, FakeDiscovery, Registration
+from gorsethread.fakes.discovery import MAX_CHANGES, FakeDiscovery, Registration
 from gorsethread.fakes.record import Fault
 from gorsethread.fakes.web.messages import FIRST_GATEWAY_PORT, instance
 from gorsethread.http1.framing import InvalidRequestError
@@ -31,7 +31,7 @@
         super().__init__(*arguments)
         # Above all versions of an earlier life, which had one each change at the most.
         self.version = self.least = int(self.transport.wall_time() * 1000)
-        self.news: deque[Change] = deque(maxlen=CHANGES_KEPT)
+        self.news: deque[Change] = deque(maxlen=MAX_CHANGES)
         self._last: dict[int, float] = {}
         self._watches: dict[int, Stream] = {}  # emptied as they end
         self._numbers = 0
@@ -99,7 +99,7 @@
         words = dict(part.split("=") for part in target.partition("?")[2].split("&") if part)
         since = int(words.get("since", -1))
         by = self.transport.now() + int(words.get("timeout_ms", 0)) / 1000
-        kept_from = self.news[0].version - 1 if len(self.news) == CHANGES_KEPT else self.least
+        kept_from = self.news[0].version - 1 if len(self.news) == MAX_CHANGES else self.least
         if not kept_from <= since <= self.version:
             told = [
                 Change(self.version, said, state, at, {})
--- a/gorsethread/harness/branches.py
+++ b/gorsethread/harness/branches.py
@@ -14,8 +14,8 @@
 from gorsethread.site_config import site_pb2 as pb
 
 SUPPORTED_ACTS = (*durable_log_trial.SUPPORTED_ACTS, "link")
-SETTLES_WITHIN = 60.0  # seconds after the last answer
-LOOK = 0.5  # seconds between looks at the disks
+REPLAY_TIMEOUT_SECONDS = 60.0  # seconds after the last answer
+CHECK_INTERVAL_SECONDS = 0.5  # seconds between looks at the disks
 
 
 @dataclass
@@ -46,17 +46,17 @@
     client_kind = BranchClient
 
     def __init__(
-        self, transport: Any, processes: Any, known: pb.Site, log: Any, script: Script, plant: str = ""
+        self, transport: Any, processes: Any, known: pb.Site, log: Any, script: Script, defect_code: str = ""
     ) -> None:
-        super().__init__(transport, processes, known, log, script, plant)
+        super().__init__(transport, processes, known, log, script, defect_code)
         away = {n for b in self.site.branch for n in b.head}
-        self.cast.beyond = [
+        self.fault_player.link_far_side = [
             "list",
             *(f"shelf {s.number}" for s in self.site.shelf),
             *(f"head {h.number}" for h in self.site.head if h.number not in away),
         ]
 
-    def _begun(self) -> None:
+    def _clients_started(self) -> None:
         for when, head in self.copies_at:
             self.transport.call_at(self.zero + when, lambda head=head: self._copy(head))  # type: ignore[misc]
 
@@ -73,11 +73,11 @@
             folders.append(files)
         return on_disks(folders)
 
-    async def _settled(self) -> None:
-        by = self.transport.now() + SETTLES_WITHIN
+    async def _clients_finished(self) -> None:
+        by = self.transport.now() + REPLAY_TIMEOUT_SECONDS
         while self._disks()[1] and self.transport.now() < by:
-            await self.transport.sleep(LOOK)
-        await self.transport.sleep(LOOK)
+            await self.transport.sleep(CHECK_INTERVAL_SECONDS)
+        await self.transport.sleep(CHECK_INTERVAL_SECONDS)
 
     def judge(self, verdict: Verdict) -> None:
         self._count()
--- a/gorsethread/harness/durable_log_trial.py
+++ b/gorsethread/harness/durable_log_trial.py
@@ -12,7 +12,7 @@
 from gorsethread.durable_log.recovery import SEGMENT_SUFFIX
 from gorsethread.fakes.client import LoadClient
 from gorsethread.harness import service, site
-from gorsethread.harness.process_faults import FOLDERS
+from gorsethread.harness.process_faults import FOLDER_ACTS
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.site import SiteTrial
 from gorsethread.invariants.history_checker import Verdict
@@ -23,7 +23,7 @@
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.real import RealTransport
 
-SUPPORTED_ACTS = (*site.SUPPORTED_ACTS, *FOLDERS)
+SUPPORTED_ACTS = (*site.SUPPORTED_ACTS, *FOLDER_ACTS)
 
 
 @dataclass
@@ -52,10 +52,10 @@
         known: pb.Site,
         log: Any,
         script: Script,
-        plant: str = "",
+        defect_code: str = "",
     ) -> None:
-        super().__init__(transport, processes, known, log, script, plant)
-        self.cast.folders = self._folders
+        super().__init__(transport, processes, known, log, script, defect_code)
+        self.fault_player.on_folder_act = self._folders
         self.numbers = Numbers()
         self.shards = {s.shard for s in self.site.shelf}
         self.copies_at: list[tuple[float, int]] = []  # when folders are copied for `older`, and whose
@@ -67,13 +67,13 @@
     def _options(self, number: int) -> list[str]:
         return ["--records", str(self.folder(number))]
 
-    def _ways(self) -> None:
-        super()._ways()
+    def _add_routes(self) -> None:
+        super()._add_routes()
         for act in self.script.acts:
             if act.kind == "older":
                 self.copies_at.append((max(0.0, act.at - act.by), int(act.whom.split(" ")[1])))
 
-    def _begun(self) -> None:
+    def _clients_started(self) -> None:
         for client in self.clients:
             assert isinstance(client, Forgetful)
             client.denied = self._denied
--- a/gorsethread/harness/processes.py
+++ b/gorsethread/harness/processes.py
@@ -52,7 +52,7 @@
                 env={**os.environ, "PYTHONHASHSEED": "0", **(settings or {})},
             )
 
-    def whose(self, peer: str) -> str:
+    def owner_of(self, peer: str) -> str:
         """The child whose end of a connection on this machine that is (host:port); "": none's."""
         port = int(peer.rpartition(":")[2])
         for name, process in self.running.items():
--- a/gorsethread/harness/relay.py
+++ b/gorsethread/harness/relay.py
@@ -20,30 +20,30 @@
 )
 
 Address = tuple[str, int]
-Way = tuple[str, str]  # from one party to another
-CONNECT_WITHIN = 1.0  # seconds
+Direction = tuple[str, str]  # from one party to another
+CONNECT_TIMEOUT_SECONDS = 1.0  # seconds
 
 
 @dataclass
-class Faults:
+class LinkFaults:
     """What is wrong with each way now. cuts: how many hold it shut; slow: seconds that all on it waits more;
     lossy: of a party, the part of its datagrams lost both ways. silences: every cut that is over; mutes: when
     connections were made to carry nothing more."""
 
-    cuts: Counter[Way] = field(default_factory=Counter)
-    slow: dict[Way, float] = field(default_factory=dict)
+    cuts: Counter[Direction] = field(default_factory=Counter)
+    slow: dict[Direction, float] = field(default_factory=dict)
     lossy: dict[str, float] = field(default_factory=dict)
-    silences: list[tuple[Way, float, float]] = field(default_factory=list)  # way, from, until
-    mutes: list[tuple[Way, float]] = field(default_factory=list)
-    _since: dict[Way, float] = field(default_factory=dict)
+    silences: list[tuple[Direction, float, float]] = field(default_factory=list)  # way, from, until
+    mutes: list[tuple[Direction, float]] = field(default_factory=list)
+    _since: dict[Direction, float] = field(default_factory=dict)
 
-    def cut(self, ways: list[Way], now: float) -> None:
+    def cut(self, ways: list[Direction], now: float) -> None:
         for way in ways:
             if not self.cuts[way]:
                 self._since[way] = now
         self.cuts.update(ways)
 
-    def heal(self, ways: list[Way], now: float) -> None:
+    def heal(self, ways: list[Direction], now: float) -> None:
         self.cuts.subtract(ways)
         for way in ways:
             if not self.cuts[way]:
@@ -54,7 +54,7 @@
     """A port for each party, by which the others know it. private: the party's own port, all on loopback."""
 
     def __init__(
-        self, transport: Transport, faults: Faults, public: dict[str, int], private: dict[str, int]
+        self, transport: Transport, faults: LinkFaults, public: dict[str, int], private: dict[str, int]
     ) -> None:
         self.transport, self.chance, self.faults = transport, transport.random_stream("relay"), faults
         self.private = private
@@ -90,14 +90,19 @@
             port.close()
 
 
-class Pair:
+class RelayedConnection:
     """One connection led through: what comes on one side goes out on the other, in order, unless its way is
     cut: then it is held, and both sides stay open and hear nothing, as where a machine vanished."""
 
     def __init__(
-        self, relay: "StreamRelay", ways: tuple[Way, Way], near: Stream, far: Stream, loses: bool
+        self,
+        relay: "StreamRelay",
+        ways: tuple[Direction, Direction],
+        near: Stream,
+        far: Stream,
+        drops_held: bool,
     ) -> None:
-        self.relay, self.ways, self.loses = relay, ways, loses
+        self.relay, self.ways, self.drops_held = relay, ways, drops_held
         self.ends = (near, far)
         self.muted = [False, False]  # from the near side, from the far one
         self.over = False
@@ -114,7 +119,7 @@
                 while faults.cuts[way] and not self.over:
                     held = True
                     await transport.sleep(self.relay.look)
-                if held and self.loses:
+                if held and self.drops_held:
                     break
                 if not self.muted[side]:
                     self.ends[1 - side].write(data)
@@ -140,33 +145,36 @@
 
     look = 0.02  # seconds between looks at whether a way is open again
 
-    def __init__(self, transport: Transport, faults: Faults) -> None:
+    def __init__(self, transport: Transport, faults: LinkFaults) -> None:
         self.transport, self.faults = transport, faults
-        self.pairs: dict[Pair, None] = {}  # emptied as connections end
+        self.pairs: dict[RelayedConnection, None] = {}  # emptied as connections end
         self.calls: list[tuple[float, str, str]] = []
         self.bytes = 0
         self._listeners: list[Listener] = []
 
-    def way(
+    def add_route(
         self,
         one: str | Callable[[Stream, bytes], str],
         other: str,
         at: Address,
         behind: Address,
-        loses: bool = False,
+        drops_held: bool = False,
     ) -> None:
-        """Who connects to `at` is `one`, or who its stream and first bytes say it is, and is led to `other`,
-        who listens at `behind`. loses: what a cut holds is lost, with its connection, once it is over: where
-        it came late a judge could not tell when it was sent."""
+        """Listens at `at` and forwards each connection from `one` to `other`, which listens at `behind`.
+
+        `one` is a party's name, or a function that derives it from the stream and its first bytes.
+        drops_held: once a cut is over, a connection whose bytes it held is closed and the bytes are
+        discarded. Were they delivered late, a checker could not tell when they had been sent.
+        """
         says = (lambda stream, first: one) if isinstance(one, str) else one
-        self._listeners.append(self.transport.listen(*at, self._taker(says, other, behind, loses)))
+        self._listeners.append(self.transport.listen(*at, self._taker(says, other, behind, drops_held)))
 
     def _taker(
         self,
         says: Callable[[Stream, bytes], str],
         other: str,
         behind: Address,
-        loses: bool,
+        drops_held: bool,
     ) -> Callable[[Stream], Awaitable[None]]:
         async def take(near: Stream) -> None:
             came = self.transport.now()
@@ -179,9 +187,9 @@
                 while self.faults.cuts[one, other] or self.faults.cuts[other, one]:
                     held = True
                     await self.transport.sleep(self.look)
-                if held and loses or not near.is_idle():
+                if held and drops_held or not near.is_idle():
                     raise StreamClosed("given up meanwhile")
-                far = await self.transport.connect(*behind, CONNECT_WITHIN)
+                far = await self.transport.connect(*behind, CONNECT_TIMEOUT_SECONDS)
             except (Unreachable, StreamClosed):
                 near.close()
                 return
@@ -189,7 +197,7 @@
                 await self.transport.sleep(wait)
             far.write(first)
             self.bytes += len(first)
-            pair = Pair(self, ((one, other), (other, one)), near, far, loses)
+            pair = RelayedConnection(self, ((one, other), (other, one)), near, far, drops_held)
             self.pairs[pair] = None
             self.transport.spawn(pair.lead(1))
             await pair.lead(0)
--- a/gorsethread/harness/service.py
+++ b/gorsethread/harness/service.py
@@ -34,10 +34,10 @@
 
 SUPPORTED_ACTS = ("kill", "pause", "term", "cut", "lose", "drain", "refuse", "late", "reset", "mute", "stab")
 SUPPORTED_PARTIES = ("head", "room", "shelf", "list", "point")
-HELD = 0.3  # seconds after a pause in which a head works on what came meanwhile
-START_WITHIN = 30.0  # seconds until all heads listen
-TOLD_AFTER = 6.0  # seconds from a silence until what it hides counts as told
-HEAD = "import runpy; runpy.run_module('gorsethread.http_gateway', run_name='__main__')"
+SETTLE_SECONDS = 0.3  # seconds after a pause in which a head works on what came meanwhile
+START_TIMEOUT_SECONDS = 30.0  # seconds until all heads listen
+NOTICE_SECONDS = 6.0  # seconds from a silence until what it hides counts as told
+GATEWAY_CODE = "import runpy; runpy.run_module('gorsethread.http_gateway', run_name='__main__')"
 
 
 @dataclass
@@ -77,7 +77,7 @@
     def __init__(self, trial: "ServiceTrial", number: int, warm: bool) -> None:
         self.transport = RealTransport(trial.script.seed * 100 + number)
         recorder = MemoryRecorder(self.transport, f"shelf {number}", trial.records)
-        self.shelf = trial.made_shelf(
+        self.shelf = trial.make_backend(
             self.transport,
             trial.site,
             number,
@@ -86,7 +86,7 @@
             [],
             warm,
             trial.log,
-            lambda: trial.fell(number),
+            lambda: trial.backend_overloaded(number),
         )
         self.shelf.start()
 
@@ -96,8 +96,12 @@
 
 
 class ServiceTrial:
-    """Play it once. The script says how many heads and shelves, how long, and what strikes them. plant: code
-    that each head runs before it starts, for a defect. result_kind: what a trial of its own finds besides."""
+    """Runs one script against gateways as real processes; play() may be called once.
+
+    The script gives the number of gateways and backends, the duration and the faults.
+    defect_code: Python code that each gateway process runs before it starts, to make it faulty.
+    result_kind: class of the result; a subclass adds figures of its own.
+    """
 
     result_kind: Callable[[int], Any] = Result
     list_kind: type[FakeDiscovery] = HttpFakeDiscovery
@@ -111,11 +115,11 @@
         site: pb.Site,
         log: Any,
         script: Script,
-        plant: str = "",
+        defect_code: str = "",
     ) -> None:
         self.say: Callable[[str], None] = lambda line: None
         self.transport, self.processes, self.log, self.script = transport, processes, log, script
-        self.plant = plant
+        self.defect_code = defect_code
         heads, shelves = script.heads, script.shelves
         # Addresses of this process alone on loopback, so that trials may run beside each other.
         self.net = f"127.{64 + os.getpid() % 128}.{os.getpid() // 128 % 200}"
@@ -127,35 +131,37 @@
             *(f"127.0.0.1:{p}" for p in ports[1 + heads + shelves : 1 + 2 * heads + shelves]),
         ]
         self.site = sized(site, heads, shelves, addresses)
-        self.list_led = f"{self.net}.251:{ports[-1]}"  # where heads of a site file find the list
+        self.relayed_list_address = f"{self.net}.251:{ports[-1]}"  # where heads of a site file find the list
         self.records: list[dict[str, Any]] = []
         self.day = MemoryRecorder(transport, "day", self.records)
         self.nodes = self.list_kind(
             transport, self.site, MemoryRecorder(transport, "list", self.records), [], log
         )
-        self.cast = FaultPlayer(transport, processes, heads, self._start_head, lambda line: self.say(line))
-        self.cast.own = {"shelf": self._shelf_act, "list": self._list_act}
-        self.cast.saw = self._struck
+        self.fault_player = FaultPlayer(
+            transport, processes, heads, self._start_head, lambda line: self.say(line)
+        )
+        self.fault_player.in_process_acts = {"shelf": self._shelf_act, "list": self._list_act}
+        self.fault_player.on_act = self._record_act
         names = [f"head {n}" for n in range(heads)]
         self.private = ports[1 + 2 * heads + shelves : -1]
         self.public = [int(h.peers.rpartition(":")[2]) for h in self.site.head]
         self.relay = DatagramRelay(
             transport,
-            self.cast.faults,
+            self.fault_player.faults,
             dict(zip(names, self.public, strict=True)),
             dict(zip(names, self.private, strict=True)),
         )
-        self.streams = self.cast.streams = StreamRelay(transport, self.cast.faults)
-        self.lives: dict[int, BackendRun] = {}
+        self.streams = self.fault_player.streams = StreamRelay(transport, self.fault_player.faults)
+        self.backends: dict[int, BackendRun] = {}
         self.result = self.result_kind(heads)
 
-    def made_shelf(self, *given: Any) -> Any:
+    def make_backend(self, *given: Any) -> Any:
         return self.shelf_kind(*given)
 
     def _site_for(self, tenant: str) -> pb.Site:
         return self.site
 
-    def fell(self, number: int) -> None:
+    def backend_overloaded(self, number: int) -> None:
         """A cold shelf got more than it bears."""
 
     # ---- heads
@@ -183,19 +189,19 @@
 
     async def _start_head(self, name: str) -> None:
         flags = {
-            a.to.split(" ")[1]: self.cast.flag(a)
+            a.to.split(" ")[1]: self.fault_player.flag(a)
             for a in self.script.acts
             if a.kind == "stab" and a.whom == name
         }
         points = kill_point_code(flags) if flags else ""
         await self.processes.start(
             name,
-            begins=("-c", f"{points}\n{self.plant}\n{HEAD}"),
+            begins=("-c", f"{points}\n{self.defect_code}\n{GATEWAY_CODE}"),
             settings={"GW_CONFIG": self._configure(int(name.split(" ")[1]))},
         )
 
     async def _all_listen(self) -> None:
-        by = self.transport.now() + START_WITHIN
+        by = self.transport.now() + START_TIMEOUT_SECONDS
         for head in self.site.head:
             host, _, port = head.address.rpartition(":")
             while True:
@@ -209,7 +215,7 @@
 
     # ---- the script
 
-    def _struck(self, event: str, act: Act) -> None:
+    def _record_act(self, event: str, act: Act) -> None:
         if event in ("cut", "reset", "mute"):
             client, head = (act.whom, act.to) if act.whom.startswith("client") else (act.to, act.whom)
             if client.startswith("client") and head.startswith("head"):
@@ -217,7 +223,7 @@
                     "apart",
                     client=client,
                     head=int(head.split(" ")[1]),
-                    until=self.transport.now() + act.seconds + HELD,
+                    until=self.transport.now() + act.seconds + SETTLE_SECONDS,
                 )
             return
         number = int(act.whom.split(" ")[1])
@@ -228,7 +234,7 @@
                     "apart",
                     client=f"client {t.name}",
                     head=number,
-                    until=self.transport.now() + act.seconds + HELD,
+                    until=self.transport.now() + act.seconds + SETTLE_SECONDS,
                 )
         elif event == "killed":
             self.day.record("head killed", head=number)
@@ -236,44 +242,44 @@
     async def _shelf_act(self, act: Act) -> None:
         number = int(act.whom.split(" ")[1])
         if act.kind == "kill":
-            await self.lives[number].end()
+            await self.backends[number].end()
             self.day.record("shelf killed", shelf=number)
             await self.transport.sleep(act.seconds)
-            self.lives[number] = BackendRun(self, number, False)
+            self.backends[number] = BackendRun(self, number, False)
         elif act.kind == "drain":
             self.nodes.order(number, "draining")
             await self.transport.sleep(act.seconds)
             self.nodes.order(number, "ready")
         else:
-            self.lives[number].shelf._fault(Fault(self.transport.now(), act.kind, act.seconds, act.by))
+            self.backends[number].shelf._fault(Fault(self.transport.now(), act.kind, act.seconds, act.by))
 
     async def _list_act(self, act: Act) -> None:
         self.nodes._fault(Fault(self.transport.now(), act.kind, act.seconds, act.by))
 
-    def _ways(self) -> None:
+    def _add_routes(self) -> None:
         """What leads heads to the list, before any starts."""
         list_host = self.site.list.address.rpartition(":")[0]
         for n in range(self.script.heads):
-            self.streams.way(
+            self.streams.add_route(
                 f"head {n}",
                 "list",
                 (f"{self.net}.251", FIRST_GATEWAY_PORT + n),
                 (list_host, FIRST_GATEWAY_PORT + n),
             )
 
-    def _begun(self) -> None:
+    def _clients_started(self) -> None:
         """Clients are there, and have sent nothing yet."""
 
-    async def _settled(self) -> None:
+    async def _clients_finished(self) -> None:
         """The script is played and clients have their answers; heads still run."""
 
     async def play(self) -> Any:
         site, transport, script = self.site, self.transport, self.script
         self.nodes.start()
-        self._ways()
+        self._add_routes()
         try:
             for shelf in site.shelf:
-                self.lives[shelf.number] = BackendRun(self, shelf.number, True)
+                self.backends[shelf.number] = BackendRun(self, shelf.number, True)
             await asyncio.gather(*(self._start_head(f"head {h.number}") for h in site.head))
             await self._all_listen()
             self.zero = zero = transport.now() + 1.0
@@ -297,28 +303,30 @@
                 for t in site.tenant
             ]
             runs = [asyncio.ensure_future(c.run()) for c in clients]
-            self._begun()
-            await self.cast.play(script, zero)
+            self._clients_started()
+            await self.fault_player.play(script, zero)
             # A process that was started just now has no handler of SIGTERM yet, and would end by the signal.
             await self._all_listen()
             await asyncio.gather(*runs)
-            await self._settled()
+            await self._clients_finished()
         finally:
-            statuses = await self.cast.end()
+            statuses = await self.fault_player.end()
             self.relay.close()
             self.streams.close()
             self.nodes.stop()
-            for life in self.lives.values():
+            for life in self.backends.values():
                 await life.end()
         self.result.reasons += [f"{name} ended with {status}" for name, status in statuses.items() if status]
-        self.result.reasons += [f"never came to its point: {act}" for act in self.cast.unreached]
-        return self._judged()
+        self.result.reasons += [
+            f"never came to its point: {act}" for act in self.fault_player.unreached_points
+        ]
+        return self._check_records()
 
     # ---- judging
 
-    def _judged(self) -> Any:
-        self._tell_late()
-        verdict, r = HistoryChecker(self.site, self.records).judge(), self.result
+    def _check_records(self) -> Any:
+        self._postpone_told_records()
+        verdict, r = HistoryChecker(self.site, self.records).check(), self.result
         self.verdict = verdict
         r.rules, r.lost, r.duplicated = verdict.rules, verdict.lost, verdict.duplicated
         r.honoured, r.taken = verdict.counts["honoured"], verdict.counts["taken"]
@@ -330,10 +338,10 @@
     def judge(self, verdict: Verdict) -> None:
         """What a trial of its own looks at besides the rules."""
 
-    def _tell_late(self) -> None:
-        faults = self.cast.faults
+    def _postpone_told_records(self) -> None:
+        faults = self.fault_player.faults
         silences = list(faults.silences)
-        silences += [(way, begun, begun + TOLD_AFTER) for way, begun in faults.mutes]
+        silences += [(way, begun, begun + NOTICE_SECONDS) for way, begun in faults.mutes]
         for r in self.records:
             for way, begun, over in silences:
                 if r["e"] == "told" and way == ("list", f"head {r['head']}") and begun <= r["t"] < over:
--- a/gorsethread/harness/site.py
+++ b/gorsethread/harness/site.py
@@ -42,8 +42,8 @@
     "stab",
 )
 SUPPORTED_PARTIES = ("head", "room", "shelf", "list", "client", "volume", "point")
-WAYS = ("cut", "reset", "mute")
-MAIN = "import runpy; runpy.run_module('gorsethread', run_name='__main__', alter_sys=True)"
+STREAM_ACTS = ("cut", "reset", "mute")
+GATEWAY_CODE = "import runpy; runpy.run_module('gorsethread', run_name='__main__', alter_sys=True)"
 
 
 def calls(stream: Stream, first: bytes) -> str:
@@ -74,54 +74,59 @@
         site: pb.Site,
         log: Any,
         script: Script,
-        plant: str = "",
+        defect_code: str = "",
     ) -> None:
-        super().__init__(transport, processes, site, log, script, plant)
-        self.cast.own["volume"] = self._volume_act
+        super().__init__(transport, processes, site, log, script, defect_code)
+        self.fault_player.in_process_acts["volume"] = self._volume_act
         # All traffic through the relay costs this process, so only where a script strikes there.
-        named = {name.split(" ")[0] for a in script.acts if a.kind in WAYS for name in (a.whom, a.to)}
-        self.led = {kind for kind in ("shelf", "client") if kind in named}
+        named = {name.split(" ")[0] for a in script.acts if a.kind in STREAM_ACTS for name in (a.whom, a.to)}
+        self.relayed_kinds = {kind for kind in ("shelf", "client") if kind in named}
         if any(a.kind == "link" for a in script.acts):
-            self.led.add("shelf")
-        self.behind: dict[int, int] = {}  # ports of shelves, where the relay has the one that heads know
+            self.relayed_kinds.add("shelf")
+        # Port of each backend by its number, if the relay listens at the address that gateways know.
+        self.private_backend_ports: dict[int, int] = {}
 
-    def _ways(self) -> None:
-        self.streams.way(calls, "list", split_address(self.list_led), split_address(self.site.list.address))
+    def _add_routes(self) -> None:
+        self.streams.add_route(
+            calls, "list", split_address(self.relayed_list_address), split_address(self.site.list.address)
+        )
         for n, (public, private) in enumerate(zip(self.public, self.private, strict=True)):
-            self.streams.way(calls, f"head {n}", ("127.0.0.1", public), ("127.0.0.1", private))
-        if "shelf" in self.led:
+            self.streams.add_route(calls, f"head {n}", ("127.0.0.1", public), ("127.0.0.1", private))
+        if "shelf" in self.relayed_kinds:
             ports = free_ports(len(self.site.shelf))
-            self.behind = {s.number: port for s, port in zip(self.site.shelf, ports, strict=True)}
+            self.private_backend_ports = {
+                s.number: port for s, port in zip(self.site.shelf, ports, strict=True)
+            }
             for s in self.site.shelf:
                 host, port = split_address(s.address)
-                self.streams.way(
-                    lambda stream, first: self.processes.whose(stream.peer),
+                self.streams.add_route(
+                    lambda stream, first: self.processes.owner_of(stream.peer),
                     f"shelf {s.number}",
                     (host, port),
-                    (host, self.behind[s.number]),
-                    loses=True,
+                    (host, self.private_backend_ports[s.number]),
+                    drops_held=True,
                 )
 
-    def made_shelf(self, *given: Any) -> Any:
-        shelf = super().made_shelf(*given)
-        if (port := self.behind.get(shelf.number)) is not None:
+    def make_backend(self, *given: Any) -> Any:
+        shelf = super().make_backend(*given)
+        if (port := self.private_backend_ports.get(shelf.number)) is not None:
             honest = shelf._listen
             shelf._listen = lambda host, _: honest(host, port)
         return shelf
 
     def _site_for(self, tenant: str) -> pb.Site:
         """As its clients know it."""
-        if "client" not in self.led:
+        if "client" not in self.relayed_kinds:
             return super()._site_for(tenant)
         told = pb.Site()
         told.CopyFrom(self.site)
         for head, port in zip(told.head, free_ports(len(told.head)), strict=True):
-            self.streams.way(
+            self.streams.add_route(
                 f"client {tenant}",
                 f"head {head.number}",
                 ("127.0.0.1", port),
                 split_address(head.address),
-                loses=True,
+                drops_held=True,
             )
             head.address = f"127.0.0.1:{port}"
         return told
@@ -137,15 +142,15 @@
         number = int(name.split(" ")[1])
         told = pb.Site()
         told.CopyFrom(self.site)
-        told.list.address = self.list_led
+        told.list.address = self.relayed_list_address
         path = self.processes.folder / "site-of-heads.txtpb"
         path.write_text(text_format.MessageToString(told))
         flags = {
-            a.to.split(" ")[1]: self.cast.flag(a)
+            a.to.split(" ")[1]: self.fault_player.flag(a)
             for a in self.script.acts
             if a.kind == "stab" and a.whom == name
         }
-        before = f"{kill_point_code(flags) if flags else ''}\n{self.plant}"
+        before = f"{kill_point_code(flags) if flags else ''}\n{self.defect_code}"
         await self.processes.start(
             name,
             "head",
@@ -160,5 +165,5 @@
             f"127.0.0.1:{self.private[number]}",
             "--log",
             "json",
-            begins=("-c", f"{before}\n{MAIN}"),
+            begins=("-c", f"{before}\n{GATEWAY_CODE}"),
         )
--- a/gorsethread/invariants/history_checker.py
+++ b/gorsethread/invariants/history_checker.py
@@ -68,7 +68,8 @@
         self.by_label: dict[int, list[Record]] = defaultdict(list)
         self.shelf_deaths: dict[int, list[float]] = defaultdict(list)
         self.head_deaths: dict[int, list[float]] = defaultdict(list)
-        self.came: dict[Identity, float] = {}  # when it was whole at its head, where the network was watched
+        # When a request was complete at its gateway; empty unless the network itself was observed.
+        self.received_at: dict[Identity, float] = {}
         self.accepted: set[int] = set()  # labels that a branch took, to be in effect later
         self.missed: set[Identity] = set()  # whose client's leaving the head was not told of
         self.down: dict[int, list[tuple[float, float]]] = defaultdict(list)  # of each head, from and until
@@ -102,13 +103,13 @@
         elif event == "accepted":
             self.accepted.add(r["label"])
         elif event == "came":
-            self.came[r["label"], r["attempt"]] = r["t"]
+            self.received_at[r["label"], r["attempt"]] = r["t"]
         elif event == "abort missed":
             self.missed.add((r["label"], r["attempt"]))
         elif event == "apart":
             self.apart[r["client"], r["head"]].append((r["t"], r["until"]))
 
-    def judge(self) -> Verdict:
+    def check(self) -> Verdict:
         self._count()
         self._one_answer()
         self._no_effect_twice()
@@ -270,8 +271,8 @@
         lines: dict[tuple[int, str], list[Record]] = defaultdict(list)
         # On one connection the order of sending is that of coming; else what came in one moment has none.
         order = {identity: n for n, identity in enumerate(self.sent)}
-        if self.came:
-            order = {identity: int(at / SAME_INSTANT_SECONDS) for identity, at in self.came.items()}
+        if self.received_at:
+            order = {identity: int(at / SAME_INSTANT_SECONDS) for identity, at in self.received_at.items()}
         for identity, arrivals in self.arrivals.items():
             sent = self.sent.get(identity)
             if sent and sent["key"]:
@@ -285,7 +286,7 @@
                     continue  # another life of the head, which knows nothing of what this one had out
                 if one == two:
                     continue
-                if order.get(two, 0) < order.get(one, 0) - (1 if self.came else 0):
+                if order.get(two, 0) < order.get(one, 0) - (1 if self.received_at else 0):
                     self._broken(5, f"head {head} sent a key's transactions out of turn", later["label"])
                 if not self._over_before(earlier, later):
                     self._broken(5, f"head {head} sent a key's next transaction early", later["label"])
--- a/gorsethread/invariants/online_checker.py
+++ b/gorsethread/invariants/online_checker.py
@@ -39,11 +39,11 @@
     over_at: float = float("inf")
     how: str = ""
     finals: int = 0
-    came: float = 0.0  # when it was whole at its head, where the network was watched
+    received_at: float = 0.0  # when it was whole at its head, where the network was watched
 
     def before(self, other: "_Seen") -> bool:
-        if self.came and other.came:
-            return self.came < other.came - SAME_INSTANT_SECONDS
+        if self.received_at and other.received_at:
+            return self.received_at < other.received_at - SAME_INSTANT_SECONDS
         return self.order < other.order
 
 
@@ -73,7 +73,7 @@
         self._start = float("nan")
         self._said: set[tuple[int, object]] = set()
 
-    def take(self, r: Record) -> None:
+    def add(self, r: Record) -> None:
         if self._start != self._start:
             self._start = r["t"]
         match r["e"]:
@@ -84,7 +84,7 @@
                 self._arrived(r)
             case "came":
                 if (seen := self.seen.get((r["label"], r["attempt"]))) is not None:
-                    seen.came = r["t"]
+                    seen.received_at = r["t"]
             case "ended":
                 self._ended(r)
             case "answer" | "answered late":
@@ -116,7 +116,7 @@
             case "shelf killed":
                 self._shelf_deaths[r["shelf"]].append(r["t"])
 
-    def end(self, at: float) -> None:
+    def finish(self, at: float) -> None:
         """Nothing more comes: what has no answer now has none."""
         for (label, _), s in self.seen.items():
             if not s.how and not self._out_of_reach(s.sent, at):
--- a/gorsethread/simulation/branch_checks.py
+++ b/gorsethread/simulation/branch_checks.py
@@ -38,13 +38,13 @@
         near = pb.Volume(number=volume.number, head=self.near[volume.number])
         return super()._head_for(near)
 
-    def _one_try(self, t: Any, attempt: int, link: Any) -> Any:
-        one: Any = super()._one_try(t, attempt, link)
+    def _new_attempt(self, t: Any, attempt: int, link: Any) -> Any:
+        one: Any = super()._new_attempt(t, attempt, link)
         one.begun = self.transport.now()
         return one
 
     def answered(self, one: Any, how: str, completion: Any, data: bytes) -> None:
-        t, now = one.t, self.transport.now()
+        t, now = one.request, self.transport.now()
         blocks = [(t.volume.number, t.first_block + n) for n in range(t.blocks)]
         accepted = how == "honoured" and t.operation == Opcode.WRITE and completion.dw0 == 0
         if accepted:
--- a/gorsethread/simulation/durable_log_checks.py
+++ b/gorsethread/simulation/durable_log_checks.py
@@ -17,9 +17,11 @@
 
     def answered(self, one: Any, how: str, completion: Any, data: bytes) -> None:
         if completion is not None and completion.status == Status.UNWRITTEN_BLOCK:
-            blocks = range(one.t.first_block, one.t.first_block + one.t.blocks)
-            if any((one.t.volume.number, block) in self.acknowledged for block in blocks):
-                self.denied(one.t.volume.number, one.t.first_block // one.t.volume.extent_blocks)
+            blocks = range(one.request.first_block, one.request.first_block + one.request.blocks)
+            if any((one.request.volume.number, block) in self.acknowledged for block in blocks):
+                self.denied(
+                    one.request.volume.number, one.request.first_block // one.request.volume.extent_blocks
+                )
         super().answered(one, how, completion, data)
         self.shards.clear()
 
--- a/gorsethread/simulation/http_simulation.py
+++ b/gorsethread/simulation/http_simulation.py
@@ -87,11 +87,11 @@
     def _start_client(self, tenant: str) -> None:
         super()._start_client(tenant)
         client: Any = self.clients[tenant]
-        client.crosses = self._crosses
+        client.may_be_unread = self._may_be_unread
 
-    def _crosses(self, one: HttpAttempt) -> bool:
+    def _may_be_unread(self, one: HttpAttempt) -> bool:
         """It had not come, or had only just and was not read yet."""
-        came = self.online.seen[one.t.label, one.attempt].came
+        came = self.online.seen[one.request.label, one.attempt].received_at
         return not came or self.loop.time() - came < SAME_INSTANT_SECONDS
 
     # ---- heads
@@ -162,7 +162,9 @@
     async def _ending(self, act: Act, head: Any) -> None:
         await head.end()
         number = int(act.whom.split(" ")[1])
-        taken = [s for s in self.online.seen.values() if s.came and not s.how and s.sent["head"] == number]
+        taken = [
+            s for s in self.online.seen.values() if s.received_at and not s.how and s.sent["head"] == number
+        ]
         self.loop.call_later(SOON, self._judge_end, act.whom, taken)
         self.loop.call_soon(self._down, act, act.whom, "end")
 
--- a/gorsethread/simulation/site_simulation.py
+++ b/gorsethread/simulation/site_simulation.py
@@ -225,7 +225,7 @@
     def saw(self, who: str, event: str, facts: dict[str, Any]) -> None:
         record = {"t": self.loop.time(), "who": who, "e": event, **facts}
         self.records.append(record)
-        self.online.take(record)
+        self.online.add(record)
         self.network.add_to_digest(who, event, *facts.values())
 
     def telling(self, facts: dict[str, Any]) -> None:
@@ -342,7 +342,7 @@
         )
         if self.script.volumes:
             client.volumes = [v for v in client.volumes if v.number in self.script.volumes]
-        client.leaves = self.script.leaves
+        client.abandon_fraction = self.script.leaves
         self.clients[tenant] = client
 
         async def whole() -> None:
@@ -512,8 +512,8 @@
         for name, process in self.processes.items():
             if process.failed is not None:
                 self.defects.append(f"{name.split(' ')[0]} raised: {process.failed!r}")
-        self.online.end(self.loop.time())
-        verdict = HistoryChecker(self.site, self.records, EXACT).judge()
+        self.online.finish(self.loop.time())
+        verdict = HistoryChecker(self.site, self.records, EXACT).check()
         if not verdict.counts["honoured"]:
             self.defects.append("nothing was honoured: this world shows nothing")
         return Outcome(
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -256,7 +256,7 @@
 
     def judged(self) -> None:
         """Every rule held, by what was seen."""
-        verdict = HistoryChecker(self.site, self.seen).judge()
+        verdict = HistoryChecker(self.site, self.seen).check()
         self.assertEqual([], [str(b) for b in verdict.violations])
         self.assertEqual((0, 0), (verdict.lost, verdict.duplicated))
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -121,7 +121,7 @@
             fleet = RealFleet(
                 transport, Processes(Path(folder), pb.Site()), read_script("heads 2\n"), lambda line: None
             )
-            fleet.cast.faults.cut([("head 0", "head 1"), ("head 1", "head 0")], 0.0)
+            fleet.fault_player.faults.cut([("head 0", "head 1"), ("head 1", "head 0")], 0.0)
             await asyncio.gather(*(fleet._start(f"head {n}") for n in range(2)))
             await fleet._settle(6.0, "a cut that stays")
             fleet.script = read_script("heads 2\n")
--- a/tests/test_harness.py
+++ b/tests/test_harness.py
@@ -13,7 +13,7 @@
 from gorsethread.harness import site
 from gorsethread.harness.process_faults import FaultPlayer, unsupported_acts
 from gorsethread.harness.processes import Processes
-from gorsethread.harness.relay import Faults, StreamRelay
+from gorsethread.harness.relay import LinkFaults, StreamRelay
 from gorsethread.harness.service import SUPPORTED_ACTS, SUPPORTED_PARTIES, ServiceTrial
 from gorsethread.harness.site import SiteTrial
 from gorsethread.logs import log_for, start_logs
@@ -139,11 +139,11 @@
         self.assertEqual(([0] * 4, 0, 0), (r.rules[:4], r.lost, r.duplicated), r.reasons)
         self.assertLess(trial.peak_share(), STAMPEDE)
         self.assertGreater(r.honoured, 0.5 * r.taken)
-        self.assertEqual(12, len(trial.cast.faults.mutes), "all watches: else this shows nothing")
+        self.assertEqual(12, len(trial.fault_player.faults.mutes), "all watches: else this shows nothing")
 
     def test_one_script_on_real_processes_and_on_the_virtual_clock(self) -> None:
         real, world = self.played(script=BOTH), play(SITE, read_script(BOTH), web=True)
-        self.assertEqual([], real.cast.unreached, "every point was come to")
+        self.assertEqual([], real.fault_player.unreached_points, "every point was come to")
         r, v = real.result, world.verdict
         self.assertEqual(([0] * 4, 0, 0), (r.rules[:4], r.lost, r.duplicated), r.reasons)
         self.assertEqual(([0] * 4, 0, 0), (v.rules[:4], v.lost, v.duplicated), world.reasons)
@@ -189,9 +189,9 @@
         self.addCleanup(self.loop.close)
         network = Network(self.loop, 5, NetworkConditions(split=0.0))
         self.user, self.far, self.mid = (VirtualTransport(network, Disk(), n) for n in ("user", "far", "mid"))
-        self.faults = Faults()
+        self.faults = LinkFaults()
         self.relay = StreamRelay(self.mid, self.faults)
-        self.relay.way("head 0", "list", ("mid", 1), ("far", 1))
+        self.relay.add_route("head 0", "list", ("mid", 1), ("far", 1))
         self.listener = self.far.listen("far", 1, self.echo)
         self.got: list[tuple[float, bytes]] = []
         self.ended = 0.0
@@ -317,15 +317,15 @@
             async def start(name: str) -> None:
                 await processes.start(name, begins=("-c", "import time; time.sleep(60)"))
 
-            cast = FaultPlayer(RealTransport(1), processes, 1, start, lambda line: None)
+            player = FaultPlayer(RealTransport(1), processes, 1, start, lambda line: None)
             await start("head 0")
             script = read_script("heads 1\n0 stab head-0 -> point-take by 2 for 1\n")
-            with mock.patch("gorsethread.harness.process_faults.REACHED_WITHIN", 0.1):
-                await cast.do(script.acts[0])
-                await asyncio.gather(*cast._later)
-            self.assertEqual("2", cast.flag(script.acts[0]).read_text())
-            await cast.end()
-            return cast
+            with mock.patch("gorsethread.harness.process_faults.KILL_POINT_TIMEOUT_SECONDS", 0.1):
+                await player.apply(script.acts[0])
+                await asyncio.gather(*player._tasks)
+            self.assertEqual("2", player.flag(script.acts[0]).read_text())
+            await player.end()
+            return player
 
         with tempfile.TemporaryDirectory() as folder:
-            self.assertEqual(1, len(asyncio.run(work(folder)).unreached))
+            self.assertEqual(1, len(asyncio.run(work(folder)).unreached_points))
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -82,7 +82,7 @@
 
 class Judged(unittest.TestCase):
     def judge(self, *seen: Seen, site: str = SITE) -> Verdict:
-        return HistoryChecker(parse_site(site), seen).judge()
+        return HistoryChecker(parse_site(site), seen).check()
 
     def broken(self, rule: int, *seen: Seen, site: str = SITE) -> None:
         verdict = self.judge(*seen, site=site)
@@ -99,8 +99,8 @@
         """What the judge of each step says of the same."""
         online = OnlineChecker(parse_site(site))
         for record in sorted(seen, key=lambda r: r["t"]):
-            online.take(record)
-        online.end(max((r["t"] for r in seen), default=0.0))
+            online.add(record)
+        online.finish(max((r["t"] for r in seen), default=0.0))
         return {b.rule for _, b in online.violations}
 
     def test_one_answer(self) -> None:
--- a/tests/test_offline_writes.py
+++ b/tests/test_offline_writes.py
@@ -355,9 +355,9 @@
         branch_states: list[dict[str, Any]] = []
 
         class Trial(BranchTrial):
-            async def _settled(self) -> None:
+            async def _clients_finished(self) -> None:
                 """Also runs `branch show` in a process of its own, as an operator would."""
-                await super()._settled()
+                await super()._clients_finished()
                 path = self.processes.folder / "site-of-heads.txtpb"
                 arguments = ["branch", "show", "--site", str(path), "--head", "3", "--json", "-"]
                 shown = await asyncio.to_thread(
