--- a/gorsethread/cli/main.py
+++ b/gorsethread/cli/main.py
@@ -196,7 +196,7 @@
         return made[0]
 
     _serve(make, seed, logger)
-    if made[0].machine.fallen:
+    if made[0].machine.overloaded:
         raise typer.Exit(FELL)
 
 
--- a/gorsethread/fakes/backend.py
+++ b/gorsethread/fakes/backend.py
@@ -1,4 +1,4 @@
-"""A stand-in shelf: NVMe/TCP outside, a model machine inside, real bytes in files that outlive a kill."""
+"""A fake backend: speaks NVMe/TCP, models its machine, and stores real bytes in files that outlive a kill."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from gorsethread.fakes.backend_model import Job, Machine
+from gorsethread.fakes.backend_model import BackendModel, Job
 from gorsethread.fakes.discovery import Registration
 from gorsethread.fakes.record import Fault, Recorder
 from gorsethread.nvme.command import Completion, Opcode, Status, tell_service
@@ -22,14 +22,19 @@
 
 @dataclass(slots=True)
 class ReceivedCommand:
-    """What a shelf keeps of a command: its units, and its data once that is here."""
+    """A backend's record of a command: its units, and its data once that has arrived."""
 
     units: int
     data: bytes = b""
 
 
 class FakeBackend:
-    """warm: as if up for long. folder: where its bytes are kept; fell: called when it is pushed over."""
+    """Serves commands as the model of its machine allows, with faults from a script.
+
+    number: its number in the site. script: faults with their times on the transport's clock.
+    folder: directory of the files that hold its bytes. warm: it counts as started long ago.
+    on_overload: called when it is overloaded during slow start.
+    """
 
     def __init__(
         self,
@@ -49,9 +54,9 @@
         self.me = next(s for s in site.shelf if s.number == number)
         self.chance = transport.random_stream(f"shelf {number}")
         self.start_id = int(transport.now() * 1e6)
-        self.machine = Machine(site.machine, site.rules.cold, transport.now(), warm)
+        self.machine = BackendModel(site.machine, site.rules.cold, transport.now(), warm)
         self.warm = warm
-        self.error_part, self.errors_until = 0.0, 0.0
+        self.error_fraction, self.errors_until = 0.0, 0.0
         self.script = script
         self.sorter = Sorter(site)
         self.volumes = {v.number: v for v in site.volume}
@@ -60,14 +65,16 @@
             site.subsystem, self._admits, f"shelf-{number}", "gorsethread stand-in", site.links.largest_bytes
         )
         self.server = QueueServer(transport, self.subsystem, self, 4096, log)
-        self.files: dict[int, RandomAccessFile] = {}  # one a volume
-        self.silent: list[IoCommand] = []  # came while it stood still; emptied as it moves again
-        # labelled writes done, emptied as their time to be remembered passes
-        self.labels: dict[int, float] = {}
-        self.doing: dict[int, list[IoCommand]] = {}  # repeats of labelled writes that wait for the first
-        self.served: dict[int, dict[int, int]] = {}  # units by volume and head
-        self.told: dict[tuple[int, int], int] = {}  # of others' units, by volume and head
-        self.meter: dict[int, tuple[int, int, int]] = {}  # by volume: period, units in it, in the one before
+        self.files: dict[int, RandomAccessFile] = {}  # by volume
+        self.stalled_commands: list[IoCommand] = []  # received while stalled; emptied when the stall ends
+        # Idempotency windows: when each key expires. Emptied as the windows end.
+        self.key_expiry: dict[int, float] = {}
+        # Repeats of keyed writes that wait for the first attempt to end.
+        self.waiting_repeats: dict[int, list[IoCommand]] = {}
+        self.units_served: dict[int, dict[int, int]] = {}  # units by volume and gateway
+        self.units_reported: dict[tuple[int, int], int] = {}  # units of other gateways, by volume and gateway
+        # By volume: the period's number, units in it, units in the period before.
+        self.meter: dict[int, tuple[int, int, int]] = {}
         self._timer: Timer | None = None
         self._timer_at = float("inf")
 
@@ -78,7 +85,7 @@
         for fault in self.script:
             self.transport.call_at(fault.at, lambda fault=fault: self._fault(fault))  # type: ignore[misc]
         if self.site.machine.put_off:
-            self._pay()
+            self._run_deferred_work()
         self.recorder.record(
             "up",
             shelf=self.number,
@@ -87,7 +94,7 @@
             start=self.start_id,
             warm=self.warm,
         )
-        self.log.info("shelf serves", address=f"{host}:{self.port}", shard=self.me.shard)
+        self.log.info("backend is listening", address=f"{host}:{self.port}", shard=self.me.shard)
 
     def _listen(self, host: str, port: int) -> None:
         self._listener = self.transport.listen(host, port, self.server.on_stream)
@@ -95,7 +102,7 @@
 
     def stop(self) -> None:
         self._listener.close()
-        self.server.stop("the shelf ends")
+        self.server.stop("the backend stops")
 
     # ---- faults
 
@@ -104,26 +111,28 @@
         self.log.warning("fault", kind=fault.kind, seconds=fault.seconds, part=fault.part)
         self.recorder.record("fault", kind=fault.kind, seconds=fault.seconds)
         if fault.kind == "still":
-            self.machine.stand_still(now, fault.seconds)
-            self.transport.call_at(self.machine.still_until, self._move_again)
+            self.machine.stall(now, fault.seconds)
+            self.transport.call_at(self.machine.stalled_until, self._end_stall)
         elif fault.kind == "errors":
-            self.error_part, self.errors_until = fault.part, now + fault.seconds
+            self.error_fraction, self.errors_until = fault.part, now + fault.seconds
         elif fault.kind == "slow":
-            self.machine.slow = fault.part
-            self.transport.call_at(now + fault.seconds, lambda: setattr(self.machine, "slow", 1.0))
+            self.machine.slowdown = fault.part
+            self.transport.call_at(now + fault.seconds, lambda: setattr(self.machine, "slowdown", 1.0))
 
-    def _move_again(self) -> None:
-        if self.machine.is_still(self.transport.now()):
+    def _end_stall(self) -> None:
+        if self.machine.is_stalled(self.transport.now()):
             return
-        silent, self.silent = self.silent, []
-        for io in silent:
-            self._offer(io)
-        self._look()
-
-    def _pay(self) -> None:
-        self.machine.pay(self.transport.now())
-        self._look()
-        self.transport.call_at(self.transport.now() + self.site.machine.put_off_every, self._pay)
+        stalled, self.stalled_commands = self.stalled_commands, []
+        for io in stalled:
+            self._queue(io)
+        self._advance()
+
+    def _run_deferred_work(self) -> None:
+        self.machine.start_deferred_work(self.transport.now())
+        self._advance()
+        self.transport.call_at(
+            self.transport.now() + self.site.machine.put_off_every, self._run_deferred_work
+        )
 
     # ---- I/O commands
 
@@ -132,7 +141,7 @@
         return self.namespaces if mark and number.isdigit() else None
 
     def announced(self, io: IoCommand) -> None:
-        """Stamped as the capsule comes, before anything else is known of it."""
+        """Records the command's arrival when its capsule is read, before its data."""
         c = io.command
         units = units_of(c.blocks * BLOCK, self.site.links.unit_bytes)
         io.owned = ReceivedCommand(units)
@@ -140,111 +149,118 @@
             "arrived",
             shelf=self.number,
             start=self.start_id,
-            head=_head(io),
+            head=_gateway_of(io),
             label=c.label,
             attempt=c.attempt,
             volume=c.nsid,
             units=units,
             op=c.opcode,
         )
-        self.machine.arrives(self.transport.now(), units)
-        if self.machine.fallen:
+        self.machine.count_arrival(self.transport.now(), units)
+        if self.machine.overloaded:
             self.recorder.record("fell", shelf=self.number, start=self.start_id)
-            self.log.error("pushed over while cold")
+            self.log.error("overloaded during slow start")
             self.stop()
             self.on_overload()
 
     def taken(self, io: IoCommand, data: bytes) -> None:
-        if self.machine.fallen:
+        if self.machine.overloaded:
             return
         io.owned.data = data
-        if self.machine.is_still(self.transport.now()):
-            self.silent.append(io)
+        if self.machine.is_stalled(self.transport.now()):
+            self.stalled_commands.append(io)
             return
-        self._offer(io)
-        self._look()
+        self._queue(io)
+        self._advance()
 
     def left(self, io: IoCommand) -> None:
-        """An abort drops what has not begun; after a lost connection the work goes on, as a disk's would."""
+        """Drops an aborted command if it has not started.
+
+        After a lost connection the command runs nevertheless, as it would on a disk.
+        """
         if not io.connection.queue.over:
             self._withdraw(io)
 
     def _withdraw(self, io: IoCommand) -> None:
-        if io in self.silent:
-            self.silent.remove(io)
+        if io in self.stalled_commands:
+            self.stalled_commands.remove(io)
         elif not self.machine.withdraw(io):
             return
-        self._saw_end(io, "dropped", False)
-        if (repeats := self.doing.pop(io.command.label, None)) is not None:
-            # The first of them will not run after all: the next takes its place.
-            self.labels.pop(io.command.label, None)
+        self._record_end(io, "dropped", False)
+        if (repeats := self.waiting_repeats.pop(io.command.label, None)) is not None:
+            # The attempt that the repeats wait for will not run, so the next repeat runs instead.
+            self.key_expiry.pop(io.command.label, None)
             for repeat in repeats:
-                self._offer(repeat)
+                self._queue(repeat)
 
     def _profile(self, io: IoCommand) -> pb.Profile:
         c, volume = io.command, self.volumes[io.command.nsid]
         return self.site.profile[self.sorter.profile(volume.plan, c.opcode, c.blocks * BLOCK, c.hints)]
 
-    def _offer(self, io: IoCommand) -> None:
+    def _queue(self, io: IoCommand) -> None:
         c, now = io.command, self.transport.now()
         profile = self._profile(io)
-        if now < self.errors_until and self.chance.random() < self.error_part:
+        if now < self.errors_until and self.chance.random() < self.error_fraction:
             ran = c.opcode == Opcode.WRITE and self.chance.random() < 0.5
             if ran:
                 self._apply(io)
-            self._saw_end(io, "error", ran)
+            self._record_end(io, "error", ran)
             io.answer(Completion(0, Status.INTERNAL_ERROR, final=True))
             return
         if profile.effect == pb.LABELLED and c.label:
-            if c.label in self.doing:
-                self.doing[c.label].append(io)
+            if c.label in self.waiting_repeats:
+                self.waiting_repeats[c.label].append(io)
                 return
-            if now < self.labels.get(c.label, 0.0):
-                self._saw_end(io, "repeat", False)
+            if now < self.key_expiry.get(c.label, 0.0):
+                self._record_end(io, "repeat", False)
                 io.answer(Completion(0))
                 return
-        put_off = self.site.machine.put_off if c.opcode == Opcode.WRITE else 0.0
-        job = Job(io, io.owned.units * self.site.machine.unit_time, put_off)
+        deferred_fraction = self.site.machine.put_off if c.opcode == Opcode.WRITE else 0.0
+        job = Job(io, io.owned.units * self.site.machine.unit_time, deferred_fraction)
         if not self.machine.offer(now, job):
-            self._saw_end(io, "turned away", False)
+            self._record_end(io, "turned away", False)
             io.answer(Completion(0, Status.COMMAND_INTERRUPTED))
             return
         if profile.effect == pb.LABELLED and c.label:
-            self.doing[c.label] = []
-            self.labels[c.label] = now + profile.remembered
-            while (first := next(iter(self.labels))) and self.labels[first] < now and first not in self.doing:
-                del self.labels[first]
-
-    def _look(self) -> None:
+            self.waiting_repeats[c.label] = []
+            self.key_expiry[c.label] = now + profile.remembered
+            while (
+                (first := next(iter(self.key_expiry)))
+                and self.key_expiry[first] < now
+                and first not in self.waiting_repeats
+            ):
+                del self.key_expiry[first]
+
+    def _advance(self) -> None:
         now = self.transport.now()
         for job in self.machine.finished(now):
-            if job.what is not None:
+            if job.item is not None:
                 self._finish(job, now)
         due = self.machine.next_end(now)
         if due != self._timer_at or self._timer is None:
             if self._timer:
                 self._timer.cancel()
             self._timer_at = due
-            self._timer = self.transport.call_at(due, self._timer_came) if due < float("inf") else None
+            self._timer = self.transport.call_at(due, self._timer_fired) if due < float("inf") else None
 
-    def _timer_came(self) -> None:
+    def _timer_fired(self) -> None:
         self._timer, self._timer_at = None, float("inf")
-        self._look()
+        self._advance()
 
     def _finish(self, job: Job, now: float) -> None:
-        io: IoCommand = job.what
+        io: IoCommand = job.item
         c = io.command
-        got = b""
+        data = b""
         if c.opcode == Opcode.WRITE:
             self._apply(io)
         else:
-            got = self._file(c.nsid).read(c.first_block * BLOCK, c.blocks * BLOCK)
-        elsewhere, usage = self._count(c.nsid, _head(io), io.owned.units, now)
-        dw0, dw1 = tell_service(elsewhere, usage, now - job.begun)
-        self._saw_end(io, "honoured", c.opcode == Opcode.WRITE)
-        io.answer(Completion(0, dw0=dw0, dw1=dw1), got)
-        for repeat in self.doing.pop(c.label, []):
-            self._saw_end(repeat, "repeat", False)
+            data = self._file(c.nsid).read(c.first_block * BLOCK, c.blocks * BLOCK)
+        elsewhere, usage = self._count(c.nsid, _gateway_of(io), io.owned.units, now)
+        dw0, dw1 = tell_service(elsewhere, usage, now - job.started_at)
+        self._record_end(io, "honoured", c.opcode == Opcode.WRITE)
+        io.answer(Completion(0, dw0=dw0, dw1=dw1), data)
+        for repeat in self.waiting_repeats.pop(c.label, []):
+            self._record_end(repeat, "repeat", False)
             repeat.answer(Completion(0))
 
     def _apply(self, io: IoCommand) -> None:
@@ -259,12 +275,17 @@
         return self.files[volume]
 
     def _count(self, volume: int, head: int, units: int, now: float) -> tuple[int, int]:
-        """Units others got here since this head was last told, and usage here in the last whole period."""
-        served = self.served.setdefault(volume, {})
+        """Counts the units that a gateway was served.
+
+        Returns the units that other gateways were served since this gateway was last told, and the volume's
+        usage in the last complete period: 1 + percent of the plan's usual rate, or 0 if it is not metered.
+        The first is 0 if the site's backends do not report it.
+        """
+        served = self.units_served.setdefault(volume, {})
         served[head] = served.get(head, 0) + units
         others = sum(u for h, u in served.items() if h != head)
-        elsewhere = others - self.told.get((volume, head), 0)
-        self.told[volume, head] = others
+        elsewhere = others - self.units_reported.get((volume, head), 0)
+        self.units_reported[volume, head] = others
         usage = 0
         if length := self.site.machine.meter_period:
             period = int(now / length)
@@ -276,27 +297,30 @@
             usage = 1 + round(100 * before / length / plan.usual)
         return (elsewhere if self.site.machine.tells_elsewhere else 0), usage
 
-    def _saw_end(self, io: IoCommand, how: str, ran: bool) -> None:
+    def _record_end(self, io: IoCommand, how: str, ran: bool) -> None:
         c = io.command
         self.recorder.record(
             "ended",
             shelf=self.number,
             start=self.start_id,
-            head=_head(io),
+            head=_gateway_of(io),
             label=c.label,
             attempt=c.attempt,
             how=how,
             ran=ran,
         )
 
-    # ---- the node list
+    # ---- discovery
 
     async def _register(self) -> None:
-        """Keeps a connection to the list for as long as this process runs; that is all the list knows."""
+        """Registers with discovery and holds the connection open as long as this process runs.
+
+        Discovery takes the connection as the only sign that the backend is up.
+        """
         while True:
             try:
                 stream: Stream = await self.transport.connect(*split_address(self.site.list.address), 1.0)
-                age = 0.0 if self.warm else max(0.001, self.transport.now() - self.machine.since)
+                age = 0.0 if self.warm else max(0.001, self.transport.now() - self.machine.started_at)
                 me = Registration(
                     self.number, self.me.address, self.me.shard, self.me.zone, self.start_id, age
                 )
@@ -307,5 +331,5 @@
                 await self.transport.sleep(0.5)
 
 
-def _head(io: IoCommand) -> int:
+def _gateway_of(io: IoCommand) -> int:
     return int(io.host.rpartition(GATEWAY_MARK)[2])
--- a/gorsethread/fakes/web/backend.py
+++ b/gorsethread/fakes/web/backend.py
@@ -169,7 +169,7 @@
         self.announced(io)  # type: ignore[arg-type]
         io.owned = ReceivedCommand(units, request.body)
         if shard not in (-1, self.me.shard):
-            self._saw_end(io, "turned away", False)  # type: ignore[arg-type]
+            self._record_end(io, "turned away", False)  # type: ignore[arg-type]
             io.answer(Completion(0, Status.COMMAND_INTERRUPTED))
             return
         self.taken(io, request.body)  # type: ignore[arg-type]
--- a/tests/test_nvme_gateway.py
+++ b/tests/test_nvme_gateway.py
@@ -109,7 +109,7 @@
         await asyncio.sleep(0)
         second = self.send(client, Opcode.READ, block=1)
         self.assertEqual("pushed back", (await second)[0])
-        self.shelves[0]._saw_end(held[0], "honoured", False)
+        self.shelves[0]._record_end(held[0], "honoured", False)
         held[0].answer(Completion(0), bytes(4096))
         self.assertEqual("honoured", (await first)[0])
         await ending
@@ -220,7 +220,7 @@
         client = await self.client()
 
         def twice(io: IoCommand) -> bool:
-            self.shelves[0]._saw_end(io, "honoured", False)
+            self.shelves[0]._record_end(io, "honoured", False)
             io.answer(Completion(0), bytes(4096))
             io.connection.queue._open.add(io.command.cid)
             io.connection.queue.respond(Completion(io.command.cid))
@@ -304,7 +304,7 @@
         await self.until(lambda: 0 not in self.heads[0].driver.scheduler.shards.serving)
         late = self.send(client, Opcode.READ)
         await self.until(lambda: held)
-        self.shelves[0]._saw_end(held[0], "honoured", True)
+        self.shelves[0]._record_end(held[0], "honoured", True)
         held[0].answer(Completion(0))
         self.assertEqual("honoured", (await sent)[0])
         self.assertIn((await late)[0], ("pushed back", "given up"))
@@ -321,7 +321,7 @@
         driver, follower = self.heads[0].driver, self.heads[0].follower
         follower._take(b'{"kind":"changes","version":90,"shelves":[%s]}' % _gone(self.site.shelf[0].address))
         self.assertIn(0, driver.links)
-        self.shelves[0]._saw_end(held[0], "honoured", False)
+        self.shelves[0]._record_end(held[0], "honoured", False)
         held[0].answer(Completion(0), bytes(4096))
         self.assertEqual("honoured", (await sent)[0])
         follower._take(b'{"kind":"changes","version":91,"shelves":[]}')
