--- a/gorsethread/fakes/__init__.py
+++ b/gorsethread/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what surrounds a head: shelves, node list, clients, with faults drawn from a seed."""
+"""Fakes of what surrounds a gateway: backends, discovery and clients, with faults from scripts and seeds."""
--- a/gorsethread/fakes/client.py
+++ b/gorsethread/fakes/client.py
@@ -1,7 +1,7 @@
-"""A stand-in client: one tenant's applications, open-loop, over every head its volumes are reached through.
+"""A fake client: sends the load of one tenant to all gateways that serve its volumes.
 
-Arrivals don't wait for answers. A client repeats at most once, as its profile permits, and checks what
-it reads.
+The load is open-loop: requests are due by the clock and don't wait for answers. A client retries a request
+at most once, if the request's class permits it, and verifies the data that it reads.
 """
 
 import struct
@@ -19,18 +19,22 @@
 from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import Timer, Transport, Unreachable
 
-QUEUE = 128
+QUEUE_SIZE = 128  # commands in flight on one association
 STAMP = struct.Struct("<QQII8s")
 MARK = b"gorseth\n"
 SMALL_WRITE_HINTS = 0x10
-MAX_REMEMBERED_EXTENTS = 64  # of the extents a tenant wrote last, which its reads go back to
-HOT_EXTENTS = 3  # of a volume, which take all its small writes, so that they meet
-RETRY_FRACTION = 0.7  # part of the transactions that a client tries a second time
-ABANDON_FRACTION = 0.01  # part of the reads whose client does not wait for the answer
+MAX_REMEMBERED_EXTENTS = 64  # extents that were written last to a volume, from which reads choose
+HOT_EXTENTS = 3  # per volume; they get all its small writes, so that writes to one key coincide
+MAX_SHARDS = 100_000  # extents whose shard a client remembers
+RETRY_FRACTION = 0.7  # of the requests that may be retried
+ABANDON_FRACTION = 0.01  # of the reads, whose client aborts without waiting for the answer
 
 
 class Surge(msgspec.Struct, frozen=True):
-    """A volume asks for many times its usual traffic. at: the machine's clock."""
+    """A period in which a volume's load is a multiple of its usual rate.
+
+    at: its start on the machine's clock; seconds: how long it lasts; times: the multiple.
+    """
 
     volume: int
     at: float
@@ -39,55 +43,61 @@
 
 
 def stamped_blocks(label: int, volume: int, first_block: int, blocks: int) -> bytes:
-    """What a write puts in each block: who wrote it, and where it belongs."""
-    times = BLOCK // STAMP.size
-    return b"".join(STAMP.pack(label, first_block + n, volume, 0, MARK) * times for n in range(blocks))
+    """Returns data for a write in which each block names the request that wrote it and its own location."""
+    copies = BLOCK // STAMP.size
+    return b"".join(STAMP.pack(label, first_block + n, volume, 0, MARK) * copies for n in range(blocks))
 
 
 def misplaced_blocks(data: bytes, volume: int, first_block: int) -> int:
-    """How many blocks hold neither zeros nor a whole stamp of this place."""
+    """Counts the blocks that hold neither only zeros nor complete stamps of this location."""
     wrong = 0
     for n in range(len(data) // BLOCK):
         block = data[n * BLOCK : (n + 1) * BLOCK]
-        label, at, of, _, mark = STAMP.unpack_from(block)
-        good = at == first_block + n and of == volume and mark == MARK
+        label, stamped_block, stamped_volume, _, mark = STAMP.unpack_from(block)
+        good = stamped_block == first_block + n and stamped_volume == volume and mark == MARK
         if any(block) and not (good and block == block[: STAMP.size] * (BLOCK // STAMP.size)):
             wrong += 1
     return wrong
 
 
 class GatewayConnection:
-    """The association with one head, made anew whenever it breaks."""
+    """Holds an association with one gateway and reconnects whenever it breaks."""
 
     def __init__(self, transport: Transport, number: int, address: tuple[str, int], names: Names) -> None:
         self.transport, self.number, self.address, self.names = transport, number, address, names
         self.association: Association | None = None
-        self.open: dict[int, LoadAttempt] = {}  # by command id; emptied by answers or the connection's end
+        # By command id; emptied by answers and when the connection ends.
+        self.open: dict[int, LoadAttempt] = {}
 
     async def keep(self) -> None:
         while True:
             try:
-                made = await dial(self.transport, self.address, self.names, within=2.0, size=QUEUE)
+                association = await dial(
+                    self.transport, self.address, self.names, within=2.0, size=QUEUE_SIZE
+                )
             except Unreachable:
                 await self.transport.sleep(0.2)
                 continue
-            made.io.ended = self._ended
-            made.admin.ended = lambda reason, made=made: made.io.close(reason)  # type: ignore[misc]
-            self.association = made
-            while self.association is made:
+            association.io.ended = self._ended
+            association.admin.ended = lambda reason, a=association: a.io.close(reason)  # type: ignore[misc]
+            self.association = association
+            while self.association is association:
                 await self.transport.sleep(0.1)
 
     def _ended(self, reason: str) -> None:
-        made, self.association = self.association, None
-        if made is not None:
-            made.close(reason)
-        out, self.open = self.open, {}
-        for t in out.values():
-            t.ended("unreachable", None, b"")
+        association, self.association = self.association, None
+        if association is not None:
+            association.close(reason)
+        unanswered, self.open = self.open, {}
+        for attempt in unanswered.values():
+            attempt.ended("unreachable", None, b"")
 
 
 class LoadRequest:
-    """What an application wants, over all its tries."""
+    """One request of an application, over all its attempts.
+
+    due: when the application made it; by: its deadline. Both are on the machine's clock.
+    """
 
     __slots__ = (
         "label",
@@ -121,93 +131,98 @@
 
 
 class LoadAttempt:
-    """One command of a transaction, from its sending to its one answer."""
+    """One command that is sent for a request, until its answer or its end without one."""
 
-    def __init__(self, client: "LoadClient", t: LoadRequest, attempt: int, link: Any) -> None:
-        self.client, self.request, self.attempt, self.link = client, t, attempt, link
+    def __init__(self, client: "LoadClient", request: LoadRequest, attempt: int, link: Any) -> None:
+        self.client, self.request, self.attempt, self.link = client, request, attempt, link
         self.over = False
         self.cid = -1
         self.timer: Timer | None = None
-        self.written: list[bool] = []  # of a read's blocks, which were known as written when it was sent
+        self.written: list[
+            bool
+        ] = []  # for each block of a read: a write of it had been acknowledged before sending
 
     def send(self) -> bool:
-        """False: there is no connection or no room on it, or no time left, and nothing was sent."""
-        association, t, client = self.link.association, self.request, self.client
-        if association is None or len(association.io.queue) >= QUEUE or association.io.queue.over:
+        """Sends the command; returns False if there is no connection, no room on it or no time left."""
+        association, request, client = self.link.association, self.request, self.client
+        if association is None or len(association.io.queue) >= QUEUE_SIZE or association.io.queue.over:
             return False
         now = client.transport.now()
-        if now >= t.by:
-            return False  # this process itself came too late to it
-        shard = client.shards.get((t.volume.number, t.first_block // t.volume.extent_blocks), -1)
+        if now >= request.by:
+            return False  # this process itself was late
+        shard = client.shards.get(
+            (request.volume.number, request.first_block // request.volume.extent_blocks), -1
+        )
         command = io_command(
-            t.operation,
-            t.volume.number,
-            t.first_block,
-            t.blocks,
-            hints=t.hints,
-            patience=t.by - now,
+            request.operation,
+            request.volume.number,
+            request.first_block,
+            request.blocks,
+            hints=request.hints,
+            patience=request.by - now,
             attempt=self.attempt,
             shard=shard,
-            label=t.label,
+            label=request.label,
         )
         data = b""
-        if t.operation == Opcode.WRITE:
-            data = stamped_blocks(t.label, t.volume.number, t.first_block, t.blocks)
+        if request.operation == Opcode.WRITE:
+            data = stamped_blocks(request.label, request.volume.number, request.first_block, request.blocks)
         client.recorder.record(
             "sent",
-            label=t.label,
+            label=request.label,
             attempt=self.attempt,
             head=self.link.number,
-            volume=t.volume.number,
-            profile=t.profile,
-            units=units_of(t.blocks * BLOCK, client.site.links.unit_bytes),
-            key=t.key,
-            by=t.by,
-            due=t.due,
+            volume=request.volume.number,
+            profile=request.profile,
+            units=units_of(request.blocks * BLOCK, client.site.links.unit_bytes),
+            key=request.key,
+            by=request.by,
+            due=request.due,
         )
-        read = 0 if data else t.blocks * BLOCK
+        read = 0 if data else request.blocks * BLOCK
         if read:
-            blocks = range(t.first_block, t.first_block + t.blocks)
-            self.written = [(t.volume.number, block) in client.acknowledged for block in blocks]
+            blocks = range(request.first_block, request.first_block + request.blocks)
+            self.written = [(request.volume.number, block) in client.acknowledged for block in blocks]
         self.cid = association.io.queue.submit(command, self._done, data, read)
         self.link.open[self.cid] = self
-        self.timer = client.transport.call_at(t.by, self._time_is_up)
+        self.timer = client.transport.call_at(request.by, self._timed_out)
         return True
 
-    def misread(self, data: bytes) -> int:
-        """How much of what came back can't be what it asked for."""
+    def count_wrong_blocks(self, data: bytes) -> int:
+        """Counts the blocks of an answer that can't be what the request asked for."""
         wrong = 0
         if self.request.operation == Opcode.READ:
             wrong = misplaced_blocks(data, self.request.volume.number, self.request.first_block)
-            for n, known in enumerate(self.written):
-                if known and not any(data[n * BLOCK : n * BLOCK + 16]):
+            for n, acknowledged in enumerate(self.written):
+                if acknowledged and not any(data[n * BLOCK : n * BLOCK + 16]):
                     wrong += 1
         return wrong
 
-    def leave_after(self, seconds: float) -> None:
-        self.client.transport.call_at(self.client.transport.now() + seconds, self._leave)
+    def abandon_after(self, seconds: float) -> None:
+        self.client.transport.call_at(self.client.transport.now() + seconds, self._abandon)
 
-    def _leave(self) -> None:
+    def _abandon(self) -> None:
         if not self.over and self.link.association is not None:
             self.ended("left", None, b"")
             self.link.association.abort(self.cid, missed=self._abort_missed)
 
-    def _take_back(self) -> None:
-        """Its time is up; the head need not go on."""
+    def _abort(self) -> None:
+        """Asks the gateway to abort the command after the deadline."""
         if self.link.association is not None:
             self.link.association.abort(self.cid)
 
     def _abort_missed(self) -> None:
-        """The head answered before, or had not read the command yet: it knows nothing of this leaving."""
+        """Records an abort without effect: the gateway had already answered or not yet read the command."""
         self.client.recorder.record("abort missed", label=self.request.label, attempt=self.attempt)
 
-    def _time_is_up(self, turns: int = 3) -> None:
-        # What had come in time may still lie unread where this process itself stood still for a moment.
+    def _timed_out(self, turns: int = 3) -> None:
+        # If this process stalled, an answer that arrived in time may still be unread: give the event loop
+        # a few turns to read it.
         if turns and not self.over:
-            self.client.transport.call_soon(lambda: self._time_is_up(turns - 1))
+            self.client.transport.call_soon(lambda: self._timed_out(turns - 1))
         elif not self.over:
             self.ended("unanswered", None, b"")
-            self._take_back()
+            self._abort()
 
     def _done(self, completion: Completion, data: bytes) -> None:
         self.link.open.pop(self.cid, None)
@@ -232,7 +247,11 @@
 
 
 class LoadClient:
-    """factor: how much of its plans' usual traffic it asks for; by: when it stops sending."""
+    """Sends one tenant's load.
+
+    factor: multiple of the usual rate of the volumes' plans.
+    start_at, by: when it starts and stops sending, on the machine's clock.
+    """
 
     def __init__(
         self,
@@ -254,14 +273,17 @@
         self.volumes = [v for v in site.volume if v.tenant == tenant]
         self.plans = {p.name: p for p in site.plan}
         self.sorter = Sorter(site)
-        wanted = {h for v in self.volumes for h in v.head}
-        self.links = {h.number: self._link(h) for h in site.head if h.number in wanted}
-        self.shards: OrderedDict[tuple[int, int], int] = OrderedDict()  # told by heads; bounded below
-        self.written: dict[int, list[int]] = {v.number: [] for v in self.volumes}  # extents, the last few
-        self.acknowledged: set[tuple[int, int]] = set()  # blocks; no more than the volumes have
+        gateways = {h for v in self.volumes for h in v.head}
+        self.links = {h.number: self._link(h) for h in site.head if h.number in gateways}
+        # Shard by volume and extent, as gateways reported it; answered() drops the oldest beyond MAX_SHARDS.
+        self.shards: OrderedDict[tuple[int, int], int] = OrderedDict()
+        # The extents written last, by volume: at most MAX_REMEMBERED_EXTENTS each.
+        self.written: dict[int, list[int]] = {v.number: [] for v in self.volumes}
+        # Volume and number of each block whose write was acknowledged; at most all blocks of the volumes.
+        self.acknowledged: set[tuple[int, int]] = set()
         self.next_extent = {v.number: 0 for v in self.volumes}
-        self.lead: dict[int, tuple[int, float]] = {}
-        self.labels = self.chance.randrange(2**40) << 20
+        self.preferred: dict[int, tuple[int, float]] = {}  # by volume: gateway, until when
+        self.last_label = self.chance.randrange(2**40) << 20
         self.unfinished = 0
         self.abandon_fraction = ABANDON_FRACTION
 
@@ -269,8 +291,8 @@
         names = Names(self.site.subsystem, self.me.host[0])
         return GatewayConnection(self.transport, head.number, split_address(head.address), names)
 
-    def _new_attempt(self, t: LoadRequest, attempt: int, link: Any) -> LoadAttempt:
-        return LoadAttempt(self, t, attempt, link)
+    def _new_attempt(self, request: LoadRequest, attempt: int, link: Any) -> LoadAttempt:
+        return LoadAttempt(self, request, attempt, link)
 
     async def run(self) -> None:
         for link in self.links.values():
@@ -279,28 +301,28 @@
         for volume in self.volumes:
             self.transport.spawn(self._arrivals(volume))
         await self.transport.sleep(max(0.0, self.by - self.transport.now()))
-        longest = max(p.cut_off for p in self.site.profile)
-        until = self.transport.now() + longest + 1.0
+        max_timeout = max(p.cut_off for p in self.site.profile)
+        until = self.transport.now() + max_timeout + 1.0
         while self.unfinished and self.transport.now() < until:
             await self.transport.sleep(0.05)
         self.recorder.record("end", unfinished=self.unfinished)
 
     async def _arrivals(self, volume: pb.Volume) -> None:
-        """Open-loop: the next arrival is due by the clock, however late this loop or an answer is."""
+        """Sends a volume's requests when they are due, however late this loop or an answer is."""
         due = self.transport.now()
         while due < self.by:
-            times = self.factor
-            for s in self.surges:
-                if s.volume == volume.number and s.at <= due < s.at + s.seconds:
-                    times *= s.times
-            t = self._next(volume, due)
-            units = units_of(t.blocks * BLOCK, self.site.links.unit_bytes)
-            self._try(t, 0)
-            due += self.chance.expovariate(self.plans[volume.plan].usual * times / units)
+            multiple = self.factor
+            for surge in self.surges:
+                if surge.volume == volume.number and surge.at <= due < surge.at + surge.seconds:
+                    multiple *= surge.times
+            request = self._next_request(volume, due)
+            units = units_of(request.blocks * BLOCK, self.site.links.unit_bytes)
+            self._start_attempt(request, 0)
+            due += self.chance.expovariate(self.plans[volume.plan].usual * multiple / units)
             if (wait := due - self.transport.now()) > 0:
                 await self.transport.sleep(wait)
 
-    def _next(self, volume: pb.Volume, due: float) -> LoadRequest:
+    def _next_request(self, volume: pb.Volume, due: float) -> LoadRequest:
         draw = self.chance.random()
         extents = volume.blocks // volume.extent_blocks
         hints, key = 0, ""
@@ -327,67 +349,73 @@
         profile = self.sorter.profile(volume.plan, operation, blocks * BLOCK, hints)
         if self.site.profile[profile].in_order:
             key = f"{volume.number}/{extent}"
-        self.labels += 1
+        self.last_label += 1
         by = due + self.site.profile[profile].cut_off
-        return LoadRequest(self.labels, volume, profile, operation, first, blocks, hints, key, due, by)
+        return LoadRequest(self.last_label, volume, profile, operation, first, blocks, hints, key, due, by)
 
-    def _head_for(self, volume: pb.Volume) -> Any:
-        """A volume uses its heads unevenly, and which one most changes."""
+    def _choose_gateway(self, volume: pb.Volume) -> Any:
+        """Chooses a gateway of a volume, mostly a preferred one that changes after 6 to 20 seconds."""
         now = self.transport.now()
-        lead, until = self.lead.get(volume.number, (0, 0.0))
+        gateway, until = self.preferred.get(volume.number, (0, 0.0))
         if now >= until:
-            lead = volume.head[self.chance.randrange(len(volume.head))]
-            self.lead[volume.number] = (lead, now + self.chance.uniform(6.0, 20.0))
+            gateway = volume.head[self.chance.randrange(len(volume.head))]
+            self.preferred[volume.number] = (gateway, now + self.chance.uniform(6.0, 20.0))
         if self.chance.random() > 0.6:
-            lead = volume.head[self.chance.randrange(len(volume.head))]
-        return self.links[lead]
-
-    def _try(self, t: LoadRequest, attempt: int, link: Any = None) -> None:
-        link = link or self._head_for(t.volume)
-        one = self._new_attempt(t, attempt, link)
-        if not one.send():
-            self.never_sent(one)
+            gateway = volume.head[self.chance.randrange(len(volume.head))]
+        return self.links[gateway]
+
+    def _start_attempt(self, request: LoadRequest, attempt: int, link: Any = None) -> None:
+        link = link or self._choose_gateway(request.volume)
+        load_attempt = self._new_attempt(request, attempt, link)
+        if not load_attempt.send():
+            self.record_not_sent(load_attempt)
             return
         self.unfinished += 1
-        if t.operation == Opcode.READ and self.chance.random() < self.abandon_fraction:
-            one.leave_after(self.chance.uniform(0.0, 0.3))
+        if request.operation == Opcode.READ and self.chance.random() < self.abandon_fraction:
+            load_attempt.abandon_after(self.chance.uniform(0.0, 0.3))
 
-    def never_sent(self, one: LoadAttempt) -> None:
-        t = one.request
+    def record_not_sent(self, attempt: LoadAttempt) -> None:
+        request = attempt.request
         self.recorder.record(
             "not sent",
-            label=t.label,
-            attempt=one.attempt,
-            head=one.link.number,
-            volume=t.volume.number,
-            profile=t.profile,
-            due=t.due,
+            label=request.label,
+            attempt=attempt.attempt,
+            head=attempt.link.number,
+            volume=request.volume.number,
+            profile=request.profile,
+            due=request.due,
         )
 
-    def answered(self, one: LoadAttempt, how: str, completion: Completion | None, data: bytes) -> None:
-        t, now = one.request, self.transport.now()
+    def answered(self, attempt: LoadAttempt, how: str, completion: Completion | None, data: bytes) -> None:
+        request, now = attempt.request, self.transport.now()
         self.unfinished -= 1
         wrong = 0
-        extent = t.first_block // t.volume.extent_blocks
+        extent = request.first_block // request.volume.extent_blocks
         if how == "honoured" and completion is not None:
-            wrong = one.misread(data)
-            if t.operation != Opcode.READ:
-                self.acknowledged.update((t.volume.number, t.first_block + n) for n in range(t.blocks))
-                if t.volume.placement == pb.FIRST_WRITE:
-                    self.written[t.volume.number].append(extent)
-                    del self.written[t.volume.number][:-MAX_REMEMBERED_EXTENTS]
+            wrong = attempt.count_wrong_blocks(data)
+            if request.operation != Opcode.READ:
+                self.acknowledged.update(
+                    (request.volume.number, request.first_block + n) for n in range(request.blocks)
+                )
+                if request.volume.placement == pb.FIRST_WRITE:
+                    self.written[request.volume.number].append(extent)
+                    del self.written[request.volume.number][:-MAX_REMEMBERED_EXTENTS]
             if completion.dw0:
-                self.shards[t.volume.number, extent] = completion.dw0 - 1
-                self.shards.move_to_end((t.volume.number, extent))
-                if len(self.shards) > 100_000:
+                self.shards[request.volume.number, extent] = completion.dw0 - 1
+                self.shards.move_to_end((request.volume.number, extent))
+                if len(self.shards) > MAX_SHARDS:
                     self.shards.popitem(last=False)
         status = completion.status if completion is not None else -1
         self.recorder.record(
-            "answer", label=t.label, attempt=one.attempt, how=how, status=status, wrong=wrong
+            "answer", label=request.label, attempt=attempt.attempt, how=how, status=status, wrong=wrong
         )
-        if how in ("honoured", "left", "unanswered") or one.attempt or self.chance.random() > RETRY_FRACTION:
+        if (
+            how in ("honoured", "left", "unanswered")
+            or attempt.attempt
+            or self.chance.random() > RETRY_FRACTION
+        ):
             return
-        effect = self.site.profile[t.profile].effect
+        effect = self.site.profile[request.profile].effect
         if (
             how != "pushed back"
             and effect != pb.REDOABLE
@@ -397,10 +425,10 @@
         wait = 0.1 + self.chance.random() * 0.2
         if how == "pushed back" and completion is not None:
             wait = max(wait, completion.dw1 / 1000)
-        if now + wait < t.by - 0.1:
-            self.unfinished += 1  # else this client would end with a repeat still to come
-            self.transport.call_at(now + wait, lambda: self._repeat(t, one.link))
+        if now + wait < request.by - 0.1:
+            self.unfinished += 1  # otherwise run() could return before the retry
+            self.transport.call_at(now + wait, lambda: self._retry(request, attempt.link))
 
-    def _repeat(self, t: LoadRequest, link: Any) -> None:
+    def _retry(self, request: LoadRequest, link: Any) -> None:
         self.unfinished -= 1
-        self._try(t, 1, link)
+        self._start_attempt(request, 1, link)
--- a/gorsethread/fakes/record.py
+++ b/gorsethread/fakes/record.py
@@ -1,4 +1,7 @@
-"""What a stand-in saw on its sockets, a line each, for the witness. Times are the machine's one clock."""
+"""Records of what a fake observed on its sockets, one JSON line each, for the invariant checkers.
+
+Times are on one clock of the machine, which all processes share.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -11,7 +14,10 @@
 
 
 class Recorder:
-    """who: the stand-in's name. path "" keeps nothing."""
+    """Appends records to a file.
+
+    who: the fake's name. path: the file; "" records nothing.
+    """
 
     def __init__(self, transport: Transport, who: str, path: str) -> None:
         self._transport, self._who = transport, who
@@ -24,7 +30,12 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """at: the machine's clock; kind: still, errors, slow (shelves), late, refuse (list); part: how much."""
+    """One fault of a script.
+
+    at: time on the machine's clock, in seconds.
+    kind: still, errors, slow or spoil (backends); late or refuse (discovery).
+    part: its size: a fraction for errors and spoil, a factor for slow, seconds of extra delay for late.
+    """
 
     at: float
     kind: str
--- a/gorsethread/fakes/web/backend.py
+++ b/gorsethread/fakes/web/backend.py
@@ -1,4 +1,4 @@
-"""A fake backend that speaks HTTP, with answers spoilt on request."""
+"""A fake backend that speaks HTTP and can send malformed answers."""
 
 from collections.abc import Callable
 from typing import Any
@@ -13,18 +13,20 @@
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.base import Stream, StreamClosed
 
-FIRST_VALID_NOISE = -3  # of a shelf's noises, those that hold a whole answer in front
-CLOSING_NOISE = FIRST_VALID_NOISE - 1  # the one that has no length, and is whole as its connection ends
+FIRST_VALID_NOISE = -3  # index in `noises` from which on each starts with a complete answer
+CLOSING_NOISE = FIRST_VALID_NOISE - 1  # index of the answer without a length, which the close completes
 
 
 class HttpCommand:
-    """A request at a shelf, in the shape that the machine behind it knows."""
+    """A request at a backend, with the attributes of an IoCommand that FakeBackend uses."""
 
     __slots__ = ("command", "host", "owned", "target", "connection", "answered")
 
-    def __init__(self, connection: "BackendConnection", command: Command, head: int, target: bytes) -> None:
+    def __init__(
+        self, connection: "BackendConnection", command: Command, gateway: int, target: bytes
+    ) -> None:
         self.connection, self.command, self.target = connection, command, target
-        self.host = f"{GATEWAY_MARK}{head}"
+        self.host = f"{GATEWAY_MARK}{gateway}"
         self.owned: Any = None
         self.answered = False
 
@@ -35,10 +37,10 @@
 
 
 class BackendConnection:
-    """One connection of one head; one request at a time."""
+    """One connection of one gateway; it carries one request at a time."""
 
-    def __init__(self, shelf: "HttpFakeBackend", stream: Stream, head: int) -> None:
-        self.shelf, self.stream, self.head = shelf, stream, head
+    def __init__(self, backend: "HttpFakeBackend", stream: Stream, gateway: int) -> None:
+        self.backend, self.stream, self.gateway = backend, stream, gateway
         self.codec = ServerCodec()
         self.io: HttpCommand | None = None
 
@@ -46,57 +48,60 @@
         try:
             while True:
                 self.codec.feed(await self.stream.read())
-                self.proceed()
+                self.handle_requests()
         except StreamClosed:
             if self.io is not None and not self.io.answered:
-                self.shelf.given_up(self.io)
+                self.backend.connection_lost(self.io)
         except InvalidRequestError as error:
-            self.shelf.recorder.record("bad request", shelf=self.shelf.number, reason=str(error))
+            self.backend.recorder.record("bad request", shelf=self.backend.number, reason=str(error))
             self.stream.write(closing_response(error.status))
             self.stream.close()
 
-    def proceed(self) -> None:
+    def handle_requests(self) -> None:
         while (request := self.codec.next_request()) is not None:
-            self.shelf.requested(self, request)
+            self.backend.handle_request(self, request)
 
-    def say(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
-        said, goes_on = self.codec.respond(status, headers, body)
-        self.stream.write(said)
-        if not goes_on:
+    def respond(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
+        response, keeps_open = self.codec.respond(status, headers, body)
+        self.stream.write(response)
+        if not keeps_open:
             self.stream.close()
         elif self.codec.partial:
-            self.shelf.transport.call_soon(self.proceed)
+            self.backend.transport.call_soon(self.handle_requests)
 
     def answer(self, io: HttpCommand, completion: Completion) -> None:
         self.io = None
         if completion.pushed_back:
-            self.say(503, [(b"srv-declined", b"1")], b"")
+            self.respond(503, [(b"srv-declined", b"1")], b"")
         elif not completion.honoured:
-            self.say(500, [], b"")
-        elif (noise := self.shelf.noise()) is not None:
-            if noise in self.shelf.noises[FIRST_VALID_NOISE:]:
-                # It goes on; else it is of no more use, though it stays open.
+            self.respond(500, [], b"")
+        elif (noise := self.backend.noise()) is not None:
+            if noise in self.backend.noises[FIRST_VALID_NOISE:]:
+                # The connection carries further requests; after other noise it stays open but unusable.
                 self.codec.respond(200, [], b"")
             self.stream.write(noise(io))
-            if noise is self.shelf.noises[CLOSING_NOISE]:
+            if noise is self.backend.noises[CLOSING_NOISE]:
                 self.stream.close()
         else:
             elsewhere, usage, _ = told_service(completion)
             headers = [(b"other-hosts", b"%d" % elsewhere), (b"volume-load", b"%d" % usage)]
-            self.say(200, headers, self.shelf.body_for(io))
+            self.respond(200, headers, self.backend.body_for(io))
 
 
-def _whole(body: bytes, more: bytes = b"") -> bytes:
-    return b"HTTP/1.1 200 OK\r\n" + more + b"Content-Length: %d\r\n\r\n" % len(body) + body
+def _ok_response(body: bytes, headers: bytes = b"") -> bytes:
+    return b"HTTP/1.1 200 OK\r\n" + headers + b"Content-Length: %d\r\n\r\n" % len(body) + body
 
 
 class HttpFakeBackend(FakeBackend):
-    """Has the fault 'spoil' besides: that part of its answers can't be used, though all of them ran."""
+    """Serves requests over HTTP.
+
+    It has the additional fault `spoil`: a fraction of the answers is malformed, although all requests ran.
+    """
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
         self.profiles = {p.name.encode(): p for p in self.site.profile}
-        self.spoil_part = self.spoil_until = 0.0
+        self.spoil_fraction = self.spoil_until = 0.0
         self.noises: list[Callable[[HttpCommand], bytes]] = [
             lambda io: b"\x00\xff\x17 what is this \r\n\r\n" * 3,
             lambda io: b"HTTP/1.1 200 OK\r\nX-Pad: " + b"a" * 40_000,
@@ -104,37 +109,38 @@
             lambda io: b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"b" * 60_000,
             lambda io: b"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n",
             lambda io: b"HTTP/1.1 200 OK\r\n\r\n" + self.body_for(io),
-            # This one is good, as its connection ends behind it.
+            # Valid, because the connection is closed after it.
             lambda io: b"HTTP/1.0 200 OK\r\n\r\n" + self.body_for(io),
-            # These three are good, and bring more than belongs to them.
-            lambda io: _whole(self.body_for(io)) + _whole(b"another's answer"),
-            lambda io: b"HTTP/1.1 102 Processing\r\n\r\n" + _whole(self.body_for(io)) + b"zzz",
-            lambda io: _whole(self.body_for(io), b"Other-Hosts: x\r\nVolume-Load: -7e9999\r\n") + b"\r\n",
+            # These three start with a valid answer and have surplus bytes or headers.
+            lambda io: _ok_response(self.body_for(io)) + _ok_response(b"another's answer"),
+            lambda io: b"HTTP/1.1 102 Processing\r\n\r\n" + _ok_response(self.body_for(io)) + b"zzz",
+            lambda io: _ok_response(self.body_for(io), b"Other-Hosts: x\r\nVolume-Load: -7e9999\r\n")
+            + b"\r\n",
         ]
 
     def body_for(self, io: HttpCommand) -> bytes:
-        """Made for this request alone, and says where it lies."""
+        """Returns a body that names this request's id and the backend's shard."""
         return f"{id_of(io.command.label, io.command.attempt)} {self.me.shard}".encode()
 
     def noise(self) -> Callable[[HttpCommand], bytes] | None:
-        if self.transport.now() >= self.spoil_until or self.chance.random() >= self.spoil_part:
+        if self.transport.now() >= self.spoil_until or self.chance.random() >= self.spoil_fraction:
             return None
         return self.noises[self.chance.randrange(len(self.noises))]
 
     def _fault(self, fault: Fault) -> None:
         super()._fault(fault)
         if fault.kind == "spoil":
-            self.spoil_part, self.spoil_until = fault.part, self.transport.now() + fault.seconds
+            self.spoil_fraction, self.spoil_until = fault.part, self.transport.now() + fault.seconds
 
     def _listen(self, host: str, port: int) -> None:
         self.port = port
         self._listeners = [self._listen_to(host, h.number) for h in self.site.head]
 
-    def _listen_to(self, host: str, head: int) -> Any:
+    def _listen_to(self, host: str, gateway: int) -> Any:
         async def on_stream(stream: Stream) -> None:
-            await BackendConnection(self, stream, head).serve()
+            await BackendConnection(self, stream, gateway).serve()
 
-        return self.transport.listen(host, FIRST_GATEWAY_PORT + head, on_stream)
+        return self.transport.listen(host, FIRST_GATEWAY_PORT + gateway, on_stream)
 
     def stop(self) -> None:
         for listener in self._listeners:
@@ -143,7 +149,7 @@
     def _profile(self, io: Any) -> pb.Profile:
         return self.profiles[io.target.split(b"/")[1]]
 
-    def requested(self, connection: BackendConnection, request: Request) -> None:
+    def handle_request(self, connection: BackendConnection, request: Request) -> None:
         try:
             id = int((request.header(b"req-id") or b"").decode(), 16)
             info = dict(part.split("=") for part in (request.header(b"io-info") or b"").decode().split(","))
@@ -151,7 +157,7 @@
             volume, blocks = self.volumes[volume].number, units * self.site.links.unit_bytes // BLOCK
         except (ValueError, KeyError) as error:
             self.recorder.record("bad request", shelf=self.number, reason=repr(error))
-            connection.say(400, [], b"")
+            connection.respond(400, [], b"")
             return
         write = request.method == b"PUT"
         command = io_command(
@@ -165,7 +171,7 @@
         )
         if request.body != (body_of(id, units) if write else b""):
             self.recorder.record("bad request", shelf=self.number, reason="not the body that the client sent")
-        io = connection.io = HttpCommand(connection, command, connection.head, request.target)
+        io = connection.io = HttpCommand(connection, command, connection.gateway, request.target)
         self.announced(io)  # type: ignore[arg-type]
         io.owned = ReceivedCommand(units, request.body)
         if shard not in (-1, self.me.shard):
@@ -174,7 +180,7 @@
             return
         self.taken(io, request.body)  # type: ignore[arg-type]
 
-    def given_up(self, io: HttpCommand) -> None:
-        """Its connection has ended: what has not begun is dropped, what runs runs on."""
+    def connection_lost(self, io: HttpCommand) -> None:
+        """Handles the end of the request's connection: drops it if it has not started, else lets it run."""
         self._withdraw(io)  # type: ignore[arg-type]
         io.answered = True
--- a/gorsethread/fakes/web/messages.py
+++ b/gorsethread/fakes/web/messages.py
@@ -1,14 +1,14 @@
-"""What the platform's parties have in common: ids, bodies, settings and entries of the list."""
+"""Request ids, bodies, settings and list entries that the HTTP fakes share."""
 
 from typing import Any
 
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.reading import split_address
 
-FIRST_GATEWAY_PORT = 8000  # the port at which a shelf or discovery is reached by head 0; the next ones follow
-ATTEMPTS = 4  # of a client's transaction, told apart in an id
-EFFECTS = {pb.REDOABLE: "free", pb.LABELLED: "guarded", pb.IRREVERSIBLE: "single_shot"}
-GROUPS = {pb.GROUP_UNSET: "all", pb.ALL: "all", pb.ZONE: "zone", pb.SHARD: "cell"}
+FIRST_GATEWAY_PORT = 8000  # port of a backend or of discovery for gateway 0; gateway n uses this + n
+ATTEMPTS = 4  # attempts of one request that an id can distinguish
+EFFECT_NAMES = {pb.REDOABLE: "free", pb.LABELLED: "guarded", pb.IRREVERSIBLE: "single_shot"}
+SCOPE_NAMES = {pb.GROUP_UNSET: "all", pb.ALL: "all", pb.ZONE: "zone", pb.SHARD: "cell"}
 
 
 def id_of(label: int, attempt: int) -> str:
@@ -16,7 +16,7 @@
 
 
 def settings_of(site: pb.Site) -> dict[str, Any]:
-    """The site in the words of the platform's configuration."""
+    """Returns the site's settings in the format of the platform's configuration."""
     rules, budget = site.rules, {}
     if rules.HasField("budget"):
         budget = {
@@ -51,8 +51,8 @@
                 "name": p.name,
                 "aim": p.promised,
                 "giveUp": p.cut_off,
-                "effect": EFFECTS[p.effect],
-                "group": GROUPS[p.group],
+                "effect": EFFECT_NAMES[p.effect],
+                "group": SCOPE_NAMES[p.group],
                 "window": p.remembered,
                 "keepOrder": p.in_order,
                 "worth": p.value,
@@ -80,12 +80,15 @@
 
 
 def instance(
-    number: int, address: str, shard: int, zone: int, state: str, started: float, head: int
+    number: int, address: str, shard: int, zone: int, state: str, started: float, gateway: int
 ) -> dict[str, Any]:
-    """An entry of discovery's list as one head gets it. started: Unix time, 0 for long ago."""
+    """Returns a backend's entry in discovery's list for one gateway.
+
+    started: Unix time in seconds; 0 if it started long ago.
+    """
     return {
         "instanceId": f"s-{number}",
-        "hostPort": f"{split_address(address)[0]}:{FIRST_GATEWAY_PORT + head}",
+        "hostPort": f"{split_address(address)[0]}:{FIRST_GATEWAY_PORT + gateway}",
         "zone": f"room-{zone}",
         "cell": shard,
         "lifecycle": state,
--- a/gorsethread/harness/service.py
+++ b/gorsethread/harness/service.py
@@ -247,9 +247,9 @@
             await self.transport.sleep(act.seconds)
             self.backends[number] = BackendRun(self, number, False)
         elif act.kind == "drain":
-            self.nodes.order(number, "draining")
+            self.nodes.set_state(number, "draining")
             await self.transport.sleep(act.seconds)
-            self.nodes.order(number, "ready")
+            self.nodes.set_state(number, "ready")
         else:
             self.backends[number].shelf._fault(Fault(self.transport.now(), act.kind, act.seconds, act.by))
 
--- a/gorsethread/invariants/__init__.py
+++ b/gorsethread/invariants/__init__.py
@@ -1,1 +1,1 @@
-"""Judges the seven rules by what shelves, clients and the list saw on their sockets."""
+"""Checks seven invariants from what backends, clients and discovery recorded on their sockets."""
--- a/gorsethread/invariants/online_checker.py
+++ b/gorsethread/invariants/online_checker.py
@@ -1,8 +1,9 @@
-"""The seven rules as they are broken: records one by one, in the order of time, each judged by what was known
-at that moment. Where the judge of the whole history sees that a forward turned out not to have run, this one
-asks whether that was known when the next one left.
+"""Checks the seven invariants record by record, in order of time, and finds a violation as it happens.
 
-State grows with what was seen, as it must to judge it; it is for worlds and tests, which end.
+Each record is checked against what was known at its time. HistoryChecker uses that an attempt turned out not
+to have run; OnlineChecker asks whether that was known when the next attempt was sent.
+
+The state grows with the number of records, so the checker is only for simulations and tests, which end.
 """
 
 from bisect import insort
@@ -14,72 +15,79 @@
     NEVER_RAN,
     SAME_INSTANT_SECONDS,
     SLACK,
-    Identity,
+    AttemptId,
     Record,
     Violation,
-    left_at,
+    sent_at,
 )
 from gorsethread.site_config import site_pb2 as pb
 
 
 @dataclass(slots=True)
 class _Arrival:
+    """One arrival of an attempt at a backend; end: the record of how the backend ended it."""
+
     record: Record
-    left: float
+    sent_at: float
     end: Record | None = None
 
 
 @dataclass(slots=True)
-class _Seen:
-    """What was seen of one command of a client."""
+class _Attempt:
+    """The records of one attempt of a client.
+
+    order: the number of attempts that were sent before. ended_at, how: time and outcome of its first answer.
+    answers: how many answers a gateway sent.
+    """
 
     sent: Record
     order: int
     arrivals: list[_Arrival] = field(default_factory=list)
-    over_at: float = float("inf")
+    ended_at: float = float("inf")
     how: str = ""
-    finals: int = 0
-    received_at: float = 0.0  # when it was whole at its head, where the network was watched
+    answers: int = 0
+    received_at: float = 0.0  # when it was complete at its gateway; 0 unless the network was observed
 
-    def before(self, other: "_Seen") -> bool:
+    def before(self, other: "_Attempt") -> bool:
         if self.received_at and other.received_at:
             return self.received_at < other.received_at - SAME_INSTANT_SECONDS
         return self.order < other.order
 
 
 class OnlineChecker:
-    """take() each record; breaks has what was broken, with the moment."""
+    """Checks records that are passed to add(); violations holds what was found, with its time."""
 
     def __init__(self, site: pb.Site, slack: float = SLACK) -> None:
         self.site, self.slack = site, slack
         self.violations: list[tuple[float, Violation]] = []
-        self.seen: dict[Identity, _Seen] = {}
-        self.ran: dict[int, int] = defaultdict(int)  # by label
-        self.told: dict[tuple[int, int], float] = {}
-        self.shards = {s.number: (s.shard, s.zone) for s in site.shelf}
+        self.seen: dict[AttemptId, _Attempt] = {}
+        self.run_count: dict[int, int] = defaultdict(int)  # by label
+        self.told: dict[tuple[int, int], float] = {}  # by gateway and backend: when told that it stops
+        self.locations = {s.number: (s.shard, s.zone) for s in site.shelf}  # shard and zone of each backend
         self.plans = {p.name: p for p in site.plan}
         self.volumes = {v.number: v for v in site.volume}
-        self._away: dict[tuple[str, int], list[tuple[float, float]]] = defaultdict(list)
+        self._unreachable: dict[tuple[str, int], list[tuple[float, float]]] = defaultdict(list)
         self._down: dict[int, list[tuple[float, float]]] = defaultdict(list)
-        self._shelf_deaths: dict[int, list[float]] = defaultdict(list)
-        self._head_deaths: dict[int, float] = {}
-        self._lines: dict[tuple[int, str], tuple[_Seen, _Arrival]] = {}  # the last of each key
-        self._taken: dict[int, deque[float]] = defaultdict(deque)
-        self._further: dict[int, deque[float]] = defaultdict(deque)
-        self._spent: dict[int, list[tuple[float, float]]] = defaultdict(list)  # first forwards as they left
-        self._store: dict[int, tuple[float, float]] = {}  # of each volume's limit: level, when
-        self._missed: set[Identity] = set()
-        self._accepted: set[int] = set()  # labels that a branch took, to be in effect later
-        self._start = float("nan")
-        self._said: set[tuple[int, object]] = set()
+        self._backend_deaths: dict[int, list[float]] = defaultdict(list)
+        self._gateway_deaths: dict[int, float] = {}
+        self._last_arrival: dict[tuple[int, str], tuple[_Attempt, _Arrival]] = {}  # by gateway and key
+        self._requests: dict[int, deque[float]] = defaultdict(deque)
+        self._retries: dict[int, deque[float]] = defaultdict(deque)
+        # By volume: time and units of first attempts, in order of sending.
+        self._spent: dict[int, list[tuple[float, float]]] = defaultdict(list)
+        self._tokens: dict[int, tuple[float, float]] = {}  # by volume: level of its rate limit's bucket, when
+        self._missed_aborts: set[AttemptId] = set()
+        self._accepted: set[int] = set()  # labels of requests that a branch accepted to replay later
+        self._started_at = float("nan")
+        self._reported: set[tuple[int, object]] = set()  # rule and what it concerns
 
     def add(self, r: Record) -> None:
-        if self._start != self._start:
-            self._start = r["t"]
+        if self._started_at != self._started_at:
+            self._started_at = r["t"]
         match r["e"]:
             case "sent":
-                self.seen[r["label"], r["attempt"]] = _Seen(r, len(self.seen))
-                self._taken[r["head"]].append(r["t"])
+                self.seen[r["label"], r["attempt"]] = _Attempt(r, len(self.seen))
+                self._requests[r["head"]].append(r["t"])
             case "arrived":
                 self._arrived(r)
             case "came":
@@ -97,44 +105,46 @@
                 else:
                     self.told.setdefault((r["head"], r["shelf"]), r["t"])
             case "fell":
-                self._broken(r["t"], 4, f"shelf {r['shelf']} was pushed over while cold", r["t"])
+                self._add_violation(
+                    r["t"], 4, f"backend {r['shelf']} was overloaded during slow start", r["t"]
+                )
             case "accepted":
                 self._accepted.add(r["label"])
             case "abort missed":
-                self._missed.add((r["label"], r["attempt"]))
+                self._missed_aborts.add((r["label"], r["attempt"]))
             case "apart":
-                self._away[r["client"], r["head"]].append((r["t"], r["until"]))
+                self._unreachable[r["client"], r["head"]].append((r["t"], r["until"]))
             case "head killed":
                 self._down[r["head"]].append((r["t"], float("inf")))
-                self._head_deaths[r["head"]] = r["t"]
-                # Another life of the head knows nothing of what this one spent or took.
-                self._further[r["head"]].clear()
-                self._taken[r["head"]].clear()
+                self._gateway_deaths[r["head"]] = r["t"]
+                # A restarted gateway knows nothing of the retries and requests before.
+                self._retries[r["head"]].clear()
+                self._requests[r["head"]].clear()
                 self.told = {pair: at for pair, at in self.told.items() if pair[0] != r["head"]}
             case "head back":
                 self._down[r["head"]][-1] = (self._down[r["head"]][-1][0], r["t"])
             case "shelf killed":
-                self._shelf_deaths[r["shelf"]].append(r["t"])
+                self._backend_deaths[r["shelf"]].append(r["t"])
 
     def finish(self, at: float) -> None:
-        """Nothing more comes: what has no answer now has none."""
+        """Ends the check: an attempt without an answer until now counts as unanswered."""
         for (label, _), s in self.seen.items():
-            if not s.how and not self._out_of_reach(s.sent, at):
-                self._broken(at, 1, f"no answer at all (head {s.sent['head']})", label)
+            if not s.how and not self._was_unreachable(s.sent, at):
+                self._add_violation(at, 1, f"no answer at all (gateway {s.sent['head']})", label)
 
-    # ---- parts
+    # ---- rules
 
-    def _broken(self, at: float, rule: int, reason: str, about: object) -> None:
-        """Once for each transaction and rule."""
-        if (rule, about) not in self._said:
-            self._said.add((rule, about))
+    def _add_violation(self, at: float, rule: int, reason: str, about: object) -> None:
+        """Adds a violation, once for each rule and subject."""
+        if (rule, about) not in self._reported:
+            self._reported.add((rule, about))
             self.violations.append((at, Violation(rule, reason)))
 
-    def _out_of_reach(self, sent: Record, until: float) -> bool:
-        spans = self._down[sent["head"]] + self._away[sent["who"], sent["head"]]
-        return any(begin - self.slack <= until and sent["t"] <= end + self.slack for begin, end in spans)
+    def _was_unreachable(self, sent: Record, until: float) -> bool:
+        intervals = self._down[sent["head"]] + self._unreachable[sent["who"], sent["head"]]
+        return any(begin - self.slack <= until and sent["t"] <= end + self.slack for begin, end in intervals)
 
-    def _profile(self, s: _Seen) -> pb.Profile:
+    def _profile(self, s: _Attempt) -> pb.Profile:
         return self.site.profile[s.sent["profile"]]
 
     def _answered(self, r: Record) -> None:
@@ -142,84 +152,92 @@
         if s is None:
             return
         label, how = r["label"], r.get("how", "late")
-        s.finals += how in FINAL or how == "late"
-        if s.finals > 1:
-            self._broken(r["t"], 1, "more than one answer", label)
+        s.answers += how in FINAL or how == "late"
+        if s.answers > 1:
+            self._add_violation(r["t"], 1, "more than one answer", label)
         if s.how:
             return
-        s.over_at, s.how = r["t"], how
-        if how in ("unanswered", "unreachable") and not self._out_of_reach(s.sent, r["t"]):
-            self._broken(
-                r["t"], 1, f"no answer before the client's time was up (head {s.sent['head']})", label
+        s.ended_at, s.how = r["t"], how
+        if how in ("unanswered", "unreachable") and not self._was_unreachable(s.sent, r["t"]):
+            self._add_violation(
+                r["t"], 1, f"no answer before the client's deadline (gateway {s.sent['head']})", label
             )
         if how == "pushed back":
-            self._pushed_back(s, r)
+            self._check_rejection(s, r)
 
-    def _pushed_back(self, s: _Seen, r: Record) -> None:
-        """Nothing that may have run is pushed back, by what had come back by now."""
+    def _check_rejection(self, s: _Attempt, r: Record) -> None:
+        """Checks that a rejected request had not run, by what was known at that time."""
         profile = self._profile(s)
-        may = [a for a in s.arrivals if not self._known_not_to_have_run(a, r["t"])]
-        if not may or profile.effect == pb.REDOABLE:
+        may_have_run = [a for a in s.arrivals if not self._known_not_to_have_run(a, r["t"])]
+        if not may_have_run or profile.effect == pb.REDOABLE:
             return
-        late = r["t"] > may[0].record["t"] + profile.remembered + self.slack
+        late = r["t"] > may_have_run[0].record["t"] + profile.remembered + self.slack
         if profile.effect == pb.IRREVERSIBLE or profile.group != pb.ALL or late:
-            self._broken(r["t"], 2, "what may have run was pushed back", r["label"])
+            self._add_violation(r["t"], 2, "a request that may have run was rejected", r["label"])
 
-    def _known_not_to_have_run(self, a: _Arrival, by: float) -> bool:
-        return a.end is not None and a.end["how"] in NEVER_RAN and a.end["t"] <= by
+    def _known_not_to_have_run(self, arrival: _Arrival, by: float) -> bool:
+        return arrival.end is not None and arrival.end["how"] in NEVER_RAN and arrival.end["t"] <= by
 
     def _arrived(self, r: Record) -> None:
         s = self.seen.get((r["label"], r["attempt"]))
         if s is None:
             return
-        mine, label, head = _Arrival(r, left_at(r)), r["label"], r["head"]
-        missed = (label, r["attempt"]) in self._missed or label in self._accepted
-        if mine.left > s.over_at + self.slack and not missed and not self._out_of_reach(s.sent, s.over_at):
-            self._broken(r["t"], 1, f"sent to shelf {r['shelf']} after it was over", label)
+        arrival, label, head = _Arrival(r, sent_at(r)), r["label"], r["head"]
+        excused = (label, r["attempt"]) in self._missed_aborts or label in self._accepted
+        if (
+            arrival.sent_at > s.ended_at + self.slack
+            and not excused
+            and not self._was_unreachable(s.sent, s.ended_at)
+        ):
+            self._add_violation(r["t"], 1, f"sent to backend {r['shelf']} after the request had ended", label)
         if label in self._accepted:
-            # At the head that puts it into effect each coming is a transaction of its own.
-            insort(self._taken[head], mine.left)
+            # At the gateway that replays it, each arrival counts as a request of its own.
+            insort(self._requests[head], arrival.sent_at)
         if s.arrivals:
-            self._again(s, mine, label)
+            self._check_resend(s, arrival, label)
         if s.arrivals and label not in self._accepted:
-            # Where a cut held the first one, what came before it was the further one.
-            self._further_forward(head, max(mine.left, min(a.left for a in s.arrivals)))
+            # If a cut delayed the first attempt, the one that arrived before it was the retry.
+            self._check_retry_budget(head, max(arrival.sent_at, min(a.sent_at for a in s.arrivals)))
         told = self.told.get((head, r["shelf"]))
-        if told is not None and mine.left > told + self.site.rules.drain_grace + self.slack:
-            self._broken(
-                r["t"], 3, f"head {head} sent to shelf {r['shelf']} after it was told of its end", label
+        if told is not None and arrival.sent_at > told + self.site.rules.drain_grace + self.slack:
+            self._add_violation(
+                r["t"],
+                3,
+                f"gateway {head} sent to backend {r['shelf']} after it was told that it stops",
+                label,
             )
         if not s.arrivals:
-            self._limit(r, mine.left)
-        s.arrivals.append(mine)
+            self._check_rate_limit(r, arrival.sent_at)
+        s.arrivals.append(arrival)
         if s.sent["key"]:
-            self._in_line(s, mine)
+            self._check_order(s, arrival)
 
-    def _again(self, s: _Seen, mine: _Arrival, label: int) -> None:
+    def _check_resend(self, s: _Attempt, arrival: _Arrival, label: int) -> None:
         profile = self._profile(s)
-        may = [a for a in s.arrivals if not self._known_not_to_have_run(a, mine.left)]
-        if not may or profile.effect == pb.REDOABLE:
+        may_have_run = [a for a in s.arrivals if not self._known_not_to_have_run(a, arrival.sent_at)]
+        if not may_have_run or profile.effect == pb.REDOABLE:
             return
         if profile.effect == pb.IRREVERSIBLE:
-            self._broken(
-                mine.record["t"],
+            self._add_violation(
+                arrival.record["t"],
                 2,
-                "an irreversible transaction was sent again though it may have run",
+                "a non-idempotent request was sent again although it may have run",
                 label,
             )
             return
-        one, other = self.shards[may[0].record["shelf"]], self.shards[mine.record["shelf"]]
+        first = self.locations[may_have_run[0].record["shelf"]]
+        second = self.locations[arrival.record["shelf"]]
         outside = (
             profile.group == pb.SHARD
-            and one[0] != other[0]
+            and first[0] != second[0]
             or profile.group == pb.ZONE
-            and one[1] != other[1]
+            and first[1] != second[1]
         )
-        if outside or mine.left > may[0].record["t"] + profile.remembered + self.slack:
-            self._broken(
-                mine.record["t"],
+        if outside or arrival.sent_at > may_have_run[0].record["t"] + profile.remembered + self.slack:
+            self._add_violation(
+                arrival.record["t"],
                 2,
-                "a labelled transaction was sent again outside its group or window",
+                "a keyed request was sent again outside its idempotency scope or window",
                 label,
             )
 
@@ -231,75 +249,87 @@
                 return
 
     def _ran(self, r: Record) -> None:
-        self.ran[r["label"]] += 1
+        self.run_count[r["label"]] += 1
         s = self.seen.get((r["label"], r["attempt"]))
-        if s is not None and self.ran[r["label"]] > 1 and self._profile(s).effect == pb.IRREVERSIBLE:
-            self._broken(
-                r["t"], 2, f"an irreversible transaction ran {self.ran[r['label']]} times", r["label"]
+        if s is not None and self.run_count[r["label"]] > 1 and self._profile(s).effect == pb.IRREVERSIBLE:
+            self._add_violation(
+                r["t"], 2, f"a non-idempotent request ran {self.run_count[r['label']]} times", r["label"]
             )
 
-    def _in_line(self, s: _Seen, mine: _Arrival) -> None:
+    def _check_order(self, s: _Attempt, arrival: _Arrival) -> None:
         head, label = s.sent["head"], s.sent["label"]
-        before = self._lines.get((head, s.sent["key"]))
-        if before is not None and mine.left < before[1].left:
-            return  # it left before, and a cut held it
-        self._lines[head, s.sent["key"]] = (s, mine)
-        if before is None or before[0] is s or before[1].left < self._head_deaths.get(head, 0.0) <= mine.left:
+        before = self._last_arrival.get((head, s.sent["key"]))
+        if before is not None and arrival.sent_at < before[1].sent_at:
+            return  # it was sent earlier and a cut delayed it
+        self._last_arrival[head, s.sent["key"]] = (s, arrival)
+        if (
+            before is None
+            or before[0] is s
+            or before[1].sent_at < self._gateway_deaths.get(head, 0.0) <= arrival.sent_at
+        ):
             return
-        earlier, its = before
+        earlier, earlier_arrival = before
         if s.before(earlier):
-            self._broken(mine.record["t"], 5, f"head {head} sent a key's transactions out of turn", label)
-        if its.end is not None and its.end["t"] <= mine.left:
+            self._add_violation(
+                arrival.record["t"], 5, f"gateway {head} sent a key's requests out of order", label
+            )
+        if earlier_arrival.end is not None and earlier_arrival.end["t"] <= arrival.sent_at:
             return
-        known_over = [at for at in self._shelf_deaths[its.record["shelf"]] if its.record["t"] <= at]
-        known_over.append(earlier.over_at)
-        if not any(at + self.site.rules.key_rest - self.slack <= mine.left for at in known_over):
-            self._broken(mine.record["t"], 5, f"head {head} sent a key's next transaction early", label)
+        deaths = self._backend_deaths[earlier_arrival.record["shelf"]]
+        end_times = [at for at in deaths if earlier_arrival.record["t"] <= at]
+        end_times.append(earlier.ended_at)
+        if not any(at + self.site.rules.key_rest - self.slack <= arrival.sent_at for at in end_times):
+            self._add_violation(
+                arrival.record["t"],
+                5,
+                f"gateway {head} sent a key's next request early",
+                label,
+            )
 
-    def _further_forward(self, head: int, at: float) -> None:
-        if not self.site.rules.HasField("budget") or at < self._head_deaths.get(head, 0.0):
+    def _check_retry_budget(self, head: int, at: float) -> None:
+        if not self.site.rules.HasField("budget") or at < self._gateway_deaths.get(head, 0.0):
             return
-        budget, window, taken = self.site.rules.budget, self._further[head], self._taken[head]
-        insort(window, at) if window and at < window[-1] else window.append(at)
-        while window[0] < window[-1] - 2 * budget.span:
-            window.popleft()
-        while taken and taken[0] < at - 4 * budget.span:
-            taken.popleft()
-        # One that a cut held counts in the spans of those that left after it, too.
-        for end in [t for t in window if t >= at]:
-            made = sum(end - budget.span + self.slack <= t <= end for t in window)
-            earned = sum(end - budget.span - self.slack <= t <= end + self.slack for t in taken)
+        budget, retries, requests = self.site.rules.budget, self._retries[head], self._requests[head]
+        insort(retries, at) if retries and at < retries[-1] else retries.append(at)
+        while retries[0] < retries[-1] - 2 * budget.span:
+            retries.popleft()
+        while requests and requests[0] < at - 4 * budget.span:
+            requests.popleft()
+        # A retry that a cut delayed also counts in the spans of those that were sent after it.
+        for end in [t for t in retries if t >= at]:
+            made = sum(end - budget.span + self.slack <= t <= end for t in retries)
+            earned = sum(end - budget.span - self.slack <= t <= end + self.slack for t in requests)
             if made > budget.free + budget.part * earned:
-                self._broken(
+                self._add_violation(
                     at,
                     6,
-                    f"head {head} made {made} further forwards in {budget.span:g} s, "
-                    f"{earned} transactions taken",
+                    f"gateway {head} made {made} retries in {budget.span:g} s, "
+                    f"{earned} requests received",
                     head,
                 )
 
-    def _limit(self, r: Record, left: float) -> None:
+    def _check_rate_limit(self, r: Record, sent_time: float) -> None:
         volume = self.volumes[r["volume"]]
         plan = self.plans[volume.plan]
         if not plan.limit:
             return
         spent = self._spent[volume.number]
-        level, at = self._store.get(volume.number, (plan.limit_burst, self._start))
-        if spent and left < spent[-1][0]:
-            # A cut held it while others passed: all that left after it is counted anew.
-            insort(spent, (left, r["units"]))
-            level, at, again = plan.limit_burst, self._start, spent
+        level, at = self._tokens.get(volume.number, (plan.limit_burst, self._started_at))
+        if spent and sent_time < spent[-1][0]:
+            # A cut delayed it while others arrived: all first attempts are counted again in order of sending.
+            insort(spent, (sent_time, r["units"]))
+            level, at, uncounted = plan.limit_burst, self._started_at, spent
         else:
-            spent.append((left, r["units"]))
-            again = spent[-1:]
-        for when, units in again:
+            spent.append((sent_time, r["units"]))
+            uncounted = spent[-1:]
+        for when, units in uncounted:
             level = min(plan.limit_burst, level + (when - at) * plan.limit) - units
             at = when
             if level < -plan.limit_slack - self.slack * plan.limit:
-                self._broken(
+                self._add_violation(
                     r["t"],
                     7,
-                    f"volume {volume.name} was sent {-level:.1f} units past its limit",
+                    f"volume {volume.name} was sent {-level:.1f} units beyond its rate limit",
                     volume.number,
                 )
-        self._store[volume.number] = (level, at)
+        self._tokens[volume.number] = (level, at)
--- a/gorsethread/simulation/branch_checks.py
+++ b/gorsethread/simulation/branch_checks.py
@@ -31,12 +31,12 @@
             here, there = [n for n in v.head if n in away], [n for n in v.head if n not in away]
             self.near[v.number] = here or there
 
-    def _head_for(self, volume: pb.Volume) -> Any:
+    def _choose_gateway(self, volume: pb.Volume) -> Any:
         far = [n for n in volume.head if n not in self.near[volume.number]]
         if far and self.chance.random() < self.roams:
             return self.links[far[self.chance.randrange(len(far))]]
         near = pb.Volume(number=volume.number, head=self.near[volume.number])
-        return super()._head_for(near)
+        return super()._choose_gateway(near)
 
     def _new_attempt(self, t: Any, attempt: int, link: Any) -> Any:
         one: Any = super()._new_attempt(t, attempt, link)
--- a/gorsethread/simulation/http_simulation.py
+++ b/gorsethread/simulation/http_simulation.py
@@ -175,7 +175,7 @@
             for s in taken
             if not any(
                 begin <= self.loop.time() and s.sent["t"] <= until
-                for begin, until in self.online._away[s.sent["who"], s.sent["head"]]
+                for begin, until in self.online._unreachable[s.sent["who"], s.sent["head"]]
             )
         ]
         if any(s.how in ("", "unreachable") for s in reached):
