--- a/gorsethread/harness/__init__.py
+++ b/gorsethread/harness/__init__.py
@@ -1,1 +1,1 @@
-"""Real processes under faults: a relay between them, what a script does to them, judges outside."""
+"""Runs gateways as real processes under scripted faults, with relays between them and outside checkers."""
--- a/gorsethread/harness/branches.py
+++ b/gorsethread/harness/branches.py
@@ -1,5 +1,7 @@
-"""Heads of a site with a branch as real processes, whose link the relay cuts. Judges see clients, shelves and
-the heads' disks."""
+"""Runs the gateways of a site with a branch as real processes and cuts the branch's link.
+
+The checks use the records of clients and backends and the gateways' disks.
+"""
 
 from dataclasses import dataclass
 from statistics import median
@@ -14,14 +16,18 @@
 from gorsethread.site_config import site_pb2 as pb
 
 SUPPORTED_ACTS = (*durable_log_trial.SUPPORTED_ACTS, "link")
-REPLAY_TIMEOUT_SECONDS = 60.0  # seconds after the last answer
-CHECK_INTERVAL_SECONDS = 0.5  # seconds between looks at the disks
+REPLAY_TIMEOUT_SECONDS = 60.0  # after the last answer
+CHECK_INTERVAL_SECONDS = 0.5  # between two checks of the disks
+REPLAY_WINDOW_SECONDS = 0.25  # a request so close to a replayed write was sent during replay
 
 
 @dataclass
 class Result(durable_log_trial.Result):
-    """live_latency_ratio: of the main site's clients, the median wait while writes were replayed to that
-    before the first cut; 0 where there were too few."""
+    """The figures of one trial.
+
+    live_latency_ratio: for clients of the main site, the median latency during replay divided by that before
+    the first cut; 0 if either had too few answers.
+    """
 
     accepted: int = 0
     replayed: int = 0
@@ -42,71 +48,83 @@
 
 
 class BranchTrial(DurableLogTrial):
+    """A trial of gateways of a main site and a branch."""
+
     result_kind = Result
     client_kind = BranchClient
 
     def __init__(
-        self, transport: Any, processes: Any, known: pb.Site, log: Any, script: Script, defect_code: str = ""
+        self,
+        transport: Any,
+        processes: Any,
+        site_config: pb.Site,
+        log: Any,
+        script: Script,
+        defect_code: str = "",
     ) -> None:
-        super().__init__(transport, processes, known, log, script, defect_code)
-        away = {n for b in self.site.branch for n in b.head}
+        super().__init__(transport, processes, site_config, log, script, defect_code)
+        branch_gateways = {n for b in self.site.branch for n in b.head}
         self.fault_player.link_far_side = [
             "list",
             *(f"shelf {s.number}" for s in self.site.shelf),
-            *(f"head {h.number}" for h in self.site.head if h.number not in away),
+            *(f"head {h.number}" for h in self.site.head if h.number not in branch_gateways),
         ]
 
     def _clients_started(self) -> None:
-        for when, head in self.copies_at:
-            self.transport.call_at(self.zero + when, lambda head=head: self._copy(head))  # type: ignore[misc]
+        for when, gateway in self.copies_at:
+            self.transport.call_at(self.zero + when, lambda gateway=gateway: self._copy_folder(gateway))  # type: ignore[misc]
 
-    def _disks(self) -> tuple[set[int], set[int]]:
+    def _queued_labels(self) -> tuple[set[int], set[int]]:
+        """Returns the labels of writes on disk: those dead-lettered, and those that wait for replay."""
         folders = []
         for h in self.site.head:
-            own = self.folder(h.number) / own_log_folder("", h.number).lstrip("/")
+            log_folder = self.folder(h.number) / own_log_folder("", h.number).lstrip("/")
             files = {}
-            for path in own.glob("*") if own.exists() else ():
+            for path in log_folder.glob("*") if log_folder.exists() else ():
                 try:
                     files[path.name] = path.read_bytes()
-                except FileNotFoundError:  # a head at work begins a new segment
+                except FileNotFoundError:  # a running gateway replaced the segment
                     continue
             folders.append(files)
         return on_disks(folders)
 
     async def _clients_finished(self) -> None:
         by = self.transport.now() + REPLAY_TIMEOUT_SECONDS
-        while self._disks()[1] and self.transport.now() < by:
+        while self._queued_labels()[1] and self.transport.now() < by:
             await self.transport.sleep(CHECK_INTERVAL_SECONDS)
         await self.transport.sleep(CHECK_INTERVAL_SECONDS)
 
     def judge(self, verdict: Verdict) -> None:
-        self._count()
+        self._count_reused_numbers()
         r = self.result
-        parked, waiting = self._disks()
-        a = judge(self.site, self.records, parked, waiting)
-        r.accepted, r.replayed, r.parked = len(a.all), len(a.replayed), len(a.all & parked)
-        r.effects_doubled, r.accepted_lost, r.causal_breaks = len(a.doubled), len(a.lost), len(a.causal)
-        r.accepted_unseen = len(a.unseen)
+        parked, waiting = self._queued_labels()
+        accepted = judge(self.site, self.records, parked, waiting)
+        r.accepted, r.replayed = len(accepted.all), len(accepted.replayed)
+        r.parked, r.effects_doubled = len(accepted.all & parked), len(accepted.doubled)
+        r.accepted_lost, r.causal_breaks = len(accepted.lost), len(accepted.causal)
+        r.accepted_unseen = len(accepted.unseen)
         r.cuts = sum(act.kind == "link" for act in self.script.acts)
         r.machines_lost = sum(act.kind == "wipe" for act in self.script.acts)
-        if not a.all:
-            r.reasons.append("nothing was accepted: this trial shows nothing")
-        if left := waiting & a.all:
+        if not accepted.all:
+            r.reasons.append("nothing was accepted, so this trial proves nothing")
+        if left := waiting & accepted.all:
             r.reasons.append(f"{len(left)} accepted writes were not replayed in time")
-        r.live_latency_ratio = self._latency(a.replayed)
+        r.live_latency_ratio = self._latency_ratio(accepted.replayed)
 
-    def _latency(self, replayed: set[int]) -> float:
-        ran = [x["t"] for x in self.records if x["e"] == "ran" and x["label"] in replayed]
+    def _latency_ratio(self, replayed: set[int]) -> float:
+        replay_times = [x["t"] for x in self.records if x["e"] == "ran" and x["label"] in replayed]
         sent = {(x["label"], x["attempt"]): x for x in self.records if x["e"] == "sent"}
-        away = {n for b in self.site.branch for n in b.head}
-        first = min((a.at for a in self.script.acts), default=0.0) + self.zero
+        branch_gateways = {n for b in self.site.branch for n in b.head}
+        first_act = min((a.at for a in self.script.acts), default=0.0) + self.zero
         before: list[float] = []
         during: list[float] = []
         for x in self.records:
             if x["e"] == "answer" and x["how"] == "honoured":
                 s = sent[x["label"], x["attempt"]]
-                if s["head"] not in away and s["t"] < first:
+                if s["head"] not in branch_gateways and s["t"] < first_act:
                     before.append(x["t"] - s["t"])
-                elif s["head"] not in away and ran and any(abs(t - s["t"]) < 0.25 for t in ran):
+                elif s["head"] not in branch_gateways and any(
+                    abs(t - s["t"]) < REPLAY_WINDOW_SECONDS for t in replay_times
+                ):
                     during.append(x["t"] - s["t"])
         return round(median(during) / median(before), 2) if len(before) > 20 and len(during) > 20 else 0.0
--- a/gorsethread/harness/durable_log_trial.py
+++ b/gorsethread/harness/durable_log_trial.py
@@ -1,5 +1,6 @@
-"""Heads of a site file as real processes that keep records in folders; scripts take, spoil, exchange these.
-Judges see clients, shelves' bytes and the folders, never what a head says of itself.
+"""Runs gateways with a site file and durable logs as real processes; scripts wipe, spoil or swap the logs.
+
+The checks use the records of clients, the backends' bytes and the log folders, and no report of a gateway.
 """
 
 import contextlib
@@ -28,8 +29,12 @@
 
 @dataclass
 class Result(service.Result):
-    """denied: reads of what was written that were answered as never written; parted: extents with bytes at
-    two shards; numbers_reused: numbers of a head that said two things; placed: extents with bytes."""
+    """The figures of one trial.
+
+    denied: reads of written data that were answered as never written.
+    parted: extents with bytes at two shards. placed: extents with bytes.
+    numbers_reused: log numbers of a gateway that stood for two different records.
+    """
 
     denied: int = 0
     parted: int = 0
@@ -42,6 +47,8 @@
 
 
 class DurableLogTrial(SiteTrial):
+    """A trial of gateways that keep durable logs."""
+
     result_kind: Callable[[int], Any] = Result
     client_kind: type[LoadClient] = Forgetful
 
@@ -49,20 +56,21 @@
         self,
         transport: RealTransport,
         processes: Processes,
-        known: pb.Site,
+        site_config: pb.Site,
         log: Any,
         script: Script,
         defect_code: str = "",
     ) -> None:
-        super().__init__(transport, processes, known, log, script, defect_code)
-        self.fault_player.on_folder_act = self._folders
+        super().__init__(transport, processes, site_config, log, script, defect_code)
+        self.fault_player.on_folder_act = self._apply_to_folder
         self.numbers = Numbers()
         self.shards = {s.shard for s in self.site.shelf}
-        self.copies_at: list[tuple[float, int]] = []  # when folders are copied for `older`, and whose
-        self._past: list[tuple[float, int, Path]] = []  # copies of folders, for `older`: as many as its acts
+        self.copies_at: list[tuple[float, int]] = []  # when to copy a folder for `older`, and the gateway
+        # Copies of folders for `older`, one per act: time, gateway, path.
+        self._past: list[tuple[float, int, Path]] = []
 
-    def folder(self, head: int) -> Path:
-        return self.processes.folder / f"records-{head}"
+    def folder(self, gateway: int) -> Path:
+        return self.processes.folder / f"records-{gateway}"
 
     def _options(self, number: int) -> list[str]:
         return ["--records", str(self.folder(number))]
@@ -77,49 +85,49 @@
         for client in self.clients:
             assert isinstance(client, Forgetful)
             client.denied = self._denied
-        for when, head in self.copies_at:
-            self.transport.call_at(self.zero + when, lambda head=head: self._copy(head))  # type: ignore[misc]
+        for when, gateway in self.copies_at:
+            self.transport.call_at(self.zero + when, lambda gateway=gateway: self._copy_folder(gateway))  # type: ignore[misc]
 
     def _denied(self, volume: int, extent: int) -> None:
         self.result.denied += 1
 
     # ---- folders
 
-    def _copy(self, head: int) -> None:
-        to = self.processes.folder / f"past-{head}-{len(self._past)}"
-        if self.folder(head).exists():
-            shutil.copytree(self.folder(head), to)
-        self._past.append((self.transport.now(), head, to))
-
-    def _folders(self, act: Act) -> None:
-        """What befalls the disks of heads that are killed now."""
-        head = int(act.whom.split(" ")[1])
-        self._count()
-        mine = self.folder(head)
+    def _copy_folder(self, gateway: int) -> None:
+        to = self.processes.folder / f"past-{gateway}-{len(self._past)}"
+        if self.folder(gateway).exists():
+            shutil.copytree(self.folder(gateway), to)
+        self._past.append((self.transport.now(), gateway, to))
+
+    def _apply_to_folder(self, act: Act) -> None:
+        """Applies an act to the folder of a gateway that was just killed."""
+        gateway = int(act.whom.split(" ")[1])
+        self._count_reused_numbers()
+        folder = self.folder(gateway)
         if act.kind == "swap":
             other, aside = self.folder(int(act.to.split(" ")[1])), self.processes.folder / "aside"
-            mine.rename(aside)
-            other.rename(mine)
+            folder.rename(aside)
+            other.rename(folder)
             aside.rename(other)
         elif act.kind == "rot":
-            names = sorted(Path(own_log_folder(str(mine), head)).glob(f"*{SEGMENT_SUFFIX}"))
+            names = sorted(Path(own_log_folder(str(folder), gateway)).glob(f"*{SEGMENT_SUFFIX}"))
             for path in names[-1:]:
                 path.write_bytes(rot(path.read_bytes()))
         else:
-            shutil.rmtree(mine, ignore_errors=True)
-            past = [path for _, whose, path in self._past if whose == head and path.exists()]
+            shutil.rmtree(folder, ignore_errors=True)
+            past = [path for _, owner, path in self._past if owner == gateway and path.exists()]
             if act.kind == "older" and past:
-                past[-1].rename(mine)
+                past[-1].rename(folder)
 
-    def _count(self) -> None:
+    def _count_reused_numbers(self) -> None:
         for path in self.processes.folder.glob(f"records-*/**/*{SEGMENT_SUFFIX}"):
             with contextlib.suppress(FileNotFoundError):
                 self.result.numbers_reused += len(self.numbers.take(path.read_bytes()))
 
-    # ---- judging
+    # ---- checks
 
     def judge(self, verdict: Verdict) -> None:
-        self._count()
+        self._count_reused_numbers()
         folder = self.processes.folder
         files = {
             (s, v.number): path.read_bytes()
@@ -127,8 +135,8 @@
             for v in self.site.volume
             if (path := folder / f"shard-{s}-volume-{v.number}").exists()
         }
-        found = parted(self.site, files)
-        self.result.placed = len(found)
-        self.result.parted = sum(len(shards) > 1 for shards in found.values())
-        if not found:
-            self.result.reasons.append("nothing was placed: this trial shows nothing")
+        shards_by_extent = parted(self.site, files)
+        self.result.placed = len(shards_by_extent)
+        self.result.parted = sum(len(shards) > 1 for shards in shards_by_extent.values())
+        if not shards_by_extent:
+            self.result.reasons.append("nothing was placed, so this trial proves nothing")
--- a/gorsethread/harness/process_faults.py
+++ b/gorsethread/harness/process_faults.py
@@ -1,7 +1,7 @@
-"""What a script does to real processes: started, killed, told to end, stopped, cut off, made lossy or slow.
+"""Applies the acts of a script to real processes: kills, stops, restarts, cuts and lossy or slow links.
 
-A party is named as in scripts; whoever puts a scene together says how it is started and who is in a room.
-Scripts are those of the virtual worlds (gorsethread/simulation/script.py), so one may be played both ways.
+Parties are named as in scripts; the caller says how a party's process is started. Scripts have the format of
+the simulations (gorsethread/simulation/script.py), so the same one can be played in both.
 """
 
 import asyncio
@@ -16,13 +16,13 @@
 from gorsethread.simulation.script import Act, Script
 from gorsethread.transport.base import Transport
 
-ROOMS = 2
-FOLDER_ACTS = ("wipe", "older", "rot", "swap")  # acts on a head's folder, beside its end
-KILL_POINT_TIMEOUT_SECONDS = 15.0  # seconds from a stab until the point must have been come to
+ROOM_COUNT = 2
+FOLDER_ACTS = ("wipe", "older", "rot", "swap")  # acts that change a gateway's folder while it is down
+KILL_POINT_TIMEOUT_SECONDS = 15.0  # from a stab until the process must have reached its kill point
 
 
 def unsupported_acts(script: Script, kinds: tuple[str, ...], parties: tuple[str, ...]) -> list[str]:
-    """Acts that a scene with these kinds and parties is not put through."""
+    """Returns a line for each act whose kind or party is not among the supported ones."""
     return [
         f"{act}: not for real processes"
         for act in script.acts
@@ -34,65 +34,69 @@
 
 
 class FaultPlayer:
-    """starts: how each party's process comes up. own: acts of a scene on what runs in this very process, by
-    the party's kind; they return when it is over. saw: what judges are told of."""
+    """Plays a script against the processes.
+
+    gateways: their number. start_process: starts the process of a named party. say: receives progress lines.
+    in_process_acts: handlers of acts on parties that run in this process, by the party's kind; they return
+    when the act is over. on_act: called with an event and its act, for the checkers' records.
+    """
 
     def __init__(
         self,
         transport: Transport,
         processes: Processes,
-        heads: int,
-        starts: Callable[[str], Awaitable[None]],
+        gateways: int,
+        start_process: Callable[[str], Awaitable[None]],
         say: Callable[[str], None],
     ) -> None:
-        self.transport, self.processes, self.heads, self.say = transport, processes, heads, say
-        self.start_process = starts
+        self.transport, self.processes, self.gateways, self.say = transport, processes, gateways, say
+        self.start_process = start_process
         self.faults = LinkFaults()
         self.streams: StreamRelay | None = None
         self.in_process_acts: dict[str, Callable[[Act], Coroutine[Any, Any, None]]] = {}
-        # What befalls a head's folder while it is down (wipe, older, rot, swap), where a scene has folders.
+        # Applies one of FOLDER_ACTS while the gateway is down, if gateways have folders.
         self.on_folder_act: Callable[[Act], None] = lambda act: None
         self.on_act: Callable[[str, Act], None] = lambda event, act: None
-        self.link_far_side: list[str] = []  # who is reached over a branch's link, where a scene has one
-        self.stopped: set[str] = set()  # by SIGSTOP; emptied as they go on
-        self.unreached_points: list[str] = []  # stabs at points that nobody came to
+        self.link_far_side: list[str] = []  # parties that a branch reaches over its link, if there is one
+        self.stopped: set[str] = set()  # by SIGSTOP; emptied as they resume
+        self.unreached_points: list[str] = []  # stabs whose kill point was not reached
         self._tasks: list[asyncio.Task[None]] = []
 
     def members(self, name: str) -> list[str]:
-        kind, _, which = name.partition(" ")
+        kind, _, room = name.partition(" ")
         if kind == "room":
-            return [f"head {n}" for n in range(self.heads) if n % ROOMS == int(which)]
+            return [f"head {n}" for n in range(self.gateways) if n % ROOM_COUNT == int(room)]
         return [name]
 
-    def signal(self, name: str, which: signal.Signals) -> None:
+    def signal(self, name: str, number: signal.Signals) -> None:
         process = self.processes.running.get(name)
         if process is not None and process.returncode is None:
-            process.send_signal(which)
+            process.send_signal(number)
 
     def directions(self, act: Act) -> list[Direction]:
         if act.kind == "link":
             return [
-                way
-                for other in self.link_far_side
-                for n, way in enumerate(((act.whom, other), (other, act.whom)), 1)
+                direction
+                for far_party in self.link_far_side
+                for n, direction in enumerate(((act.whom, far_party), (far_party, act.whom)), 1)
                 if act.by in (0, n)
             ]
         pairs = [(a, b) for a in self.members(act.whom) for b in self.members(act.to) if a != b]
         return pairs + [(b, a) for a, b in pairs] if act.both else pairs
 
     async def apply(self, act: Act) -> float:
-        """Begins it; when it is over, by this machine's clock."""
+        """Starts an act; returns the time at which it will be over, on this machine's clock."""
         now, kind = self.transport.now(), act.whom.split(" ")[0]
         if act.kind in ("cut", "link"):
-            ways = self.directions(act)
-            self.faults.cut(ways, now)
+            directions = self.directions(act)
+            self.faults.cut(directions, now)
             self.on_act("cut", act)
-            self._after(act.seconds, lambda: self.faults.heal(ways, self.transport.now()))
+            self._after(act.seconds, lambda: self.faults.heal(directions, self.transport.now()))
         elif act.kind in ("reset", "mute"):
-            assert self.streams is not None, "a scene without streams plays neither"
+            assert self.streams is not None, "reset and mute need a stream relay"
             self.on_act(act.kind, act)
-            for one, other in self.directions(act):
-                (self.streams.reset if act.kind == "reset" else self.streams.mute)(one, other)
+            for sender, receiver in self.directions(act):
+                (self.streams.reset if act.kind == "reset" else self.streams.mute)(sender, receiver)
         elif act.kind == "lose":
             self.faults.lossy[act.whom] = act.by
             self._after(act.seconds, lambda: self.faults.lossy.pop(act.whom, None))
@@ -121,15 +125,15 @@
                 self._tasks.append(asyncio.ensure_future(self._restart(name, act.seconds)))
         return now + act.seconds
 
-    def _after(self, seconds: float, act: Callable[[], Any]) -> None:
-        self.transport.call_at(self.transport.now() + seconds, act)
+    def _after(self, seconds: float, action: Callable[[], Any]) -> None:
+        self.transport.call_at(self.transport.now() + seconds, action)
 
     def resume(self, name: str) -> None:
         self.stopped.discard(name)
         self.signal(name, signal.SIGCONT)
 
     def flag(self, act: Act) -> Path:
-        """The file by which that head's process is told to end at the act's point."""
+        """Returns the file that arms the act's kill point in the gateway's process."""
         return self.processes.folder / f"{act.whom} {act.to}".replace(" ", "-")
 
     async def _await_kill_point(self, act: Act) -> None:
@@ -149,20 +153,20 @@
         await self.start_process(name)
 
     async def play(self, script: Script, zero: float) -> None:
-        """All acts at their times, several at once where they overlap; returns when the last is over."""
-        doing = []
-        ends = zero
+        """Starts each act at its time, counted from zero; returns when the last is over."""
+        started = []
+        ends_at = zero
         for act in sorted(script.acts):
             await self.transport.sleep(max(0.0, zero + act.at - self.transport.now()))
             self.say(f"{act}")
-            doing.append(asyncio.ensure_future(self.apply(act)))
-        for task in doing:
-            ends = max(ends, await task)
+            started.append(asyncio.ensure_future(self.apply(act)))
+        for task in started:
+            ends_at = max(ends_at, await task)
         await asyncio.gather(*self._tasks)
-        await self.transport.sleep(max(0.0, ends - self.transport.now()))
+        await self.transport.sleep(max(0.0, ends_at - self.transport.now()))
 
     async def end(self) -> dict[str, int | None]:
-        """Every process, with its exit status; what was stopped goes on first."""
+        """Resumes stopped processes, ends all processes and returns the exit status of each."""
         for task in self._tasks:
             task.cancel()
         for name in list(self.stopped):
--- a/gorsethread/harness/processes.py
+++ b/gorsethread/harness/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a day or a bench: a folder of their own, free ports, started and ended by name."""
+"""Child processes of a run: started and ended by name, with a folder of their own and free ports."""
 
 import asyncio
 import contextlib
@@ -15,14 +15,14 @@
 from gorsethread.transport.real import free_ports
 
 
-def resize_site(site: pb.Site, heads: int, shelves: int) -> pb.Site:
-    """The same site on free loopback ports, with another number of heads and shelves."""
-    ports = free_ports(needed(site, heads, shelves))
-    return sized(site, heads, shelves, [f"127.0.0.1:{port}" for port in ports])
+def resize_site(site: pb.Site, gateways: int, backends: int) -> pb.Site:
+    """Returns the site on free loopback ports with the given numbers of gateways and backends."""
+    ports = free_ports(needed(site, gateways, backends))
+    return sized(site, gateways, backends, [f"127.0.0.1:{port}" for port in ports])
 
 
 class Processes:
-    """Children of this one, each with its log and its record in the folder."""
+    """The child processes, each with a log file and a file of records in the folder."""
 
     def __init__(self, folder: Path, site: pb.Site) -> None:
         self.folder = folder
@@ -40,7 +40,11 @@
         begins: tuple[str, ...] = ("-m", "gorsethread"),
         settings: dict[str, str] | None = None,
     ) -> None:
-        """begins: what the interpreter runs; settings: of the environment, besides this one's."""
+        """Starts a process.
+
+        begins: arguments that tell the interpreter what to run.
+        settings: environment variables in addition to those of this process.
+        """
         with (self.folder / f"{name.replace(' ', '-')}.log").open("ab") as log:
             self.running[name] = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -53,12 +57,12 @@
             )
 
     def owner_of(self, peer: str) -> str:
-        """The child whose end of a connection on this machine that is (host:port); "": none's."""
+        """Returns the child that owns a connection's local address (host:port), or "" if none does."""
         port = int(peer.rpartition(":")[2])
         for name, process in self.running.items():
             with contextlib.suppress(psutil.Error):
-                ends = psutil.Process(process.pid).net_connections("tcp4")
-                if any(end.laddr.port == port for end in ends if end.raddr):
+                connections = psutil.Process(process.pid).net_connections("tcp4")
+                if any(c.laddr.port == port for c in connections if c.raddr):
                     return name
         return ""
 
@@ -67,16 +71,20 @@
         return process.pid if process and process.returncode is None else None
 
     async def end(
-        self, name: str, number: signal.Signals = signal.SIGTERM, within: float = 15.0
+        self, name: str, signal_number: signal.Signals = signal.SIGTERM, timeout: float = 15.0
     ) -> int | None:
-        """Its exit status; a process that does not end in time is killed."""
+        """Sends the signal and returns the exit status.
+
+        Returns None if the process is not running, or if it did not end within timeout (seconds) and was
+        killed.
+        """
         process = self.running.pop(name, None)
         if process is None:
             return None
         with contextlib.suppress(ProcessLookupError):
-            process.send_signal(number)
+            process.send_signal(signal_number)
         try:
-            return await asyncio.wait_for(process.wait(), within)
+            return await asyncio.wait_for(process.wait(), timeout)
         except TimeoutError:
             process.kill()
             await process.wait()
--- a/gorsethread/harness/service.py
+++ b/gorsethread/harness/service.py
@@ -1,9 +1,13 @@
-"""Heads in service as real processes on loopback, among shelves, a list and clients of this process, with a
-relay between the heads and between each head and the list; a script strikes them, judges outside look on.
+"""Runs HTTP gateways as real processes on loopback; backends, discovery and clients run in this process.
 
-What a head has to know of the list counts as told as the operators' page has it: when the list wrote it;
-where the relay kept it from coming through on any connection, when it came; where only connections of before
-had fallen silent, as long after as the page gives a head to notice.
+A relay forwards what gateways send each other and what discovery sends them. A script injects faults;
+checkers use only the records of the fakes.
+
+A gateway counts as told of a change of the list, as the operators' page defines it:
+- when discovery wrote the change;
+- if the relay held it on all connections, when the relay delivered it;
+- if only connections that existed before were muted, NOTICE_SECONDS later, the time that the page allows a
+  gateway to notice a silent connection.
 """
 
 import asyncio
@@ -34,15 +38,18 @@
 
 SUPPORTED_ACTS = ("kill", "pause", "term", "cut", "lose", "drain", "refuse", "late", "reset", "mute", "stab")
 SUPPORTED_PARTIES = ("head", "room", "shelf", "list", "point")
-SETTLE_SECONDS = 0.3  # seconds after a pause in which a head works on what came meanwhile
-START_TIMEOUT_SECONDS = 30.0  # seconds until all heads listen
-NOTICE_SECONDS = 6.0  # seconds from a silence until what it hides counts as told
+SETTLE_SECONDS = 0.3  # after a pause, in which a gateway works on what arrived during it
+START_TIMEOUT_SECONDS = 30.0  # until all gateways listen
+NOTICE_SECONDS = 6.0  # after a connection was muted, until its messages count as told
 GATEWAY_CODE = "import runpy; runpy.run_module('gorsethread.http_gateway', run_name='__main__')"
 
 
 @dataclass
 class Result:
-    """rules: breaks by rule, 1 to 7. messages: that heads sent each other."""
+    """The figures of one trial.
+
+    rules: violations of each rule, 1 to 7. messages: datagrams that gateways sent each other.
+    """
 
     processes: int
     rules: list[int] = field(default_factory=list)
@@ -55,13 +62,13 @@
 
     @property
     def good(self) -> bool:
-        # Of a head that stood still nobody outside knows in which order it read what came meanwhile (rule 5).
+        # Not rule 5 (order): nobody knows in which order a paused gateway read the requests that had arrived.
         broken = [n for rule, n in enumerate(self.rules, 1) if rule != 5]
         return not (any(broken) or self.lost or self.duplicated or self.reasons)
 
 
 class MemoryRecorder(Recorder):
-    """In memory, those of all parties in one list."""
+    """Keeps the records of all parties in one list in memory."""
 
     def __init__(self, transport: Transport, who: str, records: list[dict[str, Any]]) -> None:
         super().__init__(transport, who, "")
@@ -72,12 +79,12 @@
 
 
 class BackendRun:
-    """One life of a shelf: its own transport, so that all of it ends together."""
+    """One run of a backend, on a transport of its own so that all its tasks end with it."""
 
     def __init__(self, trial: "ServiceTrial", number: int, warm: bool) -> None:
         self.transport = RealTransport(trial.script.seed * 100 + number)
         recorder = MemoryRecorder(self.transport, f"shelf {number}", trial.records)
-        self.shelf = trial.make_backend(
+        self.backend = trial.make_backend(
             self.transport,
             trial.site,
             number,
@@ -88,10 +95,10 @@
             trial.log,
             lambda: trial.backend_overloaded(number),
         )
-        self.shelf.start()
+        self.backend.start()
 
     async def end(self) -> None:
-        self.shelf.stop()
+        self.backend.stop()
         await self.transport.end()
 
 
@@ -120,30 +127,31 @@
         self.say: Callable[[str], None] = lambda line: None
         self.transport, self.processes, self.log, self.script = transport, processes, log, script
         self.defect_code = defect_code
-        heads, shelves = script.heads, script.shelves
-        # Addresses of this process alone on loopback, so that trials may run beside each other.
+        gateways, backends = script.heads, script.shelves
+        # Loopback addresses that only this process uses, so that trials can run at the same time.
         self.net = f"127.{64 + os.getpid() % 128}.{os.getpid() // 128 % 200}"
-        ports = free_ports(3 * heads + 2 + shelves)
+        ports = free_ports(3 * gateways + 2 + backends)
         addresses = [
             f"{self.net}.250:{ports[0]}",
-            *(f"127.0.0.1:{p}" for p in ports[1 : 1 + heads]),
-            *(f"{self.net}.{1 + n}:{ports[1 + heads + n]}" for n in range(shelves)),
-            *(f"127.0.0.1:{p}" for p in ports[1 + heads + shelves : 1 + 2 * heads + shelves]),
+            *(f"127.0.0.1:{p}" for p in ports[1 : 1 + gateways]),
+            *(f"{self.net}.{1 + n}:{ports[1 + gateways + n]}" for n in range(backends)),
+            *(f"127.0.0.1:{p}" for p in ports[1 + gateways + backends : 1 + 2 * gateways + backends]),
         ]
-        self.site = sized(site, heads, shelves, addresses)
-        self.relayed_list_address = f"{self.net}.251:{ports[-1]}"  # where heads of a site file find the list
+        self.site = sized(site, gateways, backends, addresses)
+        # The relay's address of the list, for gateways with a site file.
+        self.relayed_list_address = f"{self.net}.251:{ports[-1]}"
         self.records: list[dict[str, Any]] = []
         self.day = MemoryRecorder(transport, "day", self.records)
-        self.nodes = self.list_kind(
+        self.discovery = self.list_kind(
             transport, self.site, MemoryRecorder(transport, "list", self.records), [], log
         )
         self.fault_player = FaultPlayer(
-            transport, processes, heads, self._start_head, lambda line: self.say(line)
+            transport, processes, gateways, self._start_gateway, lambda line: self.say(line)
         )
-        self.fault_player.in_process_acts = {"shelf": self._shelf_act, "list": self._list_act}
+        self.fault_player.in_process_acts = {"shelf": self._backend_act, "list": self._discovery_act}
         self.fault_player.on_act = self._record_act
-        names = [f"head {n}" for n in range(heads)]
-        self.private = ports[1 + 2 * heads + shelves : -1]
+        names = [f"head {n}" for n in range(gateways)]
+        self.private = ports[1 + 2 * gateways + backends : -1]
         self.public = [int(h.peers.rpartition(":")[2]) for h in self.site.head]
         self.relay = DatagramRelay(
             transport,
@@ -153,7 +161,7 @@
         )
         self.streams = self.fault_player.streams = StreamRelay(transport, self.fault_player.faults)
         self.backends: dict[int, BackendRun] = {}
-        self.result = self.result_kind(heads)
+        self.result = self.result_kind(gateways)
 
     def make_backend(self, *given: Any) -> Any:
         return self.shelf_kind(*given)
@@ -162,12 +170,15 @@
         return self.site
 
     def backend_overloaded(self, number: int) -> None:
-        """A cold shelf got more than it bears."""
+        """Called when a backend was overloaded during slow start."""
 
-    # ---- heads
+    # ---- gateways
 
     def _configure(self, number: int) -> str:
-        """What it is told at its start: the list as it knew it before any shelf came back."""
+        """Writes a gateway's configuration and returns its path.
+
+        The endpoint list in it is as before any restart: every backend is ready and started long ago.
+        """
         known = [
             instance(s.number, s.address, s.shard, s.zone, "ready", 0.0, number) for s in self.site.shelf
         ]
@@ -187,7 +198,7 @@
         path.write_text(json.dumps(order))
         return str(path)
 
-    async def _start_head(self, name: str) -> None:
+    async def _start_gateway(self, name: str) -> None:
         flags = {
             a.to.split(" ")[1]: self.fault_player.flag(a)
             for a in self.script.acts
@@ -210,7 +221,7 @@
                     break
                 except Unreachable:
                     if self.transport.now() > by:
-                        raise RuntimeError(f"head {head.number} does not listen") from None
+                        raise RuntimeError(f"gateway {head.number} does not listen") from None
                     await self.transport.sleep(0.1)
 
     # ---- the script
@@ -229,7 +240,7 @@
         number = int(act.whom.split(" ")[1])
         if event == "stopped":
             for t in self.site.tenant:
-                # What it did not take while it stood still, or had no time left for, is no loss of its.
+                # Requests that it did not read while stopped, or had no time left for, are not lost.
                 self.day.record(
                     "apart",
                     client=f"client {t.name}",
@@ -239,7 +250,7 @@
         elif event == "killed":
             self.day.record("head killed", head=number)
 
-    async def _shelf_act(self, act: Act) -> None:
+    async def _backend_act(self, act: Act) -> None:
         number = int(act.whom.split(" ")[1])
         if act.kind == "kill":
             await self.backends[number].end()
@@ -247,17 +258,17 @@
             await self.transport.sleep(act.seconds)
             self.backends[number] = BackendRun(self, number, False)
         elif act.kind == "drain":
-            self.nodes.set_state(number, "draining")
+            self.discovery.set_state(number, "draining")
             await self.transport.sleep(act.seconds)
-            self.nodes.set_state(number, "ready")
+            self.discovery.set_state(number, "ready")
         else:
-            self.backends[number].shelf._fault(Fault(self.transport.now(), act.kind, act.seconds, act.by))
+            self.backends[number].backend._fault(Fault(self.transport.now(), act.kind, act.seconds, act.by))
 
-    async def _list_act(self, act: Act) -> None:
-        self.nodes._fault(Fault(self.transport.now(), act.kind, act.seconds, act.by))
+    async def _discovery_act(self, act: Act) -> None:
+        self.discovery._fault(Fault(self.transport.now(), act.kind, act.seconds, act.by))
 
     def _add_routes(self) -> None:
-        """What leads heads to the list, before any starts."""
+        """Adds the relay's routes from gateways to discovery, before any gateway starts."""
         list_host = self.site.list.address.rpartition(":")[0]
         for n in range(self.script.heads):
             self.streams.add_route(
@@ -268,19 +279,19 @@
             )
 
     def _clients_started(self) -> None:
-        """Clients are there, and have sent nothing yet."""
+        """Called when the clients exist and have not sent anything."""
 
     async def _clients_finished(self) -> None:
-        """The script is played and clients have their answers; heads still run."""
+        """Called when the script is over and clients have their answers; gateways still run."""
 
     async def play(self) -> Any:
         site, transport, script = self.site, self.transport, self.script
-        self.nodes.start()
+        self.discovery.start()
         self._add_routes()
         try:
             for shelf in site.shelf:
                 self.backends[shelf.number] = BackendRun(self, shelf.number, True)
-            await asyncio.gather(*(self._start_head(f"head {h.number}") for h in site.head))
+            await asyncio.gather(*(self._start_gateway(f"head {h.number}") for h in site.head))
             await self._all_listen()
             self.zero = zero = transport.now() + 1.0
             surges = [
@@ -305,7 +316,7 @@
             runs = [asyncio.ensure_future(c.run()) for c in clients]
             self._clients_started()
             await self.fault_player.play(script, zero)
-            # A process that was started just now has no handler of SIGTERM yet, and would end by the signal.
+            # Waits for restarted gateways: a new process has no handler of SIGTERM yet and would die of it.
             await self._all_listen()
             await asyncio.gather(*runs)
             await self._clients_finished()
@@ -313,16 +324,16 @@
             statuses = await self.fault_player.end()
             self.relay.close()
             self.streams.close()
-            self.nodes.stop()
-            for life in self.backends.values():
-                await life.end()
+            self.discovery.stop()
+            for backend in self.backends.values():
+                await backend.end()
         self.result.reasons += [f"{name} ended with {status}" for name, status in statuses.items() if status]
         self.result.reasons += [
-            f"never came to its point: {act}" for act in self.fault_player.unreached_points
+            f"the kill point was not reached: {act}" for act in self.fault_player.unreached_points
         ]
         return self._check_records()
 
-    # ---- judging
+    # ---- checks
 
     def _check_records(self) -> Any:
         self._postpone_told_records()
@@ -336,14 +347,15 @@
         return r
 
     def judge(self, verdict: Verdict) -> None:
-        """What a trial of its own looks at besides the rules."""
+        """Checks what a subclass checks in addition to the rules."""
 
     def _postpone_told_records(self) -> None:
+        """Sets each told record to the time at which its gateway counts as told."""
         faults = self.fault_player.faults
         silences = list(faults.silences)
-        silences += [(way, begun, begun + NOTICE_SECONDS) for way, begun in faults.mutes]
+        silences += [(direction, begin, begin + NOTICE_SECONDS) for direction, begin in faults.mutes]
         for r in self.records:
-            for way, begun, over in silences:
-                if r["e"] == "told" and way == ("list", f"head {r['head']}") and begun <= r["t"] < over:
-                    r["t"] = over
+            for direction, begin, end in silences:
+                if r["e"] == "told" and direction == ("list", f"head {r['head']}") and begin <= r["t"] < end:
+                    r["t"] = end
         self.records.sort(key=lambda r: r["t"])
--- a/gorsethread/harness/site.py
+++ b/gorsethread/harness/site.py
@@ -1,6 +1,7 @@
-"""Heads of a site file as real processes among shelves, a list and clients of this process, with the relay on
-every way that a script spoils: between heads, to the list, and, where a script names them, to shelves and
-from clients.
+"""Runs gateways with a site file as real processes; backends, discovery and clients run in this process.
+
+The relay is on every path that a script can disturb: between gateways, to discovery and, if the script names
+them, to backends and from clients.
 """
 
 import contextlib
@@ -46,14 +47,14 @@
 GATEWAY_CODE = "import runpy; runpy.run_module('gorsethread', run_name='__main__', alter_sys=True)"
 
 
-def calls(stream: Stream, first: bytes) -> str:
-    """Who called a head for records, or the list, by its first bytes."""
+def identify_caller(stream: Stream, first: bytes) -> str:
+    """Returns the gateway that calls a gateway or the list, by its first bytes; "" if unknown."""
     with contextlib.suppress(replication_messages.ProtocolError):
-        for m in replication_messages.MessageReader(offline_messages.DECODER).feed(first):
-            if isinstance(m, replication_messages.Hello):
-                return f"head {m.gateway}"
-            if isinstance(m, offline_messages.BranchHello):
-                return f"head {m.gateway}"
+        for message in replication_messages.MessageReader(offline_messages.DECODER).feed(first):
+            if isinstance(message, replication_messages.Hello):
+                return f"head {message.gateway}"
+            if isinstance(message, offline_messages.BranchHello):
+                return f"head {message.gateway}"
     with contextlib.suppress(msgspec.DecodeError):
         ask: Ask = msgspec.json.decode(first.splitlines()[0], type=Ask)
         return f"head {ask.head}"
@@ -61,7 +62,10 @@
 
 
 class SiteTrial(ServiceTrial):
-    """Parties are heads, rooms of them, shelves, the list, clients by their tenant, volumes."""
+    """A trial of gateways with a site file.
+
+    Parties of its scripts are gateways, rooms of them, backends, the list, clients by tenant, and volumes.
+    """
 
     list_kind = FakeDiscovery
     shelf_kind = FakeBackend
@@ -78,7 +82,7 @@
     ) -> None:
         super().__init__(transport, processes, site, log, script, defect_code)
         self.fault_player.in_process_acts["volume"] = self._volume_act
-        # All traffic through the relay costs this process, so only where a script strikes there.
+        # Relaying costs this process time, so only paths that the script disturbs are relayed.
         named = {name.split(" ")[0] for a in script.acts if a.kind in STREAM_ACTS for name in (a.whom, a.to)}
         self.relayed_kinds = {kind for kind in ("shelf", "client") if kind in named}
         if any(a.kind == "link" for a in script.acts):
@@ -88,10 +92,15 @@
 
     def _add_routes(self) -> None:
         self.streams.add_route(
-            calls, "list", split_address(self.relayed_list_address), split_address(self.site.list.address)
+            identify_caller,
+            "list",
+            split_address(self.relayed_list_address),
+            split_address(self.site.list.address),
         )
         for n, (public, private) in enumerate(zip(self.public, self.private, strict=True)):
-            self.streams.add_route(calls, f"head {n}", ("127.0.0.1", public), ("127.0.0.1", private))
+            self.streams.add_route(
+                identify_caller, f"head {n}", ("127.0.0.1", public), ("127.0.0.1", private)
+            )
         if "shelf" in self.relayed_kinds:
             ports = free_ports(len(self.site.shelf))
             self.private_backend_ports = {
@@ -108,19 +117,19 @@
                 )
 
     def make_backend(self, *given: Any) -> Any:
-        shelf = super().make_backend(*given)
-        if (port := self.private_backend_ports.get(shelf.number)) is not None:
-            honest = shelf._listen
-            shelf._listen = lambda host, _: honest(host, port)
-        return shelf
+        backend = super().make_backend(*given)
+        if (port := self.private_backend_ports.get(backend.number)) is not None:
+            listen = backend._listen
+            backend._listen = lambda host, _: listen(host, port)
+        return backend
 
     def _site_for(self, tenant: str) -> pb.Site:
-        """As its clients know it."""
+        """Returns the site as the tenant's clients know it."""
         if "client" not in self.relayed_kinds:
             return super()._site_for(tenant)
-        told = pb.Site()
-        told.CopyFrom(self.site)
-        for head, port in zip(told.head, free_ports(len(told.head)), strict=True):
+        client_site = pb.Site()
+        client_site.CopyFrom(self.site)
+        for head, port in zip(client_site.head, free_ports(len(client_site.head)), strict=True):
             self.streams.add_route(
                 f"client {tenant}",
                 f"head {head.number}",
@@ -129,28 +138,28 @@
                 drops_held=True,
             )
             head.address = f"127.0.0.1:{port}"
-        return told
+        return client_site
 
     async def _volume_act(self, act: Act) -> None:
-        """Clients surge by themselves."""
+        """Does nothing: clients know the surges from their start."""
 
     def _options(self, number: int) -> list[str]:
-        """Of a head, besides."""
+        """Returns additional command-line options of a gateway."""
         return []
 
-    async def _start_head(self, name: str) -> None:
+    async def _start_gateway(self, name: str) -> None:
         number = int(name.split(" ")[1])
-        told = pb.Site()
-        told.CopyFrom(self.site)
-        told.list.address = self.relayed_list_address
+        gateway_site = pb.Site()
+        gateway_site.CopyFrom(self.site)
+        gateway_site.list.address = self.relayed_list_address
         path = self.processes.folder / "site-of-heads.txtpb"
-        path.write_text(text_format.MessageToString(told))
+        path.write_text(text_format.MessageToString(gateway_site))
         flags = {
             a.to.split(" ")[1]: self.fault_player.flag(a)
             for a in self.script.acts
             if a.kind == "stab" and a.whom == name
         }
-        before = f"{kill_point_code(flags) if flags else ''}\n{self.defect_code}"
+        setup_code = f"{kill_point_code(flags) if flags else ''}\n{self.defect_code}"
         await self.processes.start(
             name,
             "head",
@@ -165,5 +174,5 @@
             f"127.0.0.1:{self.private[number]}",
             "--log",
             "json",
-            begins=("-c", f"{before}\n{GATEWAY_CODE}"),
+            begins=("-c", f"{setup_code}\n{GATEWAY_CODE}"),
         )
--- a/tests/test_harness.py
+++ b/tests/test_harness.py
@@ -288,7 +288,7 @@
             self.relay.reset("list", "head 0")
             await self.user.sleep(0.2)
             self.assertGreater(self.ended, began)
-            self.assertEqual({}, self.relay.pairs)
+            self.assertEqual({}, self.relay.connections)
             self.listener.close()
             self.ended = 0.0
             await self.dial()
