--- a/tests/test_harness.py
+++ b/tests/test_harness.py
@@ -1,4 +1,4 @@
-"""The harness: what its relay does to streams, and real heads in service that come back at once."""
+"""Tests of the harness: the stream relay, scripts of faults, and trials with gateways as real processes."""
 
 import asyncio
 import tempfile
@@ -24,9 +24,9 @@
 from gorsethread.transport.real import RealTransport
 from gorsethread.transport.virtual import Disk, Network, NetworkConditions, VirtualLoop, VirtualTransport
 
-# The list is away as nine of twelve heads are killed; then all of them hear nothing more of it on
-# connections that stay open, and two shelves drain meanwhile.
-COMEBACK = """
+# Discovery is down while nine of twelve gateways are killed. Later the connections from discovery to all
+# gateways are muted but stay open, and two backends drain meanwhile.
+MASS_RESTART = """
 seed 4
 heads 12
 shelves 4
@@ -47,9 +47,9 @@
 11.2 drain shelf-0 for 10.5
 11.2 drain shelf-1 for 10.5
 """
-# Heads that end inside their own code, as they send, take, hear an ending and work off a batch; one stands
-# still, one's shelf comes back cold, the list is away for a while.
-BOTH = """
+# Gateways are killed inside their own code: as they send, admit a request, process an attempt's end and run a
+# batch. One is paused, a backend restarts cold, and discovery is down for a while.
+KILL_POINTS = """
 seed 6
 heads 6
 shelves 4
@@ -65,8 +65,8 @@
 6 kill head-5 for 0.5
 6.5 drain shelf-1 for 4
 """
-# Every way of a head of a site file is struck: to shelves, from clients, to the list and to other heads.
-WAYS = """
+# Disturbs every path of a gateway with a site file: to backends, from clients, to discovery and to gateways.
+ALL_PATHS = """
 seed 8
 heads 3
 shelves 4
@@ -84,8 +84,8 @@
 7 kill shelf-1 for 0.5
 8 drain shelf-3 for 3
 """
-# A head that comes back as the scene ends: it must be up before it is told to end.
-LAST_START = """
+# A gateway restarts as the trial ends: it must be up before it gets SIGTERM.
+LATE_RESTART = """
 seed 9
 heads 2
 shelves 2
@@ -94,70 +94,72 @@
 3 kill head-0 for 1.5
 """
 SITE = read_site(Path(__file__).parent.parent / "deploy" / "site.txtpb")
-MOMENT = 0.1  # seconds
-STAMPEDE = 0.5  # of the heads whose first calls come in one moment
-DEAF = """
+PEAK_SECONDS = 0.1
+MAX_PEAK_SHARE = 0.5  # of the killed gateways may first call for the list within PEAK_SECONDS
+NO_CALL_TIMEOUT = """
 from gorsethread.http_gateway import discovery
 discovery.CALL_TIMEOUT_SECONDS = 60.0
 """
 
 
-class Comeback(ServiceTrial):
+class MassRestartTrial(ServiceTrial):
     def peak_share(self) -> float:
-        """The largest part of the killed heads that first called for the list in one moment."""
-        firsts: dict[str, float] = {}
-        for t, head, _ in self.streams.calls:
+        """Returns the largest share of the killed gateways that first called within PEAK_SECONDS."""
+        first_calls: dict[str, float] = {}
+        for t, gateway, _ in self.streams.calls:
             if t > self.zero + 5.0:
-                firsts.setdefault(head, t)
-        times = sorted(t for head, t in firsts.items() if int(head.split(" ")[1]) < 9)
-        return max(sum(t <= u < t + MOMENT for u in times) for t in times) / 9
+                first_calls.setdefault(gateway, t)
+        times = sorted(t for gateway, t in first_calls.items() if int(gateway.split(" ")[1]) < 9)
+        return max(sum(t <= u < t + PEAK_SECONDS for u in times) for t in times) / 9
 
 
 @pytest.mark.processes
-class Real(unittest.TestCase):
-    def played(self, plant: str = "", script: str = COMEBACK) -> Comeback:
+class RealProcesses(unittest.TestCase):
+    def run_trial(self, defect_code: str = "", script: str = MASS_RESTART) -> MassRestartTrial:
         start_logs(True, "critical")
 
-        async def work() -> Comeback:
+        async def work() -> MassRestartTrial:
             with tempfile.TemporaryDirectory() as folder:
-                trial = Comeback(
+                trial = MassRestartTrial(
                     RealTransport(4),
                     Processes(Path(folder), SITE),
                     SITE,
                     log_for(),
                     read_script(script),
-                    plant,
+                    defect_code,
                 )
                 await trial.play()
                 return trial
 
         return asyncio.run(work())
 
-    def test_heads_killed_at_once_call_apart_and_silent_watches_cost_no_drain(self) -> None:
-        trial = self.played()
+    def test_gateways_killed_at_once_spread_their_calls_and_muted_watches_delay_no_drain(self) -> None:
+        trial = self.run_trial()
         r = trial.result
         self.assertEqual(([0] * 4, 0, 0), (r.rules[:4], r.lost, r.duplicated), r.reasons)
-        self.assertLess(trial.peak_share(), STAMPEDE)
+        self.assertLess(trial.peak_share(), MAX_PEAK_SHARE)
         self.assertGreater(r.honoured, 0.5 * r.taken)
-        self.assertEqual(12, len(trial.fault_player.faults.mutes), "all watches: else this shows nothing")
+        self.assertEqual(
+            12, len(trial.fault_player.faults.mutes), "all watches must be muted, else this proves nothing"
+        )
 
-    def test_one_script_on_real_processes_and_on_the_virtual_clock(self) -> None:
-        real, world = self.played(script=BOTH), play(SITE, read_script(BOTH), web=True)
-        self.assertEqual([], real.fault_player.unreached_points, "every point was come to")
-        r, v = real.result, world.verdict
+    def test_a_script_has_similar_results_with_processes_and_in_simulation(self) -> None:
+        real, simulated = self.run_trial(script=KILL_POINTS), play(SITE, read_script(KILL_POINTS), web=True)
+        self.assertEqual([], real.fault_player.unreached_points, "every kill point was reached")
+        r, v = real.result, simulated.verdict
         self.assertEqual(([0] * 4, 0, 0), (r.rules[:4], r.lost, r.duplicated), r.reasons)
-        self.assertEqual(([0] * 4, 0, 0), (v.rules[:4], v.lost, v.duplicated), world.reasons)
-        parts = r.honoured / r.taken, v.counts["honoured"] / v.counts["taken"]
-        self.assertLess(abs(parts[0] - parts[1]), 0.15, parts)
+        self.assertEqual(([0] * 4, 0, 0), (v.rules[:4], v.lost, v.duplicated), simulated.reasons)
+        succeeded = r.honoured / r.taken, v.counts["honoured"] / v.counts["taken"]
+        self.assertLess(abs(succeeded[0] - succeeded[1]), 0.15, succeeded)
         killed = [x["head"] for x in real.records if x["e"] == "head killed"]
         self.assertEqual([0, 1, 2, 3, 5], sorted(killed))
 
-    def test_a_head_that_comes_back_as_the_scene_ends_is_up_before_it_is_told_to_end(self) -> None:
-        trial = self.played(script=LAST_START)
+    def test_a_gateway_that_restarts_as_the_trial_ends_is_up_before_sigterm(self) -> None:
+        trial = self.run_trial(script=LATE_RESTART)
         self.assertEqual([], trial.result.reasons)
 
-    def test_heads_of_a_site_file_with_every_way_struck(self) -> None:
-        script = read_script(WAYS)
+    def test_gateways_with_a_site_file_survive_faults_on_every_path(self) -> None:
+        script = read_script(ALL_PATHS)
         self.assertEqual([], unsupported_acts(script, site.SUPPORTED_ACTS, site.SUPPORTED_PARTIES))
 
         async def work() -> SiteTrial:
@@ -170,19 +172,23 @@
         trial = asyncio.run(work())
         r = trial.result
         self.assertEqual(([0] * 4, 0, 0), (r.rules[:4], r.lost, r.duplicated), r.reasons)
-        led = Counter((one.split(" ")[0], other.split(" ")[0]) for _, one, other in trial.streams.calls)
-        # A process that has ended its connection by the time the system is asked whose it was is not found.
-        unknown = led.pop(("", "shelf"), 0)
-        self.assertLessEqual(unknown, 0.1 * led["head", "shelf"], "callers that were not found")
-        self.assertEqual({("head", "shelf"), ("client", "head"), ("head", "list")}, set(led) - {("", "head")})
+        relayed = Counter(
+            (caller.split(" ")[0], called.split(" ")[0]) for _, caller, called in trial.streams.calls
+        )
+        # The owner of a connection is not found if its process has already closed it.
+        unknown = relayed.pop(("", "shelf"), 0)
+        self.assertLessEqual(unknown, 0.1 * relayed["head", "shelf"], "callers that were not found")
+        self.assertEqual(
+            {("head", "shelf"), ("client", "head"), ("head", "list")}, set(relayed) - {("", "head")}
+        )
         self.assertGreater(r.honoured, 0.5 * r.taken)
 
-    def test_the_judge_sees_a_watch_that_is_never_given_up(self) -> None:
-        self.assertGreater(self.played(DEAF).result.rules[2], 0)
+    def test_the_checker_finds_a_gateway_that_never_gives_up_a_muted_watch(self) -> None:
+        self.assertGreater(self.run_trial(NO_CALL_TIMEOUT).result.rules[2], 0)
 
 
 class Streams(unittest.TestCase):
-    """One way through the relay on the virtual clock."""
+    """One route through the relay, on the virtual clock."""
 
     def setUp(self) -> None:
         self.loop = VirtualLoop()
@@ -193,7 +199,7 @@
         self.relay = StreamRelay(self.mid, self.faults)
         self.relay.add_route("head 0", "list", ("mid", 1), ("far", 1))
         self.listener = self.far.listen("far", 1, self.echo)
-        self.got: list[tuple[float, bytes]] = []
+        self.received: list[tuple[float, bytes]] = []
         self.ended = 0.0
 
     async def echo(self, stream: Stream) -> None:
@@ -204,7 +210,7 @@
             pass
 
     async def dial(self) -> Stream:
-        """Speaks first, as a relay waits for, and is heard where its way is open."""
+        """Connects and sends the first byte, which the relay waits for; it is echoed if no cut holds it."""
         stream = await self.user.connect("mid", 1, 1.0)
         stream.write(b"-")
         self.user.spawn(self.read(stream))
@@ -214,7 +220,7 @@
     async def read(self, stream: Stream) -> None:
         try:
             while True:
-                self.got.append((round(self.user.now(), 1), await stream.read()))
+                self.received.append((round(self.user.now(), 1), await stream.read()))
         except StreamClosed:
             self.ended = self.user.now()
 
@@ -226,73 +232,77 @@
                 process.kill()
             self.loop.run_until_complete(asyncio.sleep(0.1))
 
-    def test_a_cut_of_one_way_holds_that_way_and_keeps_both_ends_open(self) -> None:
+    def test_a_cut_holds_bytes_of_its_direction_and_keeps_both_ends_open(self) -> None:
         async def work() -> None:
-            way = [("list", "head 0")]
+            direction = [("list", "head 0")]
             stream = await self.dial()
-            self.faults.cut(way, self.mid.now())
+            self.faults.cut(direction, self.mid.now())
             stream.write(b"one")
             await self.user.sleep(2.0)
-            self.assertEqual(([b"-"], 0.0), ([data for _, data in self.got], self.ended))
-            self.assertEqual(5, self.relay.bytes, "it reached the other side")
-            self.faults.heal(way, self.mid.now())
+            self.assertEqual(([b"-"], 0.0), ([data for _, data in self.received], self.ended))
+            self.assertEqual(5, self.relay.bytes, "the bytes reached the other side")
+            self.faults.heal(direction, self.mid.now())
             await self.user.sleep(0.2)
-            self.assertEqual(b"-one", b"".join(data for _, data in self.got))
-            self.assertEqual([way[0]], [w for w, _, _ in self.faults.silences])
+            self.assertEqual(b"-one", b"".join(data for _, data in self.received))
+            self.assertEqual([direction[0]], [d for d, _, _ in self.faults.silences])
 
         self.play(work)
 
-    def test_what_is_muted_stays_open_and_new_connections_are_heard(self) -> None:
+    def test_muted_connections_stay_open_and_new_ones_work(self) -> None:
         async def work() -> None:
             old = await self.dial()
             self.relay.mute("list", "head 0")
             old.write(b"old")
             await self.user.sleep(1.0)
-            self.assertEqual(([b"-"], 0.0), ([data for _, data in self.got], self.ended))
+            self.assertEqual(([b"-"], 0.0), ([data for _, data in self.received], self.ended))
             (await self.dial()).write(b"new")
             await self.user.sleep(0.2)
-            self.assertEqual(b"--new", b"".join(data for _, data in self.got))
+            self.assertEqual(b"--new", b"".join(data for _, data in self.received))
 
         self.play(work)
 
-    def test_cuts_add_up_and_a_new_connection_hears_nothing(self) -> None:
+    def test_cuts_add_up_and_a_new_connection_receives_nothing(self) -> None:
         async def work() -> None:
-            way = [("head 0", "list")]
-            self.faults.cut(way, 0.0)
-            self.faults.cut(way, 0.0)
-            stays, left = await self.dial(), await self.dial()
-            self.faults.heal(way, 1.0)
+            direction = [("head 0", "list")]
+            self.faults.cut(direction, 0.0)
+            self.faults.cut(direction, 0.0)
+            open_stream, closed_stream = await self.dial(), await self.dial()
+            self.faults.heal(direction, 1.0)
             await self.user.sleep(1.0)
-            self.assertEqual((0, []), (self.relay.bytes, self.got))
-            left.close()
+            self.assertEqual((0, []), (self.relay.bytes, self.received))
+            closed_stream.close()
             await self.user.sleep(0.1)
-            self.faults.heal(way, 2.0)
+            self.faults.heal(direction, 2.0)
             await self.user.sleep(0.2)
-            self.assertEqual([b"-"], [data for _, data in self.got], "who gave up meanwhile is not led on")
-            stays.close()
+            self.assertEqual(
+                [b"-"],
+                [data for _, data in self.received],
+                "a connection that was closed meanwhile is not forwarded",
+            )
+            open_stream.close()
 
         self.play(work)
 
-    def test_slow_ways_keep_their_order_and_resets_end_both_sides(self) -> None:
+    def test_slow_directions_keep_their_order_and_resets_close_both_sides(self) -> None:
         async def work() -> None:
             stream = await self.dial()
-            self.got.clear()
+            self.received.clear()
             self.faults.slow["head 0", "list"] = 0.5
-            began = self.user.now()
+            started_at = self.user.now()
             for n in range(3):
                 stream.write(b"%d" % n)
             await self.user.sleep(0.4)
-            self.assertEqual([], self.got)
+            self.assertEqual([], self.received)
             await self.user.sleep(2.0)
-            self.assertEqual(b"012", b"".join(data for _, data in self.got))
+            self.assertEqual(b"012", b"".join(data for _, data in self.received))
             self.relay.reset("list", "head 0")
             await self.user.sleep(0.2)
-            self.assertGreater(self.ended, began)
+            self.assertGreater(self.ended, started_at)
             self.assertEqual({}, self.relay.connections)
             self.listener.close()
             self.ended = 0.0
             await self.dial()
-            self.assertGreater(self.ended, 0.0, "nobody listens behind it")
+            self.assertGreater(self.ended, 0.0, "nothing listens behind the relay")
             self.assertEqual(2, len(self.relay.calls))
             self.relay.close()
             with self.assertRaises(Unreachable):
@@ -302,15 +312,15 @@
 
 
 class Scripts(unittest.TestCase):
-    def test_what_a_scene_cant_play_is_named(self) -> None:
+    def test_unsupported_acts_of_a_script_are_listed(self) -> None:
         script = read_script(
             "1 kill head-0 for 1\n2 slow shelf-0 by 2 for 1\n3 pause list for 1\n"
             "4 cut client-archive <-> head-1 for 1\n"
         )
         self.assertEqual(3, len(unsupported_acts(script, SUPPORTED_ACTS, ("head", "shelf", "room"))))
-        self.assertEqual([], unsupported_acts(read_script(COMEBACK), SUPPORTED_ACTS, SUPPORTED_PARTIES))
+        self.assertEqual([], unsupported_acts(read_script(MASS_RESTART), SUPPORTED_ACTS, SUPPORTED_PARTIES))
 
-    def test_a_point_that_nobody_comes_to_is_told(self) -> None:
+    def test_a_kill_point_that_is_not_reached_is_reported(self) -> None:
         async def work(folder: str) -> FaultPlayer:
             processes = Processes(Path(folder), SITE)
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""Each rule broken once in what shelves and clients saw: the witness says which, and is quiet otherwise."""
+"""Tests of the invariant checkers: each rule is violated in records, and only that rule is reported."""
 
 import unittest
 from typing import Any
@@ -8,10 +8,10 @@
 from gorsethread.site_config.reading import parse_site
 from tests.rig import SITE
 
-Seen = dict[str, Any]
+Record = dict[str, Any]
 
 
-def sent(t: float, label: int, profile: int = 0, key: str = "", units: int = 1, attempt: int = 0) -> Seen:
+def sent(t: float, label: int, profile: int = 0, key: str = "", units: int = 1, attempt: int = 0) -> Record:
     return {
         "t": t,
         "who": "client",
@@ -28,7 +28,7 @@
     }
 
 
-def answer(t: float, label: int, how: str = "honoured", attempt: int = 0) -> Seen:
+def answer(t: float, label: int, how: str = "honoured", attempt: int = 0) -> Record:
     return {
         "t": t,
         "who": "client",
@@ -41,7 +41,7 @@
     }
 
 
-def arrived(t: float, label: int, shelf: int = 0, units: int = 1, attempt: int = 0) -> Seen:
+def arrived(t: float, label: int, shelf: int = 0, units: int = 1, attempt: int = 0) -> Record:
     return {
         "t": t,
         "who": f"shelf {shelf}",
@@ -57,7 +57,7 @@
     }
 
 
-def ended(t: float, label: int, how: str = "honoured", shelf: int = 0) -> Seen:
+def ended(t: float, label: int, how: str = "honoured", shelf: int = 0) -> Record:
     return {
         "t": t,
         "who": f"shelf {shelf}",
@@ -72,98 +72,100 @@
     }
 
 
-def ran(t: float, label: int) -> Seen:
+def ran(t: float, label: int) -> Record:
     return {"t": t, "who": "shelf 0", "e": "ran", "shelf": 0, "label": label, "attempt": 0}
 
 
-def told(t: float, state: str) -> Seen:
+def told(t: float, state: str) -> Record:
     return {"t": t, "who": "list", "e": "told", "head": 0, "shelf": 0, "state": state, "start": 1}
 
 
-class Judged(unittest.TestCase):
-    def judge(self, *seen: Seen, site: str = SITE) -> Verdict:
-        return HistoryChecker(parse_site(site), seen).check()
+class InvariantTests(unittest.TestCase):
+    def check(self, *records: Record, site: str = SITE) -> Verdict:
+        return HistoryChecker(parse_site(site), records).check()
 
-    def broken(self, rule: int, *seen: Seen, site: str = SITE) -> None:
-        verdict = self.judge(*seen, site=site)
+    def assert_violated(self, rule: int, *records: Record, site: str = SITE) -> None:
+        verdict = self.check(*records, site=site)
         self.assertEqual(
             [rule], sorted({b.rule for b in verdict.violations}), [str(b) for b in verdict.violations]
         )
-        self.assertEqual({rule}, self.as_it_came(seen, site))
+        self.assertEqual({rule}, self.rules_violated_online(records, site))
 
-    def kept(self, *seen: Seen, site: str = SITE) -> None:
-        self.assertEqual([], [str(b) for b in self.judge(*seen, site=site).violations])
-        self.assertEqual(set(), self.as_it_came(seen, site))
+    def assert_kept(self, *records: Record, site: str = SITE) -> None:
+        self.assertEqual([], [str(b) for b in self.check(*records, site=site).violations])
+        self.assertEqual(set(), self.rules_violated_online(records, site))
 
-    def as_it_came(self, seen: tuple[Seen, ...], site: str) -> set[int]:
-        """What the judge of each step says of the same."""
+    def rules_violated_online(self, records: tuple[Record, ...], site: str) -> set[int]:
+        """Returns the rules that the online checker finds violated in the same records."""
         online = OnlineChecker(parse_site(site))
-        for record in sorted(seen, key=lambda r: r["t"]):
+        for record in sorted(records, key=lambda r: r["t"]):
             online.add(record)
-        online.finish(max((r["t"] for r in seen), default=0.0))
+        online.finish(max((r["t"] for r in records), default=0.0))
         return {b.rule for _, b in online.violations}
 
-    def test_one_answer(self) -> None:
-        self.kept(sent(0, 1), arrived(0.1, 1), ended(0.2, 1), answer(0.3, 1))
-        self.broken(1, sent(0, 1), arrived(0.1, 1))
-        self.broken(1, sent(0, 1), answer(1.0, 1, "unanswered"))
-        self.broken(1, sent(0, 1), answer(0.1, 1), answer(0.2, 1, "pushed back"))
-        self.broken(1, sent(0, 1), answer(0.1, 1, "left"), arrived(1.0, 1))
-        self.broken(1, sent(0, 1), answer(0.1, 1, "unreachable"))
+    def test_each_request_gets_exactly_one_answer(self) -> None:
+        self.assert_kept(sent(0, 1), arrived(0.1, 1), ended(0.2, 1), answer(0.3, 1))
+        self.assert_violated(1, sent(0, 1), arrived(0.1, 1))
+        self.assert_violated(1, sent(0, 1), answer(1.0, 1, "unanswered"))
+        self.assert_violated(1, sent(0, 1), answer(0.1, 1), answer(0.2, 1, "pushed back"))
+        self.assert_violated(1, sent(0, 1), answer(0.1, 1, "left"), arrived(1.0, 1))
+        self.assert_violated(1, sent(0, 1), answer(0.1, 1, "unreachable"))
         killed = {"t": 0.05, "who": "day", "e": "head killed", "head": 0}
-        self.kept(sent(0, 1), killed, answer(0.1, 1, "unreachable"))
-
-    def test_no_effect_twice(self) -> None:
-        whole = sent(0, 1, 1), answer(0.9, 1, "given up")
-        self.broken(2, *whole, arrived(0.1, 1), arrived(0.2, 1, 1))
-        self.kept(*whole, arrived(0.1, 1), ended(0.15, 1, "turned away"), arrived(0.2, 1, 1))
-        self.broken(2, sent(0, 1, 1), arrived(0.1, 1), answer(0.9, 1, "pushed back"))
-        verdict = self.judge(*whole, arrived(0.1, 1), ran(0.2, 1), ran(0.3, 1))
+        self.assert_kept(sent(0, 1), killed, answer(0.1, 1, "unreachable"))
+
+    def test_a_non_idempotent_request_runs_at_most_once(self) -> None:
+        records = sent(0, 1, 1), answer(0.9, 1, "given up")
+        self.assert_violated(2, *records, arrived(0.1, 1), arrived(0.2, 1, 1))
+        self.assert_kept(*records, arrived(0.1, 1), ended(0.15, 1, "turned away"), arrived(0.2, 1, 1))
+        self.assert_violated(2, sent(0, 1, 1), arrived(0.1, 1), answer(0.9, 1, "pushed back"))
+        verdict = self.check(*records, arrived(0.1, 1), ran(0.2, 1), ran(0.3, 1))
         self.assertEqual(1, verdict.duplicated)
 
-    def test_labelled_stay_in_group_and_window(self) -> None:
+    def test_keyed_requests_are_resent_only_in_scope_and_window(self) -> None:
         site = SITE.replace(
             'name: "write" promised: 0.3 cut_off: 1 effect: REDOABLE',
             'name: "write" promised: 0.3 cut_off: 9 effect: LABELLED group: SHARD ' "remembered: 1",
         )
-        whole = sent(0, 1, 2), arrived(0.1, 1), answer(5, 1, "given up")
-        self.kept(*whole, arrived(0.9, 1), site=site)
-        self.broken(2, *whole, arrived(0.9, 1, 1), site=site)
-        self.broken(2, *whole, arrived(2.0, 1), site=site)
-        self.broken(2, *whole[:2], answer(0.5, 1, "pushed back"), site=site)
-
-    def test_drains(self) -> None:
-        whole = sent(0, 1), answer(1.2, 1)
-        self.kept(*whole, told(0.1, "draining"), arrived(0.2, 1))
-        self.broken(3, *whole, told(0.1, "draining"), arrived(0.9, 1))
-        self.kept(*whole, told(0.1, "gone"), told(0.7, "ready"), arrived(0.9, 1))
-
-    def test_cold_shelves(self) -> None:
-        self.broken(4, {"t": 2.0, "who": "shelf 0", "e": "fell", "shelf": 0, "start": 1_000_000})
-
-    def test_order(self) -> None:
-        two = sent(0, 1, 1, "k"), sent(0.1, 2, 1, "k"), answer(0.8, 1, "given up"), answer(0.9, 2)
-        self.kept(*two, arrived(0.2, 1), ended(0.3, 1), arrived(0.4, 2), ended(0.5, 2))
-        self.broken(5, *two, arrived(0.2, 1), arrived(0.25, 2), ended(0.3, 1), ended(0.4, 2))
-        self.broken(5, *two, arrived(0.2, 2), ended(0.3, 2), arrived(0.4, 1), ended(0.5, 1))
-        self.broken(5, *two, arrived(0.2, 1), arrived(0.75, 2), ended(0.8, 2))
-
-    def test_budget(self) -> None:
+        records = sent(0, 1, 2), arrived(0.1, 1), answer(5, 1, "given up")
+        self.assert_kept(*records, arrived(0.9, 1), site=site)
+        self.assert_violated(2, *records, arrived(0.9, 1, 1), site=site)
+        self.assert_violated(2, *records, arrived(2.0, 1), site=site)
+        self.assert_violated(2, *records[:2], answer(0.5, 1, "pushed back"), site=site)
+
+    def test_nothing_is_sent_to_a_backend_after_the_drain_grace(self) -> None:
+        records = sent(0, 1), answer(1.2, 1)
+        self.assert_kept(*records, told(0.1, "draining"), arrived(0.2, 1))
+        self.assert_violated(3, *records, told(0.1, "draining"), arrived(0.9, 1))
+        self.assert_kept(*records, told(0.1, "gone"), told(0.7, "ready"), arrived(0.9, 1))
+
+    def test_a_cold_backend_is_not_overloaded(self) -> None:
+        self.assert_violated(4, {"t": 2.0, "who": "shelf 0", "e": "fell", "shelf": 0, "start": 1_000_000})
+
+    def test_requests_of_a_key_are_sent_in_order_and_one_at_a_time(self) -> None:
+        two_requests = sent(0, 1, 1, "k"), sent(0.1, 2, 1, "k"), answer(0.8, 1, "given up"), answer(0.9, 2)
+        self.assert_kept(*two_requests, arrived(0.2, 1), ended(0.3, 1), arrived(0.4, 2), ended(0.5, 2))
+        self.assert_violated(
+            5, *two_requests, arrived(0.2, 1), arrived(0.25, 2), ended(0.3, 1), ended(0.4, 2)
+        )
+        self.assert_violated(5, *two_requests, arrived(0.2, 2), ended(0.3, 2), arrived(0.4, 1), ended(0.5, 1))
+        self.assert_violated(5, *two_requests, arrived(0.2, 1), arrived(0.75, 2), ended(0.8, 2))
+
+    def test_retries_stay_within_the_budget(self) -> None:
         site = SITE.replace("key_rest: 0.3", "key_rest: 0.3 budget { free: 2 part: 0.5 span: 5 }")
         base = [s for n in range(2) for s in (sent(n / 10, n), answer(0.9, n), arrived(n / 10 + 0.01, n))]
-        further = [arrived(0.3 + n / 100, 1) for n in range(4)]
-        self.kept(*base, *further[:3], site=site)
-        self.broken(6, *base, *further, site=site)
+        retries = [arrived(0.3 + n / 100, 1) for n in range(4)]
+        self.assert_kept(*base, *retries[:3], site=site)
+        self.assert_violated(6, *base, *retries, site=site)
 
-    def test_limits(self) -> None:
+    def test_volumes_stay_within_their_rate_limit(self) -> None:
         site = SITE.replace("weight: 1 usual", "weight: 1 limit: 10 limit_burst: 20 limit_slack: 2 usual")
 
-        def many(number: int) -> list[Seen]:
+        def requests(number: int) -> list[Record]:
             return [
                 s
                 for n in range(number)
                 for s in (sent(0, n, units=5), arrived(0.1, n, units=5), answer(0.2, n))
             ]
 
-        self.kept(*many(4), site=site)
-        self.broken(7, *many(6), site=site)
+        self.assert_kept(*requests(4), site=site)
+        self.assert_violated(7, *requests(6), site=site)
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -1,5 +1,8 @@
-"""What the standing test asks of a head beside the rules of before: silent watches, lists that come indented,
-outages of discovery, what is sent after SIGTERM, and calls for lists of a whole fleet that comes back."""
+"""Tests of a running HTTP gateway against the operators' standing test.
+
+They cover silent watches, indented lists, outages of discovery, requests after SIGTERM, and the calls for
+lists when all gateways restart at once.
+"""
 
 import unittest
 from collections import Counter
@@ -11,217 +14,231 @@
 from tests.harness import SCHEDULER_SETTINGS, RecordingActions
 from tests.live import SETTINGS, FakeClient, GatewayTest, instance, request_bytes
 
-GRACE = SETTINGS["contract"]["stopSendingWithin"] + 0.05
-TOLD_AFTER = 6.0  # seconds from a watch's silence until what it misses counts as told
-LONGEST = 2.0  # seconds a client waits at most; it is killed 0.7 s later
-MUTE, HALF, HELD = "no byte on a new call", "half an answer", "a call that waits"
-READY_IN = 0.1  # seconds from a process's start: where lists are pushed it serves once it has heard its agent
-LATE_WAY = 0.01  # seconds from a head to a shelf
+STOP_SENDING_SECONDS = SETTINGS["contract"]["stopSendingWithin"] + 0.05
+NOTICE_SECONDS = 6.0  # after a watch falls silent, until the changes that it misses count as told
+MAX_TIMEOUT = 2.0  # longest timeout of a client, in seconds; the gateway is killed 0.7 s later
+NO_ANSWER, HALF_ANSWER, OPEN_CALL = "no byte on a new call", "half an answer", "a call that waits"
+READY_SECONDS = 0.1  # after a start; if lists are pushed, it serves once its agent has answered
+MAX_TRANSIT_SECONDS = 0.01  # from a gateway to a backend
+
 
+def settings(gateways: int, pushed: bool) -> dict[str, Any]:
+    """Returns the settings of a fleet.
 
-def settings(heads: int, pushed: bool) -> dict[str, Any]:
-    """pushed: as where the list is pushed to the machine's agent, which names no time for asking."""
-    told = {**SETTINGS, "balancers": heads}
+    pushed: the list is pushed to the machine's agent, and the settings name no time for polling.
+    """
+    result = {**SETTINGS, "balancers": gateways}
     if pushed:
         contract = {k: v for k, v in SETTINGS["contract"].items() if k != "askWithin"}
-        told |= {"membershipMode": "push", "contract": contract}
-    return told
+        result |= {"membershipMode": "push", "contract": contract}
+    return result
 
 
-class Rig(GatewayTest):
+class LoadTest(GatewayTest):
     async def load(self, until: float) -> None:
-        """A small transaction for shelf 0 every tenth of a second, each on a connection of its own."""
+        """Sends a small request for backend 0 every 0.1 s, each on a connection of its own."""
         number = 0x5000
         while self.client_process.now() < until:
             number += 1
-            caller = await FakeClient(self.client_process).connect()
-            caller.stream.write(request_bytes(f"{number:x}", timeout_ms=300))
+            client = await FakeClient(self.client_process).connect()
+            client.stream.write(request_bytes(f"{number:x}", timeout_ms=300))
             await self.wait(0.1)
-            self.callers.append(caller)
+            self.clients.append(client)
+
+    def record_arrivals(self) -> None:
+        """Records when each request arrived at backend 0."""
+        self.arrived_at: list[float] = []
+        self.clients: list[FakeClient] = []
+        backend, respond = self.backends[0], self.backends[0].respond
 
-    def watch_shelf(self) -> None:
-        """Notes when each request came to shelf 0."""
-        self.came: list[float] = []
-        self.callers: list[FakeClient] = []
-        shelf, honest = self.backends[0], self.backends[0].respond
+        def recording_respond(request: Any) -> list[bytes] | None:
+            self.arrived_at.append(self.client_process.now() - backend.delay)
+            return respond(request)
 
-        def says(request: Any) -> list[bytes] | None:
-            self.came.append(self.client_process.now() - shelf.delay)
-            return honest(request)
+        backend.respond = recording_respond
 
-        shelf.respond = says
 
+class Watches(LoadTest):
+    def drain_delay(self, how: str, gateways: int, pushed: bool, at: float) -> float:
+        """Returns the seconds from the silence until the last request to the backend whose drain is missed.
 
-class Watches(Rig):
-    def silence(self, how: str, heads: int, pushed: bool, at: float) -> float:
-        """Seconds from the silence until the last request came to the shelf whose drain it hides."""
+        how: what discovery still sends. at: when the watch falls silent, in seconds after the start.
+        """
         self.setUp()
 
         async def work() -> float:
-            self.watch_shelf()
-            self.start(settings=settings(heads, pushed))
-            await self.wait(READY_IN)
+            self.record_arrivals()
+            self.start(settings=settings(gateways, pushed))
+            await self.wait(READY_SECONDS)
             await self.load(self.client_process.now() + at)
-            self.discovery.fall_silent(how == HALF, further_connections=how == MUTE)
-            if how == MUTE:
-                self.gateway.discovery.move_to(self.gateway.discovery.address)  # calls, and hears not a byte
-            began = self.client_process.now()
+            self.discovery.fall_silent(how == HALF_ANSWER, further_connections=how == NO_ANSWER)
+            if how == NO_ANSWER:
+                # The gateway connects again and receives no byte.
+                self.gateway.discovery.move_to(self.gateway.discovery.address)
+            silent_since = self.client_process.now()
             self.discovery.publish(instance(0, "draining"))
-            await self.load(began + TOLD_AFTER + 4.0)
-            return max(self.came) - began
+            await self.load(silent_since + NOTICE_SECONDS + 4.0)
+            return max(self.arrived_at) - silent_since
 
         last = 0.0
 
-        async def played() -> None:
+        async def run() -> None:
             nonlocal last
             last = await work()
 
-        self.run_scenario(played)
+        self.run_scenario(run)
         return last
 
-    def test_what_a_silent_watch_misses_is_known_by_the_time_it_counts_as_told(self) -> None:
-        for how, heads, pushed, at in product((MUTE, HALF, HELD), (1, 200), (False, True), (3.1, 4.4)):
-            with self.subTest(how=how, heads=heads, pushed=pushed, at=at):
-                last = self.silence(how, heads, pushed, at)
-                self.assertGreater(last, 0.0, "nothing was sent: this shows nothing")
-                self.assertLess(last, TOLD_AFTER + GRACE)
+    def test_a_change_that_a_silent_watch_misses_is_known_when_it_counts_as_told(self) -> None:
+        for how, gateways, pushed, at in product(
+            (NO_ANSWER, HALF_ANSWER, OPEN_CALL), (1, 200), (False, True), (3.1, 4.4)
+        ):
+            with self.subTest(how=how, gateways=gateways, pushed=pushed, at=at):
+                last = self.drain_delay(how, gateways, pushed, at)
+                self.assertGreater(last, 0.0, "nothing was sent, so this proves nothing")
+                self.assertLess(last, NOTICE_SECONDS + STOP_SENDING_SECONDS)
 
-    def test_refusals_of_long_ago_lengthen_no_later_pause(self) -> None:
-        """A watch that stands again and brings nothing new ends them, as one that brings news."""
+    def test_old_refusals_do_not_lengthen_a_later_pause(self) -> None:
+        """A new watch resets the count of failures even if it brings no change."""
 
         async def work() -> None:
-            self.watch_shelf()
-            head = self.start(settings=settings(200, False))
+            self.record_arrivals()
+            gateway = self.start(settings=settings(200, False))
             await self.wait(2.5)
             self.discovery.unavailable = True
             await self.wait(14.0)
-            self.assertGreater(head.driver.scheduler.polling.failures, 2)
+            self.assertGreater(gateway.driver.scheduler.polling.failures, 2)
             self.discovery.unavailable = False
             await self.wait(14.0)
-            self.assertEqual(0, head.driver.scheduler.polling.failures)
+            self.assertEqual(0, gateway.driver.scheduler.polling.failures)
             self.discovery.fall_silent()
-            began = self.client_process.now()
+            silent_since = self.client_process.now()
             self.discovery.publish(instance(0, "draining"))
-            await self.load(began + TOLD_AFTER + 4.0)
-            self.assertTrue(0.0 < max(self.came) - began < TOLD_AFTER + GRACE)
+            await self.load(silent_since + NOTICE_SECONDS + 4.0)
+            self.assertTrue(0.0 < max(self.arrived_at) - silent_since < NOTICE_SECONDS + STOP_SENDING_SECONDS)
 
         self.run_scenario(work)
 
-    def test_lists_may_come_indented(self) -> None:
+    def test_an_indented_list_is_read(self) -> None:
         async def work() -> None:
             self.discovery.indent = 4
-            head = self.start()
+            gateway = self.start()
             self.discovery.publish(instance(0, "draining"))
             await self.wait(1.0)
-            self.assertEqual(2, head.discovery.version)
+            self.assertEqual(2, gateway.discovery.version)
 
         self.run_scenario(work)
 
-    def test_what_the_agent_holds_after_an_outage_is_used_at_once(self) -> None:
-        """Pushed lists count as told at the return, so a head with no watch may not wait for long."""
+    def test_a_change_that_the_agent_has_after_an_outage_is_used_at_once(self) -> None:
+        """Pushed lists count as told when discovery returns, so a gateway without a watch must ask soon."""
 
         async def work() -> None:
-            self.watch_shelf()
+            self.record_arrivals()
             self.start(settings=settings(200, True))
-            await self.wait(READY_IN)
+            await self.wait(READY_SECONDS)
             await self.load(self.client_process.now() + 1.0)
             self.discovery.unavailable = True
             await self.load(self.client_process.now() + 8.0)
             self.discovery.publish(instance(0, "draining"))
             self.discovery.unavailable = False
-            back = self.client_process.now()
-            await self.load(back + 4.0)
-            self.assertTrue(0.0 < max(self.came) - back < GRACE, max(self.came) - back)
+            restored_at = self.client_process.now()
+            await self.load(restored_at + 4.0)
+            self.assertTrue(
+                0.0 < max(self.arrived_at) - restored_at < STOP_SENDING_SECONDS,
+                max(self.arrived_at) - restored_at,
+            )
 
         self.run_scenario(work)
 
-    def test_a_pushed_list_is_watched_from_the_first_moment(self) -> None:
+    def test_a_pushed_list_is_watched_from_the_start(self) -> None:
         async def work() -> None:
             self.discovery.publish(instance(0, "draining"))
-            head = self.start(settings=settings(200, True))
+            gateway = self.start(settings=settings(200, True))
             await self.wait(0.1)
-            self.assertEqual(2, head.discovery.version)
+            self.assertEqual(2, gateway.discovery.version)
 
         self.run_scenario(work)
 
 
-class Ending(Rig):
-    def test_every_open_connection_is_served_up_to_the_kill(self) -> None:
+class GracefulShutdown(LoadTest):
+    def test_open_connections_are_served_until_the_gateway_is_killed(self) -> None:
         async def work() -> None:
             self.start()
             self.backends[0].delay = 0.05
-            callers = [await FakeClient(self.client_process).connect() for _ in range(8)]
-            owed: dict[FakeClient, list[float]] = {c: [] for c in callers}
-            for n, c in enumerate(callers):
+            clients = [await FakeClient(self.client_process).connect() for _ in range(8)]
+            sent_at: dict[FakeClient, list[float]] = {c: [] for c in clients}
+            for n, c in enumerate(clients):
                 c.stream.write(request_bytes(f"{n + 1:x}", shard=n % 2))
-                owed[c].append(self.client_process.now())
+                sent_at[c].append(self.client_process.now())
             await self.wait(0.3)
             self.transport.terminate()
-            told = self.client_process.now()
-            ending = self.loop.create_task(self.gateway.end())
+            terminated_at = self.client_process.now()
+            shutdown = self.loop.create_task(self.gateway.end())
             number = 0x100
-            while self.client_process.now() < told + LONGEST + 0.7:
-                for c in callers:
-                    # One request at a time on each, as clients do, with each patience that they have.
-                    if not c.ended_at and c.received.count(b"HTTP/1.1 ") == len(owed[c]):
+            while self.client_process.now() < terminated_at + MAX_TIMEOUT + 0.7:
+                for c in clients:
+                    # One request at a time on each connection, as clients do, with each of their timeouts.
+                    if not c.ended_at and c.received.count(b"HTTP/1.1 ") == len(sent_at[c]):
                         number += 1
-                        patience = (200, 700, 2000)[number % 3]
-                        c.stream.write(request_bytes(f"{number:x}", shard=number % 2, timeout_ms=patience))
-                        owed[c].append(self.client_process.now())
+                        timeout_ms = (200, 700, 2000)[number % 3]
+                        c.stream.write(request_bytes(f"{number:x}", shard=number % 2, timeout_ms=timeout_ms))
+                        sent_at[c].append(self.client_process.now())
                 await self.wait(0.02)
-            self.assertTrue(ending.done(), "it ends before it is killed")
-            for c in callers:
+            self.assertTrue(shutdown.done(), "it ends before it is killed")
+            for c in clients:
                 answers = c.received.count(b"HTTP/1.1 ")
-                crossed = len(owed[c]) - answers
-                # A request that crossed the end of its connection was not read: it is sent anew elsewhere.
+                crossed = len(sent_at[c]) - answers
+                # A request in transit when its connection closed was not read; clients send it again.
                 self.assertTrue(
-                    crossed == 0 or crossed == 1 and c.ended_at - owed[c][-1] <= 2 * LATE_WAY,
-                    (len(owed[c]), answers, c.ended_at - owed[c][-1]),
+                    crossed == 0 or crossed == 1 and c.ended_at - sent_at[c][-1] <= 2 * MAX_TRANSIT_SECONDS,
+                    (len(sent_at[c]), answers, c.ended_at - sent_at[c][-1]),
+                )
+                self.assertGreater(answers, 10, "it went on serving")
+                self.assertGreater(
+                    max(sent_at[c]) - terminated_at, 1.5, "it served until shortly before the kill"
                 )
-                self.assertGreater(answers, 10, "it served on")
-                self.assertGreater(max(owed[c]) - told, 1.5, "and not only at first")
 
         self.run_scenario(work)
 
 
 class CallsForLists(unittest.TestCase):
-    """The decisions of many heads, no network: when each asks."""
-
-    def calls(self, heads: int, refused: int) -> list[float]:
-        """Seconds from the moment in which all start, or are refused for the given time in turn."""
-        asked = []
-        for n in range(heads):
-            host = RecordingActions()
-            facts = SchedulerSettings(
+    """When each of many gateways polls for the list: the scheduler's decisions, without a network."""
+
+    def poll_times(self, gateways: int, refused: int) -> list[float]:
+        """Returns when each gateway polls, in seconds after all start and fail the given number of polls."""
+        times = []
+        for n in range(gateways):
+            actions = RecordingActions()
+            scheduler_settings = SchedulerSettings(
                 **{
                     **SCHEDULER_SETTINGS,
-                    "gateways": heads,
+                    "gateways": gateways,
                     "polls_endpoints": True,
                     "poll_within": 10.0,
                     "slow_start": SlowStartRule(8.0, 2.0, 10.0, 0.25),
                 }
             )
-            scheduler = Scheduler(host, facts, 77 + n)
+            scheduler = Scheduler(actions, scheduler_settings, 77 + n)
             for _ in range(refused):
                 scheduler.endpoint_poll_failed()
             scheduler.batch_ended()
-            while len(host.trace) == 1:
-                wake = min(host.timers)
-                host.timers.remove(wake)
-                host.now = max(host.now, wake[0])
+            while len(actions.trace) == 1:
+                wake = min(actions.timers)
+                actions.timers.remove(wake)
+                actions.now = max(actions.now, wake[0])
                 scheduler.timer_fired(wake[1])
                 scheduler.batch_ended()
-            asked.append(host.now - 100.0)
-        return asked
+            times.append(actions.now - 100.0)
+        return times
 
-    def test_a_fleet_that_starts_or_is_refused_at_once_does_not_ask_at_once(self) -> None:
+    def test_gateways_that_start_or_are_refused_together_spread_their_polls(self) -> None:
         for refused in range(6):
             with self.subTest(refused=refused):
-                asked = self.calls(200, refused)
-                tenths = Counter(int(t * 10) for t in asked)
-                self.assertLess(max(tenths.values()), 0.2 * 200, "of the heads within a tenth of a second")
-                self.assertLessEqual(max(asked), 10.0, "a list may be no older")
-
-    def test_a_head_alone_asks_at_once(self) -> None:
-        self.assertEqual([0.0], self.calls(1, 0))
-        self.assertLessEqual(self.calls(1, 1)[0], 0.5)
+                times = self.poll_times(200, refused)
+                tenths = Counter(int(t * 10) for t in times)
+                self.assertLess(max(tenths.values()), 0.2 * 200, "of the gateways within 0.1 s")
+                self.assertLessEqual(max(times), 10.0, "the list must not be older")
+
+    def test_a_single_gateway_polls_at_once(self) -> None:
+        self.assertEqual([0.0], self.poll_times(1, 0))
+        self.assertLessEqual(self.poll_times(1, 1)[0], 0.5)
