--- a/gorsethread/experiments/recovery.py
+++ b/gorsethread/experiments/recovery.py
@@ -247,7 +247,7 @@
     with tempfile.TemporaryDirectory(prefix="gorsethread-return-") as folder:
         trial = ReturnTrial(transport, Processes(Path(folder), known), known, log, script)
         trial.alone, trial.say = alone, say
-        trial.shelf_kind = counting(FakeBackend, opened.append)
+        trial.backend_class = counting(FakeBackend, opened.append)
         if kinds[-1].endswith("lost"):
             trial.forgets_from = BEFORE + APART * (len(kinds) - 1)
         r = await trial.play()
--- a/gorsethread/experiments/slow_start_leases.py
+++ b/gorsethread/experiments/slow_start_leases.py
@@ -68,7 +68,7 @@
 class Trial(ServiceTrial):
     """plant: code that each head runs before it starts, for a defect."""
 
-    result_kind = Result
+    result_class = Result
 
     def __init__(
         self,
--- a/gorsethread/fakes/backend.py
+++ b/gorsethread/fakes/backend.py
@@ -274,7 +274,7 @@
             )
         return self.files[volume]
 
-    def _count(self, volume: int, head: int, units: int, now: float) -> tuple[int, int]:
+    def _count(self, volume: int, gateway: int, units: int, now: float) -> tuple[int, int]:
         """Counts the units that a gateway was served.
 
         Returns the units that other gateways were served since this gateway was last told, and the volume's
@@ -282,10 +282,10 @@
         The first is 0 if the site's backends do not report it.
         """
         served = self.units_served.setdefault(volume, {})
-        served[head] = served.get(head, 0) + units
-        others = sum(u for h, u in served.items() if h != head)
-        elsewhere = others - self.units_reported.get((volume, head), 0)
-        self.units_reported[volume, head] = others
+        served[gateway] = served.get(gateway, 0) + units
+        others = sum(n for other, n in served.items() if other != gateway)
+        elsewhere = others - self.units_reported.get((volume, gateway), 0)
+        self.units_reported[volume, gateway] = others
         usage = 0
         if length := self.site.machine.meter_period:
             period = int(now / length)
--- a/gorsethread/harness/branches.py
+++ b/gorsethread/harness/branches.py
@@ -50,8 +50,8 @@
 class BranchTrial(DurableLogTrial):
     """A trial of gateways of a main site and a branch."""
 
-    result_kind = Result
-    client_kind = BranchClient
+    result_class = Result
+    client_class = BranchClient
 
     def __init__(
         self,
--- a/gorsethread/harness/durable_log_trial.py
+++ b/gorsethread/harness/durable_log_trial.py
@@ -49,8 +49,8 @@
 class DurableLogTrial(SiteTrial):
     """A trial of gateways that keep durable logs."""
 
-    result_kind: Callable[[int], Any] = Result
-    client_kind: type[LoadClient] = Forgetful
+    result_class: Callable[[int], Any] = Result
+    client_class: type[LoadClient] = Forgetful
 
     def __init__(
         self,
--- a/gorsethread/harness/process_faults.py
+++ b/gorsethread/harness/process_faults.py
@@ -63,6 +63,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def members(self, name: str) -> list[str]:
+        """Returns the parties of a room, or the named party itself."""
         kind, _, room = name.partition(" ")
         if kind == "room":
             return [f"head {n}" for n in range(self.gateways) if n % ROOM_COUNT == int(room)]
@@ -74,6 +75,7 @@
             process.send_signal(number)
 
     def directions(self, act: Act) -> list[Direction]:
+        """Returns the directions between parties that an act affects."""
         if act.kind == "link":
             return [
                 direction
--- a/gorsethread/harness/service.py
+++ b/gorsethread/harness/service.py
@@ -107,13 +107,13 @@
 
     The script gives the number of gateways and backends, the duration and the faults.
     defect_code: Python code that each gateway process runs before it starts, to make it faulty.
-    result_kind: class of the result; a subclass adds figures of its own.
+    result_class: class of the result; a subclass adds figures of its own.
     """
 
-    result_kind: Callable[[int], Any] = Result
-    list_kind: type[FakeDiscovery] = HttpFakeDiscovery
-    shelf_kind: type[FakeBackend] = HttpFakeBackend
-    client_kind: type[LoadClient] = HttpLoadClient
+    result_class: Callable[[int], Any] = Result
+    discovery_class: type[FakeDiscovery] = HttpFakeDiscovery
+    backend_class: type[FakeBackend] = HttpFakeBackend
+    client_class: type[LoadClient] = HttpLoadClient
 
     def __init__(
         self,
@@ -142,7 +142,7 @@
         self.relayed_list_address = f"{self.net}.251:{ports[-1]}"
         self.records: list[dict[str, Any]] = []
         self.day = MemoryRecorder(transport, "day", self.records)
-        self.discovery = self.list_kind(
+        self.discovery = self.discovery_class(
             transport, self.site, MemoryRecorder(transport, "list", self.records), [], log
         )
         self.fault_player = FaultPlayer(
@@ -161,10 +161,10 @@
         )
         self.streams = self.fault_player.streams = StreamRelay(transport, self.fault_player.faults)
         self.backends: dict[int, BackendRun] = {}
-        self.result = self.result_kind(gateways)
+        self.result = self.result_class(gateways)
 
     def make_backend(self, *given: Any) -> Any:
-        return self.shelf_kind(*given)
+        return self.backend_class(*given)
 
     def _site_for(self, tenant: str) -> pb.Site:
         return self.site
@@ -300,7 +300,7 @@
                 if a.kind == "surge"
             ]
             clients = self.clients = [
-                self.client_kind(
+                self.client_class(
                     transport,
                     self._site_for(t.name),
                     t.name,
--- a/gorsethread/harness/site.py
+++ b/gorsethread/harness/site.py
@@ -67,9 +67,9 @@
     Parties of its scripts are gateways, rooms of them, backends, the list, clients by tenant, and volumes.
     """
 
-    list_kind = FakeDiscovery
-    shelf_kind = FakeBackend
-    client_kind = LoadClient
+    discovery_class = FakeDiscovery
+    backend_class = FakeBackend
+    client_class = LoadClient
 
     def __init__(
         self,
--- a/gorsethread/invariants/history_checker.py
+++ b/gorsethread/invariants/history_checker.py
@@ -306,22 +306,22 @@
             if sent and sent["key"]:
                 for a in arrivals:
                     arrivals_by_key[sent["head"], sent["key"]].append(a)
-        for (head, _), arrivals in arrivals_by_key.items():
+        for (gateway, _), arrivals in arrivals_by_key.items():
             arrivals.sort(key=sent_at)
             for earlier, later in zip(arrivals, arrivals[1:], strict=False):
                 first, second = (earlier["label"], earlier["attempt"]), (later["label"], later["attempt"])
-                if any(sent_at(earlier) < at <= sent_at(later) for at in self.gateway_deaths[head]):
+                if any(sent_at(earlier) < at <= sent_at(later) for at in self.gateway_deaths[gateway]):
                     continue  # the gateway restarted between and knows nothing of the earlier command
                 if first == second:
                     continue
                 if order.get(second, 0) < order.get(first, 0) - (1 if self.received_at else 0):
                     self._add_violation(
-                        5, f"gateway {head} sent a key's requests out of order", later["label"]
+                        5, f"gateway {gateway} sent a key's requests out of order", later["label"]
                     )
                 if not self._ended_before(earlier, later):
                     self._add_violation(
                         5,
-                        f"gateway {head} sent a key's next request early",
+                        f"gateway {gateway} sent a key's next request early",
                         later["label"],
                     )
 
@@ -352,20 +352,20 @@
                 continue
             for a in sorted(arrivals, key=sent_at)[1:]:
                 retries[a["head"]].append(sent_at(a))
-        for head, times in retries.items():
+        for gateway, times in retries.items():
             window: deque[float] = deque()
             for at in sorted(times):
                 window.append(at)
                 # A restarted gateway knows nothing of the retries and requests before.
-                restart = max((d for d in self.gateway_deaths[head] if d < at), default=0.0)
+                restart = max((d for d in self.gateway_deaths[gateway] if d < at), default=0.0)
                 while window[0] < max(restart, at - budget.span + self.slack):
                     window.popleft()
                 since = max(restart, at - budget.span - self.slack)
-                earned = sum(since <= t <= at + self.slack for t in requests[head])
+                earned = sum(since <= t <= at + self.slack for t in requests[gateway])
                 if len(window) > budget.free + budget.part * earned:
                     self._add_violation(
                         6,
-                        f"gateway {head} made {len(window)} retries in {budget.span:g} s, "
+                        f"gateway {gateway} made {len(window)} retries in {budget.span:g} s, "
                         f"{earned} requests received",
                     )
                     break
--- a/gorsethread/invariants/online_checker.py
+++ b/gorsethread/invariants/online_checker.py
@@ -182,7 +182,7 @@
         s = self.seen.get((r["label"], r["attempt"]))
         if s is None:
             return
-        arrival, label, head = _Arrival(r, sent_at(r)), r["label"], r["head"]
+        arrival, label, gateway = _Arrival(r, sent_at(r)), r["label"], r["head"]
         excused = (label, r["attempt"]) in self._missed_aborts or label in self._accepted
         if (
             arrival.sent_at > s.ended_at + self.slack
@@ -192,18 +192,18 @@
             self._add_violation(r["t"], 1, f"sent to backend {r['shelf']} after the request had ended", label)
         if label in self._accepted:
             # At the gateway that replays it, each arrival counts as a request of its own.
-            insort(self._requests[head], arrival.sent_at)
+            insort(self._requests[gateway], arrival.sent_at)
         if s.arrivals:
             self._check_resend(s, arrival, label)
         if s.arrivals and label not in self._accepted:
             # If a cut delayed the first attempt, the one that arrived before it was the retry.
-            self._check_retry_budget(head, max(arrival.sent_at, min(a.sent_at for a in s.arrivals)))
-        told = self.told.get((head, r["shelf"]))
+            self._check_retry_budget(gateway, max(arrival.sent_at, min(a.sent_at for a in s.arrivals)))
+        told = self.told.get((gateway, r["shelf"]))
         if told is not None and arrival.sent_at > told + self.site.rules.drain_grace + self.slack:
             self._add_violation(
                 r["t"],
                 3,
-                f"gateway {head} sent to backend {r['shelf']} after it was told that it stops",
+                f"gateway {gateway} sent to backend {r['shelf']} after it was told that it stops",
                 label,
             )
         if not s.arrivals:
@@ -257,21 +257,21 @@
             )
 
     def _check_order(self, s: _Attempt, arrival: _Arrival) -> None:
-        head, label = s.sent["head"], s.sent["label"]
-        before = self._last_arrival.get((head, s.sent["key"]))
+        gateway, label = s.sent["head"], s.sent["label"]
+        before = self._last_arrival.get((gateway, s.sent["key"]))
         if before is not None and arrival.sent_at < before[1].sent_at:
             return  # it was sent earlier and a cut delayed it
-        self._last_arrival[head, s.sent["key"]] = (s, arrival)
+        self._last_arrival[gateway, s.sent["key"]] = (s, arrival)
         if (
             before is None
             or before[0] is s
-            or before[1].sent_at < self._gateway_deaths.get(head, 0.0) <= arrival.sent_at
+            or before[1].sent_at < self._gateway_deaths.get(gateway, 0.0) <= arrival.sent_at
         ):
             return
         earlier, earlier_arrival = before
         if s.before(earlier):
             self._add_violation(
-                arrival.record["t"], 5, f"gateway {head} sent a key's requests out of order", label
+                arrival.record["t"], 5, f"gateway {gateway} sent a key's requests out of order", label
             )
         if earlier_arrival.end is not None and earlier_arrival.end["t"] <= arrival.sent_at:
             return
@@ -282,14 +282,14 @@
             self._add_violation(
                 arrival.record["t"],
                 5,
-                f"gateway {head} sent a key's next request early",
+                f"gateway {gateway} sent a key's next request early",
                 label,
             )
 
-    def _check_retry_budget(self, head: int, at: float) -> None:
-        if not self.site.rules.HasField("budget") or at < self._gateway_deaths.get(head, 0.0):
+    def _check_retry_budget(self, gateway: int, at: float) -> None:
+        if not self.site.rules.HasField("budget") or at < self._gateway_deaths.get(gateway, 0.0):
             return
-        budget, retries, requests = self.site.rules.budget, self._retries[head], self._requests[head]
+        budget, retries, requests = self.site.rules.budget, self._retries[gateway], self._requests[gateway]
         insort(retries, at) if retries and at < retries[-1] else retries.append(at)
         while retries[0] < retries[-1] - 2 * budget.span:
             retries.popleft()
@@ -297,15 +297,15 @@
             requests.popleft()
         # A retry that a cut delayed also counts in the spans of those that were sent after it.
         for end in [t for t in retries if t >= at]:
-            made = sum(end - budget.span + self.slack <= t <= end for t in retries)
+            retry_count = sum(end - budget.span + self.slack <= t <= end for t in retries)
             earned = sum(end - budget.span - self.slack <= t <= end + self.slack for t in requests)
-            if made > budget.free + budget.part * earned:
+            if retry_count > budget.free + budget.part * earned:
                 self._add_violation(
                     at,
                     6,
-                    f"gateway {head} made {made} retries in {budget.span:g} s, "
+                    f"gateway {gateway} made {retry_count} retries in {budget.span:g} s, "
                     f"{earned} requests received",
-                    head,
+                    gateway,
                 )
 
     def _check_rate_limit(self, r: Record, sent_time: float) -> None:
