--- a/tests/test_nvme_gateway.py
+++ b/tests/test_nvme_gateway.py
@@ -276,8 +276,8 @@
             first.server.stop("killed")
             first._listener.close()
             self.list.stop()
-            for follower in list(self.list.followers):
-                follower.stream.close()
+            for watcher in list(self.list.watchers):
+                watcher.stream.close()
             self.start_head(0, path)
             client = await self.client()
             self.assertEqual("honoured", (await self.send(client, Opcode.READ))[0])
