--- a/gorsethread/fakes/client.py
+++ b/gorsethread/fakes/client.py
@@ -138,9 +138,8 @@
         self.over = False
         self.cid = -1
         self.timer: Timer | None = None
-        self.written: list[
-            bool
-        ] = []  # for each block of a read: a write of it had been acknowledged before sending
+        # For each block of a read: whether a write of it had been acknowledged before the read was sent.
+        self.written: list[bool] = []
 
     def send(self) -> bool:
         """Sends the command; returns False if there is no connection, no room on it or no time left."""
--- a/gorsethread/harness/branches.py
+++ b/gorsethread/harness/branches.py
@@ -89,8 +89,8 @@
         return on_disks(folders)
 
     async def _clients_finished(self) -> None:
-        by = self.transport.now() + REPLAY_TIMEOUT_SECONDS
-        while self._queued_labels()[1] and self.transport.now() < by:
+        deadline = self.transport.now() + REPLAY_TIMEOUT_SECONDS
+        while self._queued_labels()[1] and self.transport.now() < deadline:
             await self.transport.sleep(CHECK_INTERVAL_SECONDS)
         await self.transport.sleep(CHECK_INTERVAL_SECONDS)
 
--- a/gorsethread/harness/service.py
+++ b/gorsethread/harness/service.py
@@ -183,7 +183,7 @@
             instance(s.number, s.address, s.shard, s.zone, "ready", 0.0, number) for s in self.site.shelf
         ]
         settings = {**settings_of(self.site), "index": number}
-        order = {
+        configuration = {
             "name": f"n{number}",
             "listen": self.site.head[number].address,
             "discovery": f"{self.net}.251:{FIRST_GATEWAY_PORT + number}",
@@ -195,7 +195,7 @@
             "peers": [f"127.0.0.1:{port}" for port in self.public],
         }
         path = self.processes.folder / f"config-{number}.json"
-        path.write_text(json.dumps(order))
+        path.write_text(json.dumps(configuration))
         return str(path)
 
     async def _start_gateway(self, name: str) -> None:
@@ -212,7 +212,7 @@
         )
 
     async def _all_listen(self) -> None:
-        by = self.transport.now() + START_TIMEOUT_SECONDS
+        deadline = self.transport.now() + START_TIMEOUT_SECONDS
         for head in self.site.head:
             host, _, port = head.address.rpartition(":")
             while True:
@@ -220,20 +220,21 @@
                     (await self.transport.connect(host, int(port), 1.0)).close()
                     break
                 except Unreachable:
-                    if self.transport.now() > by:
+                    if self.transport.now() > deadline:
                         raise RuntimeError(f"gateway {head.number} does not listen") from None
                     await self.transport.sleep(0.1)
 
     # ---- the script
 
     def _record_act(self, event: str, act: Act) -> None:
+        """Records when gateways were killed, stopped or cut off from clients, for the checker."""
         if event in ("cut", "reset", "mute"):
-            client, head = (act.whom, act.to) if act.whom.startswith("client") else (act.to, act.whom)
-            if client.startswith("client") and head.startswith("head"):
+            client, gateway = (act.whom, act.to) if act.whom.startswith("client") else (act.to, act.whom)
+            if client.startswith("client") and gateway.startswith("head"):
                 self.day.record(
                     "apart",
                     client=client,
-                    head=int(head.split(" ")[1]),
+                    head=int(gateway.split(" ")[1]),
                     until=self.transport.now() + act.seconds + SETTLE_SECONDS,
                 )
             return
@@ -285,6 +286,7 @@
         """Called when the script is over and clients have their answers; gateways still run."""
 
     async def play(self) -> Any:
+        """Runs the trial and returns its result."""
         site, transport, script = self.site, self.transport, self.script
         self.discovery.start()
         self._add_routes()
