--- a/gorsethread/cli/faults.py
+++ b/gorsethread/cli/faults.py
@@ -12,18 +12,18 @@
 from gorsethread.experiments.script_comparison import beside
 from gorsethread.harness.process_faults import unplayable
 from gorsethread.harness.site import PARTIES, PLAYED
-from gorsethread.simulation.durable_log_mutants import KEPT_MUTANTS
-from gorsethread.simulation.http_mutants import WEB_MUTANTS
+from gorsethread.simulation.durable_log_mutants import DURABLE_LOG_MUTANTS
+from gorsethread.simulation.http_mutants import HTTP_MUTANTS
 from gorsethread.simulation.mutants import MUTANTS
 from gorsethread.simulation.runs import (
     Summary,
-    drawn,
+    client_start_time,
+    find_first_failing_seed,
+    generate_script,
     play,
     play_many,
     shrink,
     timeline,
-    until_caught,
-    zero_of,
 )
 from gorsethread.simulation.script import KINDS, BadScript, Script, read_script
 from gorsethread.simulation.site_simulation import misfits
@@ -60,7 +60,7 @@
 
 def _script(site: pb.Site, what: str, web: bool = False, kept: bool = False) -> Script:
     if what.isdigit():
-        return drawn(site, int(what), web, kept)
+        return generate_script(site, int(what), web, kept)
     try:
         script = read_script(Path(what).read_text())
         if no := misfits(site, script, web, kept):
@@ -74,7 +74,7 @@
 
 
 def _mutants_of(web: bool, kept: bool) -> list[str]:
-    return [*KEPT_MUTANTS] if kept else [*WEB_MUTANTS] if web else [*MUTANTS]
+    return [*DURABLE_LOG_MUTANTS] if kept else [*HTTP_MUTANTS] if web else [*MUTANTS]
 
 
 def _mutant(name: str, web: bool = False, kept: bool = False) -> str:
@@ -168,7 +168,7 @@
     console = Console(stderr=json_path == "-")
     console.print(str(script), markup=False, highlight=False)
     outcome, again = (play(known, script, planted, web, kept) for _ in range(2))
-    zero = zero_of(outcome)
+    zero = client_start_time(outcome)
     if every:
         hidden = ("t", "who", "e", "start")
         for r in outcome.records:
@@ -230,7 +230,7 @@
     if out:
         Path(out).write_text(str(small))
     outcome = play(known, small, planted, web, kept)
-    for line in timeline(outcome, zero_of(outcome), 1):
+    for line in timeline(outcome, client_start_time(outcome), 1):
         console.print(line, markup=False, highlight=False, soft_wrap=True)
 
 
@@ -276,7 +276,7 @@
     table = Table("planted defect", "first seed that shows it", "as")
     caught: dict[str, Any] = {}
     for name in chosen:
-        played = until_caught(known, name, most, at_once, web, kept)
+        played = find_first_failing_seed(known, name, most, at_once, web, kept)
         caught[name] = None if played is None else {"seed": played.seed, "reasons": played.reasons}
         told = ("NONE", "") if played is None else (str(played.seed), ", ".join(played.reasons))
         console.print(f"{name}: {told[0]} {told[1]}", markup=False, highlight=False)
--- a/gorsethread/cli/main.py
+++ b/gorsethread/cli/main.py
@@ -28,7 +28,7 @@
 from gorsethread.fakes.record import Recorder, read_script
 from gorsethread.logs import log_for, start_logs
 from gorsethread.nvme_gateway.gateway import Head
-from gorsethread.simulation.rule_mutants import plant as plant_break
+from gorsethread.simulation.rule_mutants import break_rule
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.real import RealTransport, run
 from gorsethread.transport.sampling import Sampler
@@ -152,7 +152,7 @@
             peers_listen=peers_listen,
         )
         if plant:
-            plant_break(made, plant)
+            break_rule(made, plant)
         if alternate:
             alternating.append(Alternating(made))
         return made
--- a/gorsethread/experiments/membership.py
+++ b/gorsethread/experiments/membership.py
@@ -27,7 +27,11 @@
 )
 from gorsethread.membership.member_table import Change  # noqa: E402
 from gorsethread.membership.membership_view import MembershipView  # noqa: E402
-from gorsethread.simulation.membership_simulation import FleetWorld, bound, drawn  # noqa: E402
+from gorsethread.simulation.membership_simulation import (  # noqa: E402
+    MembershipSimulation,
+    generate_script,
+    settling_bound,
+)
 from gorsethread.simulation.script import read_script  # noqa: E402
 
 LOST_AT = 60.0  # seconds from the start of all until one head is gone for good
@@ -109,9 +113,9 @@
     text = f"seed 1\nheads {heads}\n{LOST_AT:g} vanish head-1 for 3000\n"
     if lossy:
         text += "".join(f"0.1 lose head-{n} by {lossy} for {LOST_AT + WATCHED:g}\n" for n in range(heads))
-    world = FleetWorld(read_script(text), calm=WATCHED, make=KINDS[kind])
+    world = MembershipSimulation(read_script(text), settle_time=WATCHED, view_factory=KINDS[kind])
     judged = world.play()
-    times = sorted(max(0.0, at - LOST_AT) for at in world.over_at.get((1, 2), []) if at >= LOST_AT)
+    times = sorted(max(0.0, at - LOST_AT) for at in world.death_times.get((1, 2), []) if at >= LOST_AT)
     return {
         "kind": kind,
         "heads": heads,
@@ -123,14 +127,18 @@
     }
 
 
-def _held_in_error(world: FleetWorld) -> int:
+def _held_in_error(world: MembershipSimulation) -> int:
     """How often a head that lives was held over; no fault but lost datagrams was there."""
-    return sum(len(times) for (name, _), times in world.over_at.items() if name != 1)
+    return sum(len(times) for (name, _), times in world.death_times.items() if name != 1)
 
 
 def drawn_world(seed: int) -> dict[str, Any]:
-    script = drawn(seed)
-    return {"seed": seed, "bound": bound(script.heads), **asdict(FleetWorld(script).play())}
+    script = generate_script(seed)
+    return {
+        "seed": seed,
+        "bound": settling_bound(script.heads),
+        **asdict(MembershipSimulation(script).play()),
+    }
 
 
 def pooled(jobs: Sequence[Callable[[], dict[str, Any]]], at_once: int) -> Iterator[dict[str, Any]]:
--- a/gorsethread/experiments/membership_processes.py
+++ b/gorsethread/experiments/membership_processes.py
@@ -15,7 +15,7 @@
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.relay import DatagramRelay
 from gorsethread.membership.gossip_messages import MemberState
-from gorsethread.simulation.membership_simulation import bound
+from gorsethread.simulation.membership_simulation import settling_bound
 from gorsethread.simulation.script import Script
 from gorsethread.transport.base import Transport
 from gorsethread.transport.real import free_ports
@@ -82,7 +82,7 @@
         began = self.transport.now()
         try:
             await asyncio.gather(*(self._start(f"head {n}") for n in range(self.script.heads)))
-            await self._settle(START_UP + bound(self.script.heads), "the start")
+            await self._settle(START_UP + settling_bound(self.script.heads), "the start")
             counted, at = self.relay.bytes, self.transport.now()
             zero = self.transport.now()
             for number, act in enumerate(sorted(self.script.acts)):
@@ -92,7 +92,7 @@
                 following = sorted(self.script.acts)[number + 1 :]
                 if not following or following[0].at - act.at > act.seconds + 1.0:
                     await self.transport.sleep(max(0.0, ends - self.transport.now()))
-                    await self._settle(bound(self.script.heads), str(act))
+                    await self._settle(settling_bound(self.script.heads), str(act))
             spent = (self.relay.bytes - counted) / max(0.001, self.transport.now() - at)
             self.result.bytes_a_head_a_second = round(spent / self.script.heads, 1)
             self.result.settled = not self.result.views_differ and not self.result.reasons
--- a/gorsethread/harness/relay.py
+++ b/gorsethread/harness/relay.py
@@ -9,7 +9,12 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 
-from gorsethread.simulation.membership_simulation import DOUBLED, LATE_MOST, LATE_PART, LOST
+from gorsethread.simulation.membership_simulation import (
+    DELAYED_PORTION,
+    DUPLICATED_PORTION,
+    LOST_PORTION,
+    MAX_EXTRA_DELAY,
+)
 from gorsethread.transport.base import (
     Datagrams,
     Listener,
@@ -73,11 +78,11 @@
         self.bytes += len(data)
         self.datagrams += 1
         c, faults = self.chance, self.faults
-        for _ in range(2 if c.random() < DOUBLED else 1):
-            lost = max(LOST, faults.lossy.get(one, 0.0), faults.lossy.get(other, 0.0))
+        for _ in range(2 if c.random() < DUPLICATED_PORTION else 1):
+            lost = max(LOST_PORTION, faults.lossy.get(one, 0.0), faults.lossy.get(other, 0.0))
             if c.random() < lost or faults.cuts[one, other]:
                 continue
-            wait = c.uniform(0.0, LATE_MOST) if c.random() < LATE_PART else 0.0
+            wait = c.uniform(0.0, MAX_EXTRA_DELAY) if c.random() < DELAYED_PORTION else 0.0
             wait += faults.slow.get((one, other), 0.0)
             # It seems to come from the sender's own port here, as its peers know it.
             self.transport.call_at(
--- a/gorsethread/simulation/branch_mutants.py
+++ b/gorsethread/simulation/branch_mutants.py
@@ -11,10 +11,10 @@
 from gorsethread.offline_writes.applied_writes import AppliedWrites, ReplayOutcome
 from gorsethread.offline_writes.messages import ReplayWrite
 from gorsethread.offline_writes.writes import ClientContext, WriteNumber
-from gorsethread.simulation.mutant_registry import kept_in
+from gorsethread.simulation.mutant_registry import registered_in
 
 BRANCH_MUTANTS: dict[str, Callable[[Head], None]] = {}
-mutant = kept_in(BRANCH_MUTANTS)
+mutant = registered_in(BRANCH_MUTANTS)
 
 
 def _of_branch(head: Head, change: Callable[[Any], None]) -> None:
--- a/gorsethread/simulation/durable_log_mutants.py
+++ b/gorsethread/simulation/durable_log_mutants.py
@@ -9,10 +9,10 @@
 from gorsethread.nvme_gateway.gateway import Head
 from gorsethread.nvme_gateway.replicated_log import ReplicatedLog
 from gorsethread.recovery.stages import RecoveryStages
-from gorsethread.simulation.mutant_registry import kept_in
+from gorsethread.simulation.mutant_registry import registered_in
 
-KEPT_MUTANTS: dict[str, Callable[[Head], None]] = {}
-mutant = kept_in(KEPT_MUTANTS)
+DURABLE_LOG_MUTANTS: dict[str, Callable[[Head], None]] = {}
+mutant = registered_in(DURABLE_LOG_MUTANTS)
 
 
 def _promises(head: Head) -> ReplicatedLog:
--- a/gorsethread/simulation/http_mutants.py
+++ b/gorsethread/simulation/http_mutants.py
@@ -12,11 +12,11 @@
 from gorsethread.http_gateway.endpoint_list import ListAnswer
 from gorsethread.http_gateway.gateway import Gateway
 from gorsethread.scheduling.model import AttemptOutcome, Backend
-from gorsethread.simulation.mutant_registry import kept_in, told_as
+from gorsethread.simulation.mutant_registry import registered_in, replace_outcomes
 
 Change = Callable[[Gateway], None]
-WEB_MUTANTS: dict[str, Change] = {}
-mutant = kept_in(WEB_MUTANTS)
+HTTP_MUTANTS: dict[str, Change] = {}
+mutant = registered_in(HTTP_MUTANTS)
 
 
 def _on_links(head: Gateway, change: Callable[[backend_link.BackendLink], None]) -> None:
@@ -50,17 +50,17 @@
 
 @mutant("shelves: a connection that ended under a request counts as never reached")
 def _broken_as_unreached(head: Gateway) -> None:
-    told_as(head, {AttemptOutcome.CONNECTION_LOST: AttemptOutcome.UNREACHABLE})
+    replace_outcomes(head, {AttemptOutcome.CONNECTION_LOST: AttemptOutcome.UNREACHABLE})
 
 
 @mutant("shelves: a spoilt answer counts as turned away")
 def _spoilt_as_turned_away(head: Gateway) -> None:
-    told_as(head, {AttemptOutcome.ERROR: AttemptOutcome.REJECTED})
+    replace_outcomes(head, {AttemptOutcome.ERROR: AttemptOutcome.REJECTED})
 
 
 @mutant("shelves: a time-out counts as never sent")
 def _timed_out_as_unsent(head: Gateway) -> None:
-    told_as(head, {AttemptOutcome.TIMED_OUT: AttemptOutcome.NOT_SENT})
+    replace_outcomes(head, {AttemptOutcome.TIMED_OUT: AttemptOutcome.NOT_SENT})
 
 
 @mutant("shelves: a forward called off leaves its connection in use")
--- a/gorsethread/simulation/membership_mutants.py
+++ b/gorsethread/simulation/membership_mutants.py
@@ -15,7 +15,7 @@
 from gorsethread.membership.membership_view import MembershipView
 
 Plant = Callable[[MembershipView], None]
-VIEW_MUTANTS: dict[str, tuple[Plant, str]] = {}
+MEMBERSHIP_MUTANTS: dict[str, tuple[Plant, str]] = {}
 PARTED = "heads 8\n5 cut room-0 <-> room-1 for 60\n"
 GONE = "heads 6\n5 vanish head-1 for 3000\n"
 LOSSY = "heads 12\n5 lose head-1 by 0.3 for 60\n5 lose head-2 by 0.3 for 60\n"
@@ -24,7 +24,7 @@
 
 def mutant(name: str, script: str) -> Callable[[Plant], Plant]:
     def keep(plant: Plant) -> Plant:
-        VIEW_MUTANTS[name] = plant, script
+        MEMBERSHIP_MUTANTS[name] = plant, script
         return plant
 
     return keep
--- a/gorsethread/simulation/membership_simulation.py
+++ b/gorsethread/simulation/membership_simulation.py
@@ -20,8 +20,8 @@
 FLEET = 4711
 TICK = 0.1  # seconds
 WAY = (0.0005, 0.004)  # seconds that a datagram takes
-LATE_PART, LATE_MOST = 0.05, 0.2  # of the datagrams, and by how many seconds
-DOUBLED, LOST = 0.02, 0.01  # parts of the datagrams where nothing is wrong
+DELAYED_PORTION, MAX_EXTRA_DELAY = 0.05, 0.2  # of the datagrams, and by how many seconds
+DUPLICATED_PORTION, LOST_PORTION = 0.02, 0.01  # parts of the datagrams where nothing is wrong
 HELD_MOST = 64  # datagrams that wait for a paused process; the system drops what is over
 ALL_HEADS = 512  # names of a fleet
 HARD = ("killed", "restarted", "cut off", "one way", "islands", "paused", "starved", "lossy", "quick")
@@ -30,7 +30,7 @@
 CALM = 15.0  # seconds without a fault at either, after which a death told of a head that lives is a false one
 
 
-def bound(heads: int) -> float:
+def settling_bound(heads: int) -> float:
     """Seconds after the last fault within which all views are the truth: a suspicion at its longest, by a
     head whose own health is bad, what spreads it, and the slow question to those held dead."""
     return 30.0 + 12.0 * math.log2(1 + heads)
@@ -52,7 +52,7 @@
 
 
 @dataclass
-class Judged:
+class MembershipResult:
     """settled: seconds from the last fault until all views were the truth; inf where they never were."""
 
     heads: int
@@ -66,19 +66,24 @@
     rest_bytes: float = 0.0  # a head a second, of the last seconds, in which nothing happens
 
 
-class FleetWorld:
-    """script: acts on heads, and cuts between them. plant: changes each view as it is made. make: what views
-    are, a MembershipView or a baseline of its shape. Play it once."""
+class MembershipSimulation:
+    """Simulates the membership views of a fleet. Each instance is played once.
+
+    script: the faults that strike gateways, and the network cuts between them. mutate: changes each view
+    right after it is created. settle_time: seconds that the simulation goes on after the last fault; None:
+    settling_bound(). view_factory: creates the views; MembershipView, or a baseline with the same interface.
+    """
 
     def __init__(
         self,
         script: Script,
-        plant: Callable[[MembershipView], None] | None = None,
-        calm: float | None = None,
-        make: Callable[..., Any] = MembershipView,
+        mutate: Callable[[MembershipView], None] | None = None,
+        settle_time: float | None = None,
+        view_factory: Callable[..., Any] = MembershipView,
     ) -> None:
-        self.script, self.plant, self.make = script, plant, make
-        self.over_at: dict[tuple[int, int], list[float]] = {}  # by name and life: when each head held it over
+        self.script, self.mutate, self.view_factory = script, mutate, view_factory
+        # By member and incarnation: when each gateway came to hold that incarnation ended.
+        self.death_times: dict[tuple[int, int], list[float]] = {}
         self._sent_before = 0
         self.chance = SeededRandom(f"fleet {script.seed}")
         self.now, self._order = 0.0, 0
@@ -90,7 +95,7 @@
         self.false_deaths = self.revived = 0
         self.reasons: list[str] = []
         self.last = max((a.end if a.seconds < FOR_GOOD else a.at for a in script.acts), default=0.0)
-        self.until = self.last + (bound(script.heads) if calm is None else calm)
+        self.until = self.last + (settling_bound(script.heads) if settle_time is None else settle_time)
         self._settled_at = math.inf
 
     def at(self, when: float, act: Callable[[], None]) -> None:
@@ -105,9 +110,9 @@
         me = MemberRecord(number, life, 0, MemberState.ALIVE, number % 2, number, *address, number)
         known = [("10.0.0.1", 1000 + n) for n in range(self.script.heads)]
         offset = c.uniform(-900.0, 900.0)
-        view = self.make(me, tuple(known), self.now + offset, c.random, ProbeTiming(), ALL_HEADS)
-        if self.plant is not None:
-            self.plant(view)
+        view = self.view_factory(me, tuple(known), self.now + offset, c.random, ProbeTiming(), ALL_HEADS)
+        if self.mutate is not None:
+            self.mutate(view)
         node = self.nodes[number] = Node(number, view, offset, troubled=self.now)
         self.by_address[address] = number
         self.dead = {seen for seen in self.dead if seen[0] != number}  # a new process knows nothing
@@ -148,7 +153,7 @@
             w = change.record
             if w.ended:
                 if (node.number, w.member, w.incarnation) not in self.dead:
-                    self.over_at.setdefault((w.member, w.incarnation), []).append(self.now)
+                    self.death_times.setdefault((w.member, w.incarnation), []).append(self.now)
                 self.dead.add((node.number, w.member, w.incarnation))
                 self._judge_death(node, w)
             elif (node.number, w.member, w.incarnation) in self.dead:
@@ -173,11 +178,11 @@
         if other is None:
             return
         c = self.chance
-        for _ in range(2 if c.random() < DOUBLED else 1):
-            lossy = max(LOST, node.lossy, self.nodes[other].lossy)
+        for _ in range(2 if c.random() < DUPLICATED_PORTION else 1):
+            lossy = max(LOST_PORTION, node.lossy, self.nodes[other].lossy)
             if c.random() < lossy or self.cuts[node.number, other]:
                 continue
-            delay = c.uniform(*WAY) + (c.uniform(0, LATE_MOST) if c.random() < LATE_PART else 0.0)
+            delay = c.uniform(*WAY) + (c.uniform(0, MAX_EXTRA_DELAY) if c.random() < DELAYED_PORTION else 0.0)
             self.at(self.now + delay, lambda: self._arrives(node.number, other, raw))
 
     def _arrives(self, one: int, other: int, raw: bytes) -> None:
@@ -246,7 +251,7 @@
 
     # ---- the whole
 
-    def play(self) -> Judged:
+    def play(self) -> MembershipResult:
         for n in range(self.script.heads):
             self._start(n, 1 + n)
         for act in sorted(self.script.acts):
@@ -267,7 +272,7 @@
         after = self._settled_at - self.last
         at_rest = sum(n.sent_bytes for n in self.nodes.values()) - self._sent_before
         up = sum(n.up for n in self.nodes.values())
-        return Judged(
+        return MembershipResult(
             self.script.heads,
             after,
             self.false_deaths,
@@ -298,7 +303,7 @@
             self.at(self.now + 0.5, self._look)
 
 
-def drawn(seed: int, heads: int = 0) -> Script:
+def generate_script(seed: int, heads: int = 0) -> Script:
     """A script from a seed: the hard cases of a fleet, some of them at once."""
     c = SeededRandom(f"fleet script {seed}")
     size = heads or c.choice((4, 5, 8, 12, 20, 33, 60))
--- a/gorsethread/simulation/mutant_registry.py
+++ b/gorsethread/simulation/mutant_registry.py
@@ -8,7 +8,7 @@
 Planted = TypeVar("Planted", bound=Callable[..., Any])
 
 
-def kept_in(register: dict[str, Planted]) -> Callable[[str], Callable[[Planted], Planted]]:
+def registered_in(register: dict[str, Planted]) -> Callable[[str], Callable[[Planted], Planted]]:
     """A decorator that keeps a defect under its name."""
 
     def mutant(name: str) -> Callable[[Planted], Planted]:
@@ -21,7 +21,7 @@
     return mutant
 
 
-def told_as(head: Any, wrong: dict[AttemptOutcome, AttemptOutcome]) -> None:
+def replace_outcomes(head: Any, wrong: dict[AttemptOutcome, AttemptOutcome]) -> None:
     """The decisions hear another ending than the one there was. head: of either front."""
     honest = head.driver.queue_event
 
@@ -34,7 +34,7 @@
     head.driver.queue_event = queue_event
 
 
-def sometimes(every: int) -> Callable[[], bool]:
+def every_nth_call(every: int) -> Callable[[], bool]:
     """True once in so many calls."""
     count = [0]
 
--- a/gorsethread/simulation/mutants.py
+++ b/gorsethread/simulation/mutants.py
@@ -13,13 +13,13 @@
 from gorsethread.nvme_gateway.gateway import Head
 from gorsethread.scheduling.model import AttemptOutcome
 from gorsethread.scheduling.retries import MAX_ATTEMPTS
-from gorsethread.simulation.mutant_registry import kept_in, sometimes, told_as
-from gorsethread.simulation.rule_mutants import plant
+from gorsethread.simulation.mutant_registry import every_nth_call, registered_in, replace_outcomes
+from gorsethread.simulation.rule_mutants import break_rule
 
 Change = Callable[[Head], None]
 MOST_FORWARDS = 8  # forwards of one transaction; without an end such a world would hardly get on
 MUTANTS: dict[str, Change] = {}
-mutant = kept_in(MUTANTS)
+mutant = registered_in(MUTANTS)
 
 
 def _on_links(head: Head, change: Callable[[BackendLink], None]) -> None:
@@ -66,7 +66,7 @@
 
 @mutant("driver: one forward's end in fifty is not told")
 def _loses_ends(head: Head) -> None:
-    honest, now = head.driver.queue_event, sometimes(50)
+    honest, now = head.driver.queue_event, every_nth_call(50)
 
     def queue_event(method: str, *facts: Any) -> None:
         if method != "attempt_ended" or not now():
@@ -109,12 +109,12 @@
 
 @mutant("driver: a time-out is told as never sent")
 def _timed_out_never_ran(head: Head) -> None:
-    told_as(head, {AttemptOutcome.TIMED_OUT: AttemptOutcome.NOT_SENT})
+    replace_outcomes(head, {AttemptOutcome.TIMED_OUT: AttemptOutcome.NOT_SENT})
 
 
 @mutant("driver: one wake in five is lost")
 def _loses_wakes(head: Head) -> None:
-    honest, now = head.driver.set_timer, sometimes(5)
+    honest, now = head.driver.set_timer, every_nth_call(5)
     head.driver.set_timer = lambda delay, name: (  # type: ignore[method-assign]
         None if now() else honest(delay, name)
     )
@@ -122,7 +122,7 @@
 
 @mutant("driver: a push-back is not answered, one in five")
 def _loses_push_backs(head: Head) -> None:
-    honest, now = head.driver.reject, sometimes(5)
+    honest, now = head.driver.reject, every_nth_call(5)
 
     def reject(request: int, retry_after: float) -> None:
         t = head.driver.open_requests.get(request)
@@ -137,7 +137,7 @@
 
 @mutant("driver: takes are counted twice, one in a hundred")
 def _miscounts(head: Head) -> None:
-    honest, now = head.driver.admit, sometimes(100)
+    honest, now = head.driver.admit, every_nth_call(100)
 
     def take(*arguments: Any, **named: Any) -> OpenRequest:
         if now():
@@ -163,12 +163,12 @@
 
 @mutant("links: a broken connection is told as not reached")
 def _broken_never_ran(head: Head) -> None:
-    told_as(head, {AttemptOutcome.CONNECTION_LOST: AttemptOutcome.UNREACHABLE})
+    replace_outcomes(head, {AttemptOutcome.CONNECTION_LOST: AttemptOutcome.UNREACHABLE})
 
 
 @mutant("links: a failure is told as turned away")
 def _error_never_ran(head: Head) -> None:
-    told_as(head, {AttemptOutcome.ERROR: AttemptOutcome.REJECTED})
+    replace_outcomes(head, {AttemptOutcome.ERROR: AttemptOutcome.REJECTED})
 
 
 @mutant("links: what is over is sent all the same once connected")
@@ -206,7 +206,7 @@
 
 @mutant("links: an answer's data goes to the read before it, one in twenty")
 def _mixes_answers(head: Head) -> None:
-    kept, now = [b""], sometimes(20)
+    kept, now = [b""], every_nth_call(20)
 
     def change(link: BackendLink) -> None:
         honest = link._done
@@ -240,7 +240,7 @@
 
 @mutant("links: one answer in a hundred is dropped")
 def _drops_answers(head: Head) -> None:
-    now = sometimes(100)
+    now = every_nth_call(100)
 
     def change(link: BackendLink) -> None:
         honest = link._done
@@ -273,7 +273,7 @@
 
 @mutant("codec: a completion is sent twice, one in a hundred")
 def _answers_twice(head: Head) -> None:
-    now = sometimes(100)
+    now = every_nth_call(100)
     honest = head.server.on_stream
 
     async def on_stream(stream: Any) -> None:
@@ -292,7 +292,7 @@
 
 @mutant("codec: a completion is lost, one in a hundred")
 def _loses_completions(head: Head) -> None:
-    now = sometimes(100)
+    now = every_nth_call(100)
     honest = head.server.on_stream
 
     async def on_stream(stream: Any) -> None:
@@ -305,7 +305,7 @@
 
 @mutant("codec: a write's first block is off by one, one in twenty")
 def _shifts_writes(head: Head) -> None:
-    honest, now = head.driver.admit, sometimes(20)
+    honest, now = head.driver.admit, every_nth_call(20)
 
     def take(client: Any, order: Any, **named: Any) -> OpenRequest:
         if order.data and now() and order.command.cdw10 % 64 > 1:
@@ -344,7 +344,7 @@
 
 @mutant("list: drains are not heard")
 def _deaf_to_drains(head: Head) -> None:
-    plant(head, 3)
+    break_rule(head, 3)
 
 
 @mutant("list: a shelf's restart is not noticed")
@@ -367,12 +367,12 @@
 
 @mutant("module: keys have no turns")
 def _no_turns(head: Head) -> None:
-    plant(head, 5)
+    break_rule(head, 5)
 
 
 @mutant("module: no limit")
 def _no_limit(head: Head) -> None:
-    plant(head, 7)
+    break_rule(head, 7)
 
 
 @mutant("module: each head takes the whole limit for its own")
@@ -427,7 +427,7 @@
 def _line_stays(head: Head) -> None:
     ordering = head.driver.scheduler.key_ordering
     honest = ordering.next_runnable
-    now = sometimes(40)
+    now = every_nth_call(40)
     ordering.next_runnable = lambda key: None if now() else honest(key)  # type: ignore[method-assign]
 
 
--- a/gorsethread/simulation/rule_mutants.py
+++ b/gorsethread/simulation/rule_mutants.py
@@ -12,7 +12,7 @@
 MANY = 40
 
 
-def plant(head: Head, rule: int) -> None:
+def break_rule(head: Head, rule: int) -> None:
     """Wraps a head that has not started; ValueError for a number that is no rule's."""
     if rule not in _PLANTS:
         raise ValueError(f"there is no rule {rule}; they are {min(_PLANTS)} to {max(_PLANTS)}")
--- a/gorsethread/simulation/runs.py
+++ b/gorsethread/simulation/runs.py
@@ -11,13 +11,13 @@
 
 from gorsethread.simulation.branch_mutants import BRANCH_MUTANTS
 from gorsethread.simulation.branch_simulation import BranchWorld
-from gorsethread.simulation.durable_log_mutants import KEPT_MUTANTS
+from gorsethread.simulation.durable_log_mutants import DURABLE_LOG_MUTANTS
 from gorsethread.simulation.durable_log_simulation import RecordsWorld
-from gorsethread.simulation.http_mutants import WEB_MUTANTS
+from gorsethread.simulation.http_mutants import HTTP_MUTANTS
 from gorsethread.simulation.http_simulation import WebWorld
 from gorsethread.simulation.mutants import MUTANTS
 from gorsethread.simulation.script import KINDS, Script
-from gorsethread.simulation.script_generator import BranchDraw, Draw
+from gorsethread.simulation.script_generator import BranchScriptGenerator, ScriptGenerator
 from gorsethread.simulation.site_simulation import START_UP, Outcome, World
 from gorsethread.simulation.states import STATES, WEB_STATES
 from gorsethread.site_config import site_pb2 as pb
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True)
-class Played:
+class SeedResult:
     """What is kept of one world of many. cost: seconds of CPU time it took."""
 
     seed: int
@@ -41,41 +41,50 @@
     states: dict[str, int] = field(default_factory=dict)
 
 
-def drawn(site: pb.Site, seed: int, web: bool = False, kept: bool = False) -> Script:
+def generate_script(site: pb.Site, seed: int, http: bool = False, durable_log: bool = False) -> Script:
     if site.branch:
-        return BranchDraw(seed, site).script()
-    return Draw(
-        seed, [v.number for v in site.volume], [t.name for t in site.tenant], web=web, kept=kept
-    ).script()
+        return BranchScriptGenerator(seed, site).generate()
+    return ScriptGenerator(
+        seed,
+        [v.number for v in site.volume],
+        [t.name for t in site.tenant],
+        http=http,
+        durable_log=durable_log,
+    ).generate()
+
 
+def play(
+    site: pb.Site, script: Script, mutant: str = "", http: bool = False, durable_log: bool = False
+) -> Outcome:
+    """Plays a script once, in a simulation of its own.
 
-def play(site: pb.Site, script: Script, mutant: str = "", web: bool = False, kept: bool = False) -> Outcome:
-    """Plays a script once, in a world of its own. web: with heads on the operators' platform; kept: with
-    heads that keep records, as those of a site with branches always do."""
+    http: with HTTP gateways. durable_log: with gateways that keep a durable log, as those of a site with
+    branches always do.
+    """
     if site.branch:
         return BranchWorld(site, script, BRANCH_MUTANTS.get(mutant)).play()
-    if kept:
-        return RecordsWorld(site, script, KEPT_MUTANTS.get(mutant) or MUTANTS.get(mutant)).play()
-    if web:
-        return WebWorld(site, script, WEB_MUTANTS.get(mutant)).play()
+    if durable_log:
+        return RecordsWorld(site, script, DURABLE_LOG_MUTANTS.get(mutant) or MUTANTS.get(mutant)).play()
+    if http:
+        return WebWorld(site, script, HTTP_MUTANTS.get(mutant)).play()
     return World(site, script, MUTANTS.get(mutant)).play()
 
 
-def play_one(raw_site: bytes, mutant: str, web: bool, kept: bool, seed: int) -> Played:
+def play_one(raw_site: bytes, mutant: str, http: bool, durable_log: bool, seed: int) -> SeedResult:
     """In a process of the pool. A world that raises, or waits for ever, failed too."""
     site = pb.Site.FromString(raw_site)
     began = cpu_seconds()
     try:
-        outcome = play(site, drawn(site, seed, web, kept), mutant, web, kept)
+        outcome = play(site, generate_script(site, seed, http, durable_log), mutant, http, durable_log)
     except Exception as error:
-        return Played(
+        return SeedResult(
             seed, [f"raised {type(error).__name__}"], "", 0, 0.0, cpu_seconds() - began, repr(error)
         )
     gc.collect()  # a world is one large cycle, and many of them were held at once
     first = str(outcome.verdict.breaks[0]) if outcome.verdict.breaks else ""
     if not first and outcome.as_it_came:
         first = str(outcome.as_it_came[0][1])
-    return Played(
+    return SeedResult(
         seed,
         outcome.reasons,
         outcome.digest,
@@ -92,11 +101,11 @@
     seeds: Sequence[int],
     at_once: int = 0,
     mutant: str = "",
-    web: bool = False,
-    kept: bool = False,
-) -> Iterator[Played]:
+    http: bool = False,
+    durable_log: bool = False,
+) -> Iterator[SeedResult]:
     """In the order of the seeds; at_once 0: as many as there are cores."""
-    work = partial(play_one, site.SerializeToString(), mutant, web, kept)
+    work = partial(play_one, site.SerializeToString(), mutant, http, durable_log)
     fresh = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(at_once or os.cpu_count() or 1, mp_context=fresh) as pool:
         try:
@@ -113,10 +122,10 @@
     taken: int = 0
     virtual: float = 0.0
     cost: float = 0.0
-    failed: list[Played] = field(default_factory=list)
+    failed: list[SeedResult] = field(default_factory=list)
     states: Counter[str] = field(default_factory=Counter)
 
-    def add(self, played: Played) -> None:
+    def add(self, played: SeedResult) -> None:
         self.worlds += 1
         self.taken += played.taken
         self.virtual += played.seconds
@@ -125,24 +134,26 @@
         if played.reasons:
             self.failed.append(played)
 
-    def unreached(self, web: bool = False) -> list[str]:
+    def unreached(self, http: bool = False) -> list[str]:
         kinds = [
             kind
             for kind, k in KINDS.items()
             if not (k.fleet or k.relay or k.kept or k.branch)
-            and not (k.web if not web else kind in NOT_ON_THE_PLATFORM)
+            and not (k.web if not http else kind in NOT_ON_THE_PLATFORM)
         ]
-        pairs = [f"{kind} | {state}" for kind in kinds for state in (WEB_STATES if web else STATES)]
+        pairs = [f"{kind} | {state}" for kind in kinds for state in (WEB_STATES if http else STATES)]
         return [pair for pair in pairs if pair not in self.states]
 
 
-def until_caught(
-    site: pb.Site, mutant: str, most: int, at_once: int = 0, web: bool = False, kept: bool = False
-) -> Played | None:
+def find_first_failing_seed(
+    site: pb.Site, mutant: str, most: int, at_once: int = 0, http: bool = False, durable_log: bool = False
+) -> SeedResult | None:
     """The first seed, from 0, whose world shows the planted defect; None where none of so many does."""
     step = 8 * (at_once or os.cpu_count() or 1)
     for begin in range(0, most, step):
-        for played in play_many(site, range(begin, min(most, begin + step)), at_once, mutant, web, kept):
+        for played in play_many(
+            site, range(begin, min(most, begin + step)), at_once, mutant, http, durable_log
+        ):
             if played.reasons:
                 return played
     return None
@@ -151,7 +162,7 @@
 # ---- one that fails
 
 
-def shrunk(script: Script, fails: Callable[[Script], bool], say: Callable[[str], None]) -> Script:
+def shrink_script(script: Script, fails: Callable[[Script], bool], say: Callable[[str], None]) -> Script:
     """The fewest acts, volumes and seconds with which it still fails, as far as so many tries tell."""
     tries = [0]
 
@@ -187,7 +198,7 @@
     return script
 
 
-def fewer_volumes(
+def shrink_volumes(
     script: Script, volumes: Sequence[int], fails: Callable[[Script], bool], say: Callable[[str], None]
 ) -> Script:
     """One volume if one is enough, else as many as matter."""
@@ -208,21 +219,21 @@
     seed_or_script: Script,
     mutant: str,
     say: Callable[[str], None],
-    web: bool = False,
-    kept: bool = False,
+    http: bool = False,
+    durable_log: bool = False,
 ) -> Script:
     """ValueError where it does not fail at all. What counts is that one of the same reasons stays."""
-    wanted = set(play(site, seed_or_script, mutant, web, kept).reasons)
+    wanted = set(play(site, seed_or_script, mutant, http, durable_log).reasons)
     if not wanted:
         raise ValueError("this world shows nothing wrong")
     say("wrong: " + ", ".join(sorted(wanted)))
 
     def fails(candidate: Script) -> bool:
-        return bool(wanted & set(play(site, candidate, mutant, web, kept).reasons))
+        return bool(wanted & set(play(site, candidate, mutant, http, durable_log).reasons))
 
     # Fewer volumes first: all later worlds are the cheaper for it.
-    script = fewer_volumes(seed_or_script, [v.number for v in site.volume], fails, say)
-    return shrunk(script, fails, say)
+    script = shrink_volumes(seed_or_script, [v.number for v in site.volume], fails, say)
+    return shrink_script(script, fails, say)
 
 
 def timeline(outcome: Outcome, site_zero: float, breaks_most: int = 3) -> list[str]:
@@ -253,7 +264,7 @@
     return found + [f"rule {b.rule}: {b.reason}" for b in chosen] + outcome.defects[:5]
 
 
-def zero_of(outcome: Outcome) -> float:
+def client_start_time(outcome: Outcome) -> float:
     """When clients began, on the world's clock."""
     first: float = outcome.records[0]["t"] if outcome.records else 0.0
     return first + START_UP
--- a/gorsethread/simulation/script_generator.py
+++ b/gorsethread/simulation/script_generator.py
@@ -13,10 +13,13 @@
 KIND_PART = 0.4  # of the kinds, how many a seed has on average
 
 
-class Draw:
-    """seed: all of the script. seconds, volumes of the site: how long it is, and who may surge. web: for
-    heads on the operators' platform, whose machines have one Unix clock and no disk. kept: for heads that
-    keep records, of which one machine at most is lost with its disk."""
+class ScriptGenerator:
+    """Generates one script, which depends on nothing but the arguments.
+
+    volumes: numbers of the site's volumes, which may surge. seconds: length of the run. http: for HTTP
+    gateways, whose machines have one Unix clock and no disk. durable_log: for gateways that keep a durable
+    log; at most one machine is lost together with its disk.
+    """
 
     def __init__(
         self,
@@ -24,20 +27,20 @@
         volumes: Sequence[int],
         tenants: Sequence[str],
         seconds: float = 12.0,
-        web: bool = False,
-        kept: bool = False,
+        http: bool = False,
+        durable_log: bool = False,
     ) -> None:
-        self.chance = SeededRandom(f"{'web ' if web else 'kept ' if kept else ''}script {seed}")
-        self.troubles = WEB_TROUBLES if web else KEPT_TROUBLES if kept else TROUBLES
+        self.chance = SeededRandom(f"{'web ' if http else 'kept ' if durable_log else ''}script {seed}")
+        self.troubles = WEB_TROUBLES if http else KEPT_TROUBLES if durable_log else TROUBLES
         self.seed, self.volumes, self.tenants, self.seconds = seed, volumes, tenants, seconds
         c = self.chance
         self.heads, self.shelves = c.choice((1, 2, 3, 3, 4, 8)), c.choice((2, 4, 6, 6, 8))
-        if kept:
+        if durable_log:
             self.heads = c.choice((1, 3, 3, 4, 6))
         self.acts: list[Act] = []
         self.away: set[str] = set()  # who is killed or so already: once a world is enough
 
-    def script(self) -> Script:
+    def generate(self) -> Script:
         c = self.chance
         known = self.troubles
         kinds = [k for k in known if c.random() < KIND_PART] or [c.choice(list(known))]
@@ -278,42 +281,46 @@
         self._add("lag", self._head(), 0.5, 3.0, by=self.chance.choice((0.01, 0.1, 0.1, 0.8)))
 
 
-TROUBLES: dict[str, Callable[[Draw], None]] = {
-    "half the heads": Draw.half_the_heads,
-    "shelf dies": Draw.shelf_dies,
-    "crash": Draw.crash,
-    "stab": Draw.stab,
-    "pause": Draw.pause,
-    "cut": Draw.cut,
-    "room cut": Draw.room_cut,
-    "reset": Draw.reset,
-    "drain": Draw.drain,
-    "still": Draw.still,
-    "slow": Draw.slow,
-    "errors": Draw.errors,
-    "late list": Draw.late_list,
-    "refusing list": Draw.refusing_list,
-    "list dies": Draw.list_dies,
-    "surge": Draw.surge,
-    "slow connects": Draw.slow_connects,
-    "disk": Draw.disk,
-    "wall clock": Draw.wall,
+TROUBLES: dict[str, Callable[[ScriptGenerator], None]] = {
+    "half the heads": ScriptGenerator.half_the_heads,
+    "shelf dies": ScriptGenerator.shelf_dies,
+    "crash": ScriptGenerator.crash,
+    "stab": ScriptGenerator.stab,
+    "pause": ScriptGenerator.pause,
+    "cut": ScriptGenerator.cut,
+    "room cut": ScriptGenerator.room_cut,
+    "reset": ScriptGenerator.reset,
+    "drain": ScriptGenerator.drain,
+    "still": ScriptGenerator.still,
+    "slow": ScriptGenerator.slow,
+    "errors": ScriptGenerator.errors,
+    "late list": ScriptGenerator.late_list,
+    "refusing list": ScriptGenerator.refusing_list,
+    "list dies": ScriptGenerator.list_dies,
+    "surge": ScriptGenerator.surge,
+    "slow connects": ScriptGenerator.slow_connects,
+    "disk": ScriptGenerator.disk,
+    "wall clock": ScriptGenerator.wall,
 }
 WEB_TROUBLES = {name: trouble for name, trouble in TROUBLES.items() if name not in ("disk", "wall clock")} | {
-    "term": Draw.term,
-    "reload": Draw.reload,
-    "spoil": Draw.spoil,
-    "rude": Draw.rude,
+    "term": ScriptGenerator.term,
+    "reload": ScriptGenerator.reload,
+    "spoil": ScriptGenerator.spoil,
+    "rude": ScriptGenerator.rude,
+}
+KEPT_TROUBLES = TROUBLES | {
+    "disk lost": ScriptGenerator.disk_lost,
+    "lag": ScriptGenerator.lag,
+    "stab in keeping": ScriptGenerator.kept_stab,
 }
-KEPT_TROUBLES = TROUBLES | {"disk lost": Draw.disk_lost, "lag": Draw.lag, "stab in keeping": Draw.kept_stab}
 
 
-class BranchDraw(Draw):
+class BranchScriptGenerator(ScriptGenerator):
     """For a site with branches, whose heads are as many as it names: their links go, once at least."""
 
     def __init__(self, seed: int, site: pb.Site, seconds: float = 16.0) -> None:
         super().__init__(
-            seed, [v.number for v in site.volume], [t.name for t in site.tenant], seconds, kept=True
+            seed, [v.number for v in site.volume], [t.name for t in site.tenant], seconds, durable_log=True
         )
         self.chance = SeededRandom(f"branch script {seed}")
         self.troubles = BRANCH_TROUBLES
@@ -368,4 +375,4 @@
     name: trouble
     for name, trouble in KEPT_TROUBLES.items()
     if name not in ("disk lost", "wall clock", "slow connects")
-} | {"branch's disk lost": BranchDraw.branch_disk_lost, "another link": BranchDraw.link}
+} | {"branch's disk lost": BranchScriptGenerator.branch_disk_lost, "another link": BranchScriptGenerator.link}
--- a/tests/membership/test_membership_view.py
+++ b/tests/membership/test_membership_view.py
@@ -21,8 +21,8 @@
 from gorsethread.membership.member_state import supersedes
 from gorsethread.membership.member_table import HISTORY_MAX
 from gorsethread.membership.membership_view import MembershipView
-from gorsethread.simulation.membership_mutants import VIEW_MUTANTS
-from gorsethread.simulation.membership_simulation import FleetWorld, drawn
+from gorsethread.simulation.membership_mutants import MEMBERSHIP_MUTANTS
+from gorsethread.simulation.membership_simulation import MembershipSimulation, generate_script
 from gorsethread.simulation.script import read_script
 
 ADDRESS = ("10.0.0.1", 1000)
@@ -164,24 +164,26 @@
 class SimulatedFleets(unittest.TestCase):
     def test_fleets_with_random_faults_settle_without_false_deaths(self) -> None:
         for seed in range(20):
-            script = drawn(seed, 0 if seed % 4 else 12)
+            script = generate_script(seed, 0 if seed % 4 else 12)
             if script.heads <= 20:
                 with self.subTest(seed=seed):
-                    self.assertEqual([], FleetWorld(script).play().reasons)
+                    self.assertEqual([], MembershipSimulation(script).play().reasons)
 
     def test_every_mutant_is_caught_and_the_original_passes(self) -> None:
         original: dict[str, list[str]] = {}
-        for name, (mutate, text) in VIEW_MUTANTS.items():
-            script = drawn(int(text)) if text.isdigit() else read_script(f"seed 3\n{text}")
+        for name, (mutate, text) in MEMBERSHIP_MUTANTS.items():
+            script = generate_script(int(text)) if text.isdigit() else read_script(f"seed 3\n{text}")
             with self.subTest(mutant=name):
                 if text not in original:
-                    original[text] = FleetWorld(script, calm=120.0).play().reasons
+                    original[text] = MembershipSimulation(script, settle_time=120.0).play().reasons
                 self.assertEqual([], original[text], "without the mutation")
-                self.assertNotEqual([], FleetWorld(script, mutate, 120.0).play().reasons)
+                self.assertNotEqual([], MembershipSimulation(script, mutate, 120.0).play().reasons)
 
     def test_traffic_per_gateway_does_not_grow_with_the_fleet(self) -> None:
         small, large = (
-            FleetWorld(read_script(f"seed 1\nheads {n}\n1 kill head-0 for 1\n"), calm=30.0).play()
+            MembershipSimulation(
+                read_script(f"seed 1\nheads {n}\n1 kill head-0 for 1\n"), settle_time=30.0
+            ).play()
             for n in (6, 48)
         )
         self.assertEqual([], small.reasons + large.reasons)
--- a/tests/test_durable_log.py
+++ b/tests/test_durable_log.py
@@ -23,7 +23,7 @@
 from gorsethread.logs import log_for, start_logs
 from gorsethread.nvme_gateway.peers import fleet_of
 from gorsethread.recovery.stages import Stage
-from gorsethread.simulation.durable_log_mutants import KEPT_MUTANTS
+from gorsethread.simulation.durable_log_mutants import DURABLE_LOG_MUTANTS
 from gorsethread.simulation.durable_log_simulation import RecordsWorld
 from gorsethread.simulation.runs import play, play_many
 from gorsethread.simulation.script import read_script
@@ -106,7 +106,9 @@
         return [h.promises.recovery.stage for h in simulation.heads.values()]
 
     def test_random_simulations_keep_every_rule_and_every_acknowledged_record(self) -> None:
-        failed = [(p.seed, p.reasons, p.first) for p in play_many(SITE, range(40), kept=True) if p.reasons]
+        failed = [
+            (p.seed, p.reasons, p.first) for p in play_many(SITE, range(40), durable_log=True) if p.reasons
+        ]
         self.assertEqual([], failed)
 
     def test_without_records_a_restart_forgets_owners(self) -> None:
@@ -120,13 +122,13 @@
         self.assertIn("an owner is forgotten", WithoutRecords(SITE, read_script(text)).play().reasons)
 
     def test_each_planted_defect_is_detected(self) -> None:
-        self.assertEqual(set(KEPT_MUTANTS), set(SCRIPTS_BY_DEFECT))
+        self.assertEqual(set(DURABLE_LOG_MUTANTS), set(SCRIPTS_BY_DEFECT))
         for name, text in SCRIPTS_BY_DEFECT.items():
             with self.subTest(name):
-                self.assertFalse(play(SITE, read_script(text), name, kept=True).good)
+                self.assertFalse(play(SITE, read_script(text), name, durable_log=True).good)
         for text in set(SCRIPTS_BY_DEFECT.values()):
             with self.subTest("no defect planted", text=text):
-                self.assertTrue(play(SITE, read_script(text), kept=True).good)
+                self.assertTrue(play(SITE, read_script(text), durable_log=True).good)
 
     def test_gateways_do_not_wait_for_one_that_stays_down(self) -> None:
         simulation = self.play_good("2 kill head-0 for 0.3\n2 kill head-1 for 0.5\n2 kill head-2 for 5\n")
--- a/tests/test_harness.py
+++ b/tests/test_harness.py
@@ -142,7 +142,7 @@
         self.assertEqual(12, len(trial.cast.faults.mutes), "all watches: else this shows nothing")
 
     def test_one_script_on_real_processes_and_on_the_virtual_clock(self) -> None:
-        real, world = self.played(script=BOTH), play(SITE, read_script(BOTH), web=True)
+        real, world = self.played(script=BOTH), play(SITE, read_script(BOTH), http=True)
         self.assertEqual([], real.cast.unreached, "every point was come to")
         r, v = real.result, world.verdict
         self.assertEqual(([0] * 4, 0, 0), (r.rules[:4], r.lost, r.duplicated), r.reasons)
--- a/tests/test_http_simulation.py
+++ b/tests/test_http_simulation.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from gorsethread.simulation.http_mutants import WEB_MUTANTS
-from gorsethread.simulation.runs import drawn, play, play_many
+from gorsethread.simulation.http_mutants import HTTP_MUTANTS
+from gorsethread.simulation.runs import generate_script, play, play_many
 from gorsethread.simulation.script import read_script
-from gorsethread.simulation.script_generator import Draw
+from gorsethread.simulation.script_generator import ScriptGenerator
 from gorsethread.simulation.site_simulation import misfits
 from gorsethread.site_config.reading import read_site
 
@@ -52,17 +52,19 @@
 
 class Web(unittest.TestCase):
     def test_drawn_worlds_keep_every_rule(self) -> None:
-        failed = [(p.seed, p.reasons, p.first) for p in play_many(SITE, range(40), web=True) if p.reasons]
+        failed = [(p.seed, p.reasons, p.first) for p in play_many(SITE, range(40), http=True) if p.reasons]
         self.assertEqual([], failed)
 
     def test_one_seed_is_one_history(self) -> None:
-        script = drawn(SITE, 3, True)
-        self.assertEqual(play(SITE, script, web=True).digest, play(SITE, script, web=True).digest)
+        script = generate_script(SITE, 3, True)
+        self.assertEqual(play(SITE, script, http=True).digest, play(SITE, script, http=True).digest)
 
     def test_acts_of_the_platform_are_not_for_the_other_front(self) -> None:
         script = read_script("1 term head-0 for 1\n2 spoil shelf-0 by 0.5 for 1\n")
         self.assertEqual((2, 0), (len(misfits(SITE, script)), len(misfits(SITE, script, True))))
-        drawn_kinds = {a.kind for seed in range(60) for a in Draw(seed, [1], ["archive"]).script().acts}
+        drawn_kinds = {
+            a.kind for seed in range(60) for a in ScriptGenerator(seed, [1], ["archive"]).generate().acts
+        }
         self.assertFalse(drawn_kinds & {"term", "reload", "spoil", "rude"})
 
 
@@ -76,7 +78,7 @@
         f"seed 5\nseconds 8\nfactor 3\n1.9 connects shelf-1 by 0.7 for 3\n{resets}\n"
         "2.1 drain shelf-1 for 5\n"
     )
-    name = next(m for m in WEB_MUTANTS if "sent whenever that comes up" in m)
+    name = next(m for m in HTTP_MUTANTS if "sent whenever that comes up" in m)
     assert play(site, script, "", True).reasons == []
     assert any("rule 3" in reason for reason in play(site, script, name, True).reasons)
 
@@ -91,14 +93,14 @@
         "seed 5\nseconds 8\nfactor 3\n1.9 still shelf-0 for 6\n1.9 still shelf-1 for 6\n"
         "2.5 term head-0 for 1\n"
     )
-    name = next(m for m in WEB_MUTANTS if "keeps its own deadline" in m)
+    name = next(m for m in HTTP_MUTANTS if "keeps its own deadline" in m)
     assert play(site, script, "", True).reasons == []
     assert play(site, script, name, True).reasons != []
 
 
 @pytest.mark.parametrize("part", SHOWING)
 def test_a_planted_defect_is_caught_and_the_honest_head_is_not_accused(part: str) -> None:
-    name = next(m for m in WEB_MUTANTS if part in m)
+    name = next(m for m in HTTP_MUTANTS if part in m)
     script = read_script(f"seed 5\nseconds 8\n{SHOWING[part]}\n")
     assert play(SITE, script, "", True).reasons == []
     assert play(SITE, script, name, True).reasons != []
--- a/tests/test_offline_writes.py
+++ b/tests/test_offline_writes.py
@@ -24,7 +24,7 @@
 from gorsethread.offline_writes.messages import OperatorQuery
 from gorsethread.simulation.branch_mutants import BRANCH_MUTANTS
 from gorsethread.simulation.branch_simulation import BranchWorld
-from gorsethread.simulation.runs import drawn, play, play_many
+from gorsethread.simulation.runs import generate_script, play, play_many
 from gorsethread.simulation.script import read_script
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.reading import BadSite, parse_site, read_site
@@ -123,7 +123,7 @@
         self.assertEqual(set(BRANCH_MUTANTS), set(DETECTING_SCRIPTS))
         for mutant, source in DETECTING_SCRIPTS.items():
             with self.subTest(mutant):
-                script = read_script(source) if isinstance(source, str) else drawn(SITE, source)
+                script = read_script(source) if isinstance(source, str) else generate_script(SITE, source)
                 self.assertFalse(play(SITE, script, mutant).good)
         self.assertTrue(play(SITE, read_script(CRASHES_DURING_REPLAY)).good)
 
@@ -264,7 +264,7 @@
         """Plays a simulation in which the first dead letter is released, or the last one discarded."""
         answers: list[Any] = []
         for seed in range(40):
-            simulation, answers = BranchWorld(SITE, drawn(SITE, seed)), []
+            simulation, answers = BranchWorld(SITE, generate_script(SITE, seed)), []
 
             def decide(simulation: BranchWorld = simulation, answers: list[Any] = answers) -> None:
                 for number in (3, 4):
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -10,10 +10,10 @@
 
 from gorsethread.latency_attribution.snapshots import decode
 from gorsethread.nvme_gateway.gateway import Head
-from gorsethread.simulation.rule_mutants import plant
+from gorsethread.simulation.rule_mutants import break_rule
 from gorsethread.simulation.runs import play_many, shrink
 from gorsethread.simulation.script import BadScript, read_script
-from gorsethread.simulation.script_generator import Draw
+from gorsethread.simulation.script_generator import ScriptGenerator
 from gorsethread.simulation.site_simulation import ACCOUNTS, Outcome, World, misfits, play
 from gorsethread.site_config.reading import read_site
 
@@ -38,7 +38,9 @@
     def test_a_planted_break_of_each_rule_is_caught(self) -> None:
         for rule, text in SHOWING.items():
             with self.subTest(rule=rule):
-                outcome = play(SITE, read_script(script(text)), lambda head, rule=rule: plant(head, rule))
+                outcome = play(
+                    SITE, read_script(script(text)), lambda head, rule=rule: break_rule(head, rule)
+                )
                 self.assertGreater(outcome.verdict.rules[rule - 1], 0)
                 moments = [at for at, broken in outcome.as_it_came if broken.rule == rule]
                 self.assertTrue(moments, "the judge of each step saw it too")
@@ -58,7 +60,9 @@
 
 class OneSeed(unittest.TestCase):
     def test_one_history_also_in_a_process_with_another_hash_seed(self) -> None:
-        text = str(Draw(3, [v.number for v in SITE.volume], [t.name for t in SITE.tenant]).script())
+        text = str(
+            ScriptGenerator(3, [v.number for v in SITE.volume], [t.name for t in SITE.tenant]).generate()
+        )
         digests = {play(SITE, read_script(text)).digest}
         code = (
             "import sys; from tests.test_simulation import *; "
@@ -112,7 +116,7 @@
 class Language(unittest.TestCase):
     def test_what_is_written_is_read_again(self) -> None:
         for seed in range(50):
-            drawn = Draw(seed, [1, 2], ["archive"]).script()
+            drawn = ScriptGenerator(seed, [1, 2], ["archive"]).generate()
             self.assertEqual(str(drawn), str(read_script(str(drawn))))
 
     def test_each_bad_line_is_named(self) -> None:
