--- a/gorsethread/simulation/rule_mutants.py
+++ b/gorsethread/simulation/rule_mutants.py
@@ -1,4 +1,7 @@
-"""Heads made to break one rule each, to see that the witness catches it. Never part of a head that serves."""
+"""One mutation for each rule, which makes a gateway break it: a check of the invariant checker itself.
+
+Never part of a gateway in production.
+"""
 
 from collections.abc import Iterable
 from typing import Any
@@ -9,116 +12,127 @@
 from gorsethread.nvme_gateway.gateway import Head
 from gorsethread.scheduling.model import AttemptOutcome, Effect
 
-MANY = 40
+EXTRA_ATTEMPTS = 40  # sent besides each attempt at a backend that is starting
+
 
+def break_rule(gateway: Head, rule: int) -> None:
+    """Makes a gateway break a rule; the gateway must not have been started.
 
-def break_rule(head: Head, rule: int) -> None:
-    """Wraps a head that has not started; ValueError for a number that is no rule's."""
-    if rule not in _PLANTS:
-        raise ValueError(f"there is no rule {rule}; they are {min(_PLANTS)} to {max(_PLANTS)}")
-    _PLANTS[rule](head)
+    Raises ValueError where there is no rule of that number.
+    """
+    if rule not in _RULE_MUTANTS:
+        raise ValueError(f"there is no rule {rule}; rules are {min(_RULE_MUTANTS)} to {max(_RULE_MUTANTS)}")
+    _RULE_MUTANTS[rule](gateway)
 
 
-def _lose_answers(head: Head) -> None:
-    driver = head.driver
-    honest = driver._ended
+def _loses_responses(gateway: Head) -> None:
+    driver = gateway.driver
+    original = driver._ended
 
     def ended(attempt: Attempt, outcome: AttemptOutcome, result: AttemptResult) -> None:
         request = driver.open_requests.get(attempt.request)
         if request is not None and request.id % 10 == 0:
             request.answered = True
-        honest(attempt, outcome, result)
+        original(attempt, outcome, result)
 
     driver._ended = ended  # type: ignore[method-assign]
 
 
-def _again(driver: Driver, f: Attempt, times: int = 1) -> None:
-    """Sends a forward again behind the policy's back; what comes of it is dropped."""
-    if link := driver.links.get(f.backend):
+def _send_again(driver: Driver, attempt: Attempt, times: int = 1) -> None:
+    """Sends copies of an attempt without the scheduler's knowledge; their outcomes are dropped."""
+    if link := driver.links.get(attempt.backend):
         for _ in range(times):
-            copy = Attempt(f.request, -1, f.backend, f.sent_at, f.payload, lambda *_: None)
+            copy = Attempt(
+                attempt.request, -1, attempt.backend, attempt.sent_at, attempt.payload, lambda *_: None
+            )
             link.send(copy)
 
 
-def _after_forward(driver: Driver, act: Any) -> None:
-    honest = driver.send_attempt
+def _after_each_attempt(driver: Driver, on_attempt: Any) -> None:
+    """Calls on_attempt with the open request and the attempt after each attempt that the driver sends."""
+    original = driver.send_attempt
 
     def send_attempt(request: int, backend: int, wait: float) -> None:
-        honest(request, backend, wait)
-        t = driver.open_requests.get(request)
-        if t is not None and t.attempts and (f := t.in_flight.get(t.attempts - 1)):
-            act(t, f)
+        original(request, backend, wait)
+        open_request = driver.open_requests.get(request)
+        if (
+            open_request is not None
+            and open_request.attempts
+            and (attempt := open_request.in_flight.get(open_request.attempts - 1))
+        ):
+            on_attempt(open_request, attempt)
 
     driver.send_attempt = send_attempt  # type: ignore[method-assign]
 
 
-def _twice(head: Head) -> None:
-    profiles = head.driver.scheduler.settings.request_classes
+def _runs_non_idempotent_twice(gateway: Head) -> None:
+    request_classes = gateway.driver.scheduler.settings.request_classes
 
-    def act(t: OpenRequest, f: Attempt) -> None:
-        if profiles[t.client.profile].effect is Effect.NON_IDEMPOTENT:  # type: ignore[attr-defined]
-            _again(head.driver, f)
+    def on_attempt(open_request: OpenRequest, attempt: Attempt) -> None:
+        if request_classes[open_request.client.profile].effect is Effect.NON_IDEMPOTENT:  # type: ignore[attr-defined]
+            _send_again(gateway.driver, attempt)
 
-    _after_forward(head.driver, act)
+    _after_each_attempt(gateway.driver, on_attempt)
 
 
-def _deaf_to_drains(head: Head) -> None:
-    honest = head.driver.endpoints_listed
+def _ignores_drains(gateway: Head) -> None:
+    original = gateway.driver.endpoints_listed
 
     def listed(entries: Iterable[EndpointEntry], complete: bool, remembered: bool) -> None:
-        honest([e._replace(ready=True) for e in entries], False, remembered)
+        original([entry._replace(ready=True) for entry in entries], False, remembered)
 
-    head.driver.endpoints_listed = listed  # type: ignore[method-assign]
+    gateway.driver.endpoints_listed = listed  # type: ignore[method-assign]
 
 
-def _push_over(head: Head) -> None:
-    honest = head.driver.endpoints_listed
-    cold: set[int] = set()
+def _overloads_starting_backends(gateway: Head) -> None:
+    original = gateway.driver.endpoints_listed
+    starting: set[int] = set()
 
     def listed(entries: Iterable[EndpointEntry], complete: bool, remembered: bool) -> None:
         listed_now = list(entries)
-        cold.update(e.backend for e in listed_now if e.since)
-        honest([e._replace(since=0.0) for e in listed_now], complete, remembered)
+        starting.update(entry.backend for entry in listed_now if entry.since)
+        original([entry._replace(since=0.0) for entry in listed_now], complete, remembered)
 
-    def act(t: OpenRequest, f: Attempt) -> None:
-        if f.backend in cold:
-            _again(head.driver, f, MANY)
+    def on_attempt(open_request: OpenRequest, attempt: Attempt) -> None:
+        if attempt.backend in starting:
+            _send_again(gateway.driver, attempt, EXTRA_ATTEMPTS)
 
-    head.driver.endpoints_listed = listed  # type: ignore[method-assign]
-    _after_forward(head.driver, act)
+    gateway.driver.endpoints_listed = listed  # type: ignore[method-assign]
+    _after_each_attempt(gateway.driver, on_attempt)
 
 
-def _out_of_turn(head: Head) -> None:
-    honest = head.driver.admit
+def _ignores_key_order(gateway: Head) -> None:
+    original = gateway.driver.admit
 
-    def take(*arguments: Any, **named: Any) -> OpenRequest:
-        return honest(*arguments, **{**named, "key": None})
+    def admit(*arguments: Any, **named: Any) -> OpenRequest:
+        return original(*arguments, **{**named, "key": None})
 
-    head.driver.admit = take  # type: ignore[method-assign]
+    gateway.driver.admit = admit  # type: ignore[method-assign]
 
 
-def _no_budget(head: Head) -> None:
-    def act(t: OpenRequest, f: Attempt) -> None:
-        if not f.payload.command.to_controller:
-            _again(head.driver, f)
+def _exceeds_retry_budget(gateway: Head) -> None:
+    def on_attempt(open_request: OpenRequest, attempt: Attempt) -> None:
+        if not attempt.payload.command.to_controller:
+            _send_again(gateway.driver, attempt)
 
-    _after_forward(head.driver, act)
+    _after_each_attempt(gateway.driver, on_attempt)
 
 
-def _no_limit(head: Head) -> None:
-    scheduler = head.driver.scheduler
+def _ignores_rate_limits(gateway: Head) -> None:
+    scheduler = gateway.driver.scheduler
     scheduler.rate_limits.units_left = lambda volume: float("inf")  # type: ignore[method-assign]
-    # Nothing else holds a volume back either, else a busy shelf hides that the limit does not hold.
+    # Pacing and the concurrency limits are off too: they would hold requests back at a busy backend, and so
+    # hide that the rate limit is not kept.
     scheduler.pacing.admits = lambda request, rate, units_chosen: True  # type: ignore[method-assign]
     scheduler.admission.free_slots = lambda backend: 32 - len(backend.in_flight)  # type: ignore[method-assign]
 
 
-_PLANTS = {
-    1: _lose_answers,
-    2: _twice,
-    3: _deaf_to_drains,
-    4: _push_over,
-    5: _out_of_turn,
-    6: _no_budget,
-    7: _no_limit,
+_RULE_MUTANTS = {
+    1: _loses_responses,
+    2: _runs_non_idempotent_twice,
+    3: _ignores_drains,
+    4: _overloads_starting_backends,
+    5: _ignores_key_order,
+    6: _exceeds_retry_budget,
+    7: _ignores_rate_limits,
 }
