--- a/gorsethread/simulation/branch_mutants.py
+++ b/gorsethread/simulation/branch_mutants.py
@@ -1,4 +1,4 @@
-"""Defects planted in what branches do, and the main site's heads for them; see mutants.py."""
+"""Mutants of offline writes, at a branch's gateways and at the main site's; see mutants.py."""
 
 from collections.abc import Callable
 from typing import Any
@@ -17,203 +17,211 @@
 mutant = registered_in(BRANCH_MUTANTS)
 
 
-def _of_branch(head: Head, change: Callable[[Any], None]) -> None:
-    """Of a branch's heads: its side, whose methods may be exchanged."""
-    if head.branch is not None:
-        change(head.branch)
+def _at_branch(gateway: Head, change: Callable[[Any], None]) -> None:
+    """Calls change with the OfflineWrites of a branch's gateway; does nothing at the main site's gateways."""
+    if gateway.branch is not None:
+        change(gateway.branch)
 
 
-def _at_main_site(head: Head, change: Callable[[ReplayReceiver], None]) -> None:
-    """Of the main site's heads."""
-    said: Any = head.holding.on_branch_message if head.holding is not None else None
-    if said is not None:
-        change(said.__self__)
+def _at_main_site(gateway: Head, change: Callable[[ReplayReceiver], None]) -> None:
+    """Calls change with the ReplayReceiver of a main site's gateway; does nothing at a branch's gateways."""
+    on_branch_message: Any = gateway.holding.on_branch_message if gateway.holding is not None else None
+    if on_branch_message is not None:
+        change(on_branch_message.__self__)
 
 
-def _core(head: Head, change: Callable[[AppliedWrites], None]) -> None:
-    """Changes what a main site's head knows of branches' writes, as it is made."""
+def _on_applied_writes(gateway: Head, change: Callable[[AppliedWrites], None]) -> None:
+    """Calls change with the AppliedWrites of a main site's gateway right after they are created."""
 
-    def on(side: ReplayReceiver) -> None:
-        honest = side._known_writes
+    def mutate(receiver: ReplayReceiver) -> None:
+        original = receiver._known_writes
 
-        def known() -> AppliedWrites | None:
-            made = side._applied_writes is None
-            applied_writes = honest()
-            if applied_writes is not None and made:
+        def known_writes() -> AppliedWrites | None:
+            is_new = receiver._applied_writes is None
+            applied_writes = original()
+            if applied_writes is not None and is_new:
                 change(applied_writes)
             return applied_writes
 
-        side._known_writes = known  # type: ignore[method-assign]
+        receiver._known_writes = known_writes  # type: ignore[method-assign]
 
-    _at_main_site(head, on)
+    _at_main_site(gateway, mutate)
 
 
-def _keeps(head: Head, changed: Callable[[ReplicatedLog, Any], Any]) -> None:
-    """Changes how facts are kept: changed() gives the method in place of append()."""
-    if head.promises is not None:
-        head.promises.append = changed(head.promises, head.promises.append)  # type: ignore[method-assign]
+def _on_append(gateway: Head, replace_append: Callable[[ReplicatedLog, Any], Any]) -> None:
+    """Replaces the log's append() by what replace_append(log, append) returns."""
+    if gateway.promises is not None:
+        gateway.promises.append = replace_append(gateway.promises, gateway.promises.append)  # type: ignore[method-assign]
 
 
 @mutant("branch: accepted before it is on a disk")
-def _not_on_disk(head: Head) -> None:
-    def changed(promises: ReplicatedLog, honest: Any) -> Any:
-        def keep(fact: Any, done: Any = None, here: bool = False) -> None:
+def _acknowledges_before_flush(gateway: Head) -> None:
+    def replace_append(log: ReplicatedLog, original: Any) -> Any:
+        def append(fact: Any, on_durable: Any = None, own_disk_only: bool = False) -> None:
             if isinstance(fact, WriteQueued):
-                promises.transport.call_soon(lambda: done(True))
-                promises.transport.call_at(promises.transport.now() + 0.5, lambda: honest(fact))
+                log.transport.call_soon(lambda: on_durable(True))
+                log.transport.call_at(log.transport.now() + 0.5, lambda: original(fact))
             else:
-                honest(fact, done, here)
+                original(fact, on_durable, own_disk_only)
 
-        return keep
+        return append
 
-    _keeps(head, changed)
+    _on_append(gateway, replace_append)
 
 
 @mutant("branch: accepted before the other head has it")
-def _one_disk(head: Head) -> None:
-    _keeps(
-        head,
-        lambda promises, honest: lambda fact, done=None, here=False: honest(
-            fact, done, here or isinstance(fact, WriteQueued)
+def _acknowledges_before_standby(gateway: Head) -> None:
+    _on_append(
+        gateway,
+        lambda log, original: lambda fact, on_durable=None, own_disk_only=False: original(
+            fact, on_durable, own_disk_only or isinstance(fact, WriteQueued)
         ),
     )
 
 
 @mutant("branch: replayed in order of acceptance alone")
-def _no_causes(head: Head) -> None:
-    _of_branch(head, lambda branch: setattr(branch.queue, "_dependencies_finished", lambda write: True))
+def _ignores_dependencies(gateway: Head) -> None:
+    _at_branch(gateway, lambda branch: setattr(branch.queue, "_dependencies_finished", lambda write: True))
 
 
 @mutant("branch: the queue goes with its process")
-def _forgets(head: Head) -> None:
-    _of_branch(head, lambda branch: setattr(branch._recovery, "recover", lambda in_doubt: None))
+def _skips_recovery(gateway: Head) -> None:
+    _at_branch(gateway, lambda branch: setattr(branch._recovery, "recover", lambda in_doubt: None))
 
 
 @mutant("branch: what is given up stays on the disks")
-def _given_up_stays(head: Head) -> None:
-    def changed(promises: ReplicatedLog, honest: Any) -> Any:
-        def keep(fact: Any, done: Any = None, here: bool = False) -> None:
+def _keeps_abandoned_writes(gateway: Head) -> None:
+    def replace_append(log: ReplicatedLog, original: Any) -> Any:
+        def append(fact: Any, on_durable: Any = None, own_disk_only: bool = False) -> None:
             if (
                 isinstance(fact, Tombstone)
-                and done is not None
-                and getattr(done, "__name__", "") == "withdrawn"
+                and on_durable is not None
+                and getattr(on_durable, "__name__", "") == "withdrawn"
             ):
-                promises.transport.call_soon(lambda: done(True))
+                log.transport.call_soon(lambda: on_durable(True))
             else:
-                honest(fact, done, here)
+                original(fact, on_durable, own_disk_only)
 
-        return keep
+        return append
 
-    _keeps(head, changed)
+    _on_append(gateway, replace_append)
 
 
 @mutant("branch: reads do not see what is queued")
-def _blind(head: Head) -> None:
-    def on(branch: Any) -> None:
-        honest = branch.admit
-        branch.admit = lambda io, waiting, extent, data: io.command.opcode != Opcode.READ and honest(
+def _hides_queued_writes_from_reads(gateway: Head) -> None:
+    def mutate(branch: Any) -> None:
+        original = branch.admit
+        branch.admit = lambda io, waiting, extent, data: io.command.opcode != Opcode.READ and original(
             io, waiting, extent, data
         )
 
-    _of_branch(head, on)
+    _at_branch(gateway, mutate)
 
 
 @mutant("branch: live writes overtake what is queued")
-def _overtakes(head: Head) -> None:
-    def on(branch: Any) -> None:
-        honest = branch.admit
+def _lets_writes_overtake_queue(gateway: Head) -> None:
+    def mutate(branch: Any) -> None:
+        original = branch.admit
         branch.admit = lambda io, waiting, extent, data: (
             branch.link.queueing or io.command.opcode == Opcode.READ
-        ) and honest(io, waiting, extent, data)
+        ) and original(io, waiting, extent, data)
 
-    _of_branch(head, on)
+    _at_branch(gateway, mutate)
 
 
 @mutant("branch: once cut off, always cut off")
-def _never_back(head: Head) -> None:
-    def on(branch: Any) -> None:
+def _never_leaves_offline_mode(gateway: Head) -> None:
+    def mutate(branch: Any) -> None:
         link = branch.link
         link._answers_since = float("inf")
         link.answer_received = lambda now: None if link.queueing else setattr(link, "_last_answer", now)
 
-    _of_branch(head, on)
+    _at_branch(gateway, mutate)
 
 
 @mutant("branch: what the other head took is no cause")
-def _own_only(head: Head) -> None:
-    def on(branch: Any) -> None:
+def _ignores_standby_dependencies(gateway: Head) -> None:
+    def mutate(branch: Any) -> None:
         admission = branch._admission
-        honest = admission._enqueue
+        original = admission._enqueue
 
         def enqueue(request: Any, dependencies: Any) -> None:
-            honest(request, {n for n in dependencies if n.gateway == branch.settings.gateway})
+            original(
+                request, {number for number in dependencies if number.gateway == branch.settings.gateway}
+            )
 
         admission._enqueue = enqueue
 
-    _of_branch(head, on)
+    _at_branch(gateway, mutate)
 
 
 @mutant("branch: what the other head has queued is taken for over")
-def _not_waited_for(head: Head) -> None:
-    _of_branch(head, lambda branch: setattr(branch.queue, "_is_standby_write_finished", lambda number: True))
+def _skips_standby_writes(gateway: Head) -> None:
+    _at_branch(
+        gateway, lambda branch: setattr(branch.queue, "_is_standby_write_finished", lambda number: True)
+    )
 
 
 @mutant("branch: a client that comes again is not known")
-def _no_context(head: Head) -> None:
-    _of_branch(head, lambda branch: setattr(branch._contexts, "current", lambda host: ClientContext()))
+def _forgets_client_context(gateway: Head) -> None:
+    _at_branch(gateway, lambda branch: setattr(branch._contexts, "current", lambda host: ClientContext()))
 
 
 @mutant("branch: the mark is past what waits")
-def _mark_past(head: Head) -> None:
-    if head.branch is not None:
-        queue = head.branch.queue
-        kind = type(queue)
-        queue.__class__ = type("Planted", (kind,), {"completed_up_to": property(lambda q: q._last_position)})
+def _advances_completed_mark(gateway: Head) -> None:
+    if gateway.branch is not None:
+        queue = gateway.branch.queue
+        queue_class = type(queue)
+        queue.__class__ = type(
+            "MutantQueue", (queue_class,), {"completed_up_to": property(lambda queue: queue._last_position)}
+        )
 
 
 @mutant("branch: copies come on any stream")
-def _any_stream(head: Head) -> None:
-    if head.holding is not None:
-        holding: Any = head.holding
-        honest = holding._on_store_records
+def _accepts_replication_on_any_stream(gateway: Head) -> None:
+    if gateway.holding is not None:
+        holding: Any = gateway.holding
+        original = holding._on_store_records
 
-        async def put(stream: Any, origin: int, m: Any) -> None:
+        async def on_store_records(stream: Any, origin: int, message: Any) -> None:
             holding.replica_of(origin).stream = stream
-            await honest(stream, origin, m)
+            await original(stream, origin, message)
 
-        holding._on_store_records = put
+        holding._on_store_records = on_store_records
 
 
 @mutant("main site: what is in effect is not known")
-def _effects_forgotten(head: Head) -> None:
-    _core(head, lambda applied: setattr(applied, "_is_applied", lambda known, position: False))
+def _forgets_applied_writes(gateway: Head) -> None:
+    _on_applied_writes(
+        gateway, lambda applied: setattr(applied, "_is_applied", lambda known, position: False)
+    )
 
 
 @mutant("main site: what was begun is not known after a restart")
-def _begun_forgotten(head: Head) -> None:
-    def changed(promises: ReplicatedLog, honest: Any) -> Any:
-        def keep(fact: Any, done: Any = None, here: bool = False) -> None:
+def _loses_started_writes(gateway: Head) -> None:
+    def replace_append(log: ReplicatedLog, original: Any) -> Any:
+        def append(fact: Any, on_durable: Any = None, own_disk_only: bool = False) -> None:
             if isinstance(fact, WriteApplied) and not fact.ran:
-                promises.transport.call_soon(lambda: done(True))
+                log.transport.call_soon(lambda: on_durable(True))
             else:
-                honest(fact, done, here)
+                original(fact, on_durable, own_disk_only)
 
-        return keep
+        return append
 
-    _keeps(head, changed)
+    _on_append(gateway, replace_append)
 
 
 @mutant("main site: told as in effect as it comes")
-def _told_early(head: Head) -> None:
-    def on(side: ReplayReceiver) -> None:
-        honest = side._execute
+def _confirms_on_receipt(gateway: Head) -> None:
+    def mutate(receiver: ReplayReceiver) -> None:
+        original = receiver._execute
 
         def execute(message: ReplayWrite) -> None:
             number = WriteNumber(*message.number)
-            for waiter in side._waiters.pop(number, ()):
-                side._reply(waiter.stream, number, ReplayOutcome.APPLIED, waiter.send_token)
-            honest(message)
+            for waiter in receiver._waiters.pop(number, ()):
+                receiver._reply(waiter.stream, number, ReplayOutcome.APPLIED, waiter.send_token)
+            original(message)
 
-        side._execute = execute  # type: ignore[method-assign]
+        receiver._execute = execute  # type: ignore[method-assign]
 
-    _at_main_site(head, on)
+    _at_main_site(gateway, mutate)
--- a/gorsethread/simulation/durable_log_mutants.py
+++ b/gorsethread/simulation/durable_log_mutants.py
@@ -1,4 +1,4 @@
-"""Defects planted in what heads do with records, copies and their return; see mutants.py."""
+"""Mutants of the durable log, its replication and the recovery from it; see mutants.py."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -15,179 +15,184 @@
 mutant = registered_in(DURABLE_LOG_MUTANTS)
 
 
-def _promises(head: Head) -> ReplicatedLog:
-    assert head.promises is not None
-    return head.promises
+def _log_of(gateway: Head) -> ReplicatedLog:
+    assert gateway.promises is not None
+    return gateway.promises
 
 
-def _holding(head: Head) -> Any:
-    assert head.holding is not None
-    return head.holding
+def _replica_server_of(gateway: Head) -> Any:
+    assert gateway.holding is not None
+    return gateway.holding
 
 
-def _returning(head: Head, change: Callable[[RecoveryStages], None]) -> None:
-    """Changes the stages as they are made."""
-    promises = _promises(head)
-    honest = promises.open
+def _on_recovery_stages(gateway: Head, change: Callable[[RecoveryStages], None]) -> None:
+    """Calls change with the recovery stages once the log is open."""
+    log = _log_of(gateway)
+    original = log.open
 
-    def opened() -> None:
-        honest()
-        change(promises.recovery)
+    def open_and_mutate() -> None:
+        original()
+        change(log.recovery)
 
-    promises.open = opened  # type: ignore[method-assign]
+    log.open = open_and_mutate  # type: ignore[method-assign]
 
 
 @mutant("records: nothing is kept of what is placed")
-def _nothing(head: Head) -> None:
-    promises = _promises(head)
-    promises.placed = lambda extent, shard, on_durable: promises.transport.call_soon(  # type: ignore[method-assign]
+def _keeps_no_placements(gateway: Head) -> None:
+    log = _log_of(gateway)
+    log.placed = lambda extent, shard, on_durable: log.transport.call_soon(  # type: ignore[method-assign]
         lambda: on_durable(True)
     )
 
 
 @mutant("records: what a disk does not take is told as kept")
-def _untaken(head: Head) -> None:
-    store = _promises(head).store
-    honest = store.add
+def _reports_failed_writes_as_durable(gateway: Head) -> None:
+    store = _log_of(gateway).store
+    original = store.add
 
     def add(record: Record, on_committed: Callable[[bool], None] | None = None) -> None:
-        honest(record, None if on_committed is None else lambda kept: on_committed(True))
+        original(record, None if on_committed is None else lambda committed: on_committed(True))
 
     store.add = add  # type: ignore[method-assign]
 
 
 @mutant("records: half of a folder is read")
-def _half(head: Head) -> None:
-    store = _promises(head).store
-    honest = store.open
-
-    def opened() -> Any:
-        found = honest()
-        held = sorted(found.table.records.values())
-        found.table = store.table = RecordTable(held[: len(held) // 2])
-        found.table.last = held[-1].number if held else NO_SEQUENCE
+def _reads_half_of_log(gateway: Head) -> None:
+    store = _log_of(gateway).store
+    original = store.open
+
+    def open_and_mutate() -> Any:
+        found = original()
+        records = sorted(found.table.records.values())
+        found.table = store.table = RecordTable(records[: len(records) // 2])
+        found.table.last = records[-1].number if records else NO_SEQUENCE
         return found
 
-    store.open = opened  # type: ignore[method-assign]
+    store.open = open_and_mutate  # type: ignore[method-assign]
 
 
 @mutant("records: rotten bytes are not noticed")
-def _rotten(head: Head) -> None:
-    store = _promises(head).store
-    honest = store.open
+def _ignores_corruption(gateway: Head) -> None:
+    store = _log_of(gateway).store
+    original = store.open
 
-    def opened() -> Any:
-        found = honest()
+    def open_and_mutate() -> Any:
+        found = original()
         found.complete = True
         return found
 
-    store.open = opened  # type: ignore[method-assign]
+    store.open = open_and_mutate  # type: ignore[method-assign]
 
 
 @mutant("return: a life's numbers are given again")
-def _same_life(head: Head) -> None:
-    _returning(head, lambda r: setattr(r, "next_incarnation", lambda wall: max(1, r.own_last[0])))
+def _reuses_incarnation(gateway: Head) -> None:
+    _on_recovery_stages(
+        gateway, lambda stages: setattr(stages, "next_incarnation", lambda wall: max(1, stages.own_last[0]))
+    )
 
 
 @mutant("return: nobody is asked")
-def _not_asked(head: Head) -> None:
-    def change(r: RecoveryStages) -> None:
-        r.has_no_replicas = r.trusts_own_records = True
-        r.other_gateways = frozenset()
-        r.advance(0.0)
+def _queries_no_replicas(gateway: Head) -> None:
+    def change(stages: RecoveryStages) -> None:
+        stages.has_no_replicas = stages.trusts_own_records = True
+        stages.other_gateways = frozenset()
+        stages.advance(0.0)
 
-    _returning(head, change)
+    _on_recovery_stages(gateway, change)
 
 
 @mutant("return: an empty disk is a first start")
-def _empty(head: Head) -> None:
-    _returning(head, lambda r: setattr(r, "trusts_own_records", True))
+def _trusts_empty_disk(gateway: Head) -> None:
+    _on_recovery_stages(gateway, lambda stages: setattr(stages, "trusts_own_records", True))
 
 
 @mutant("return: one answer is enough")
-def _one_answer(head: Head) -> None:
-    def change(r: RecoveryStages) -> None:
-        r.required_replicas = len(r.other_gateways)
+def _accepts_one_replica_answer(gateway: Head) -> None:
+    def change(stages: RecoveryStages) -> None:
+        stages.required_replicas = len(stages.other_gateways)
 
-    _returning(head, change)
+    _on_recovery_stages(gateway, change)
 
 
 @mutant("return: later records of others are not fetched")
-def _older(head: Head) -> None:
-    def change(r: RecoveryStages) -> None:
-        honest = r.on_answer
-        r.on_answer = lambda gateway, last, incarnation, now: honest(  # type: ignore[method-assign]
-            gateway, min(last, r.own_last), incarnation, now
+def _skips_newer_records(gateway: Head) -> None:
+    def change(stages: RecoveryStages) -> None:
+        original = stages.on_answer
+        stages.on_answer = lambda gateway, last, incarnation, now: original(  # type: ignore[method-assign]
+            gateway, min(last, stages.own_last), incarnation, now
         )
 
-    _returning(head, change)
+    _on_recovery_stages(gateway, change)
 
 
 @mutant("return: what is not known is held for nowhere at once")
-def _no_care(head: Head) -> None:
-    _promises(head).retry_after = lambda: 0.0  # type: ignore[method-assign]
+def _never_delays_requests(gateway: Head) -> None:
+    _log_of(gateway).retry_after = lambda: 0.0  # type: ignore[method-assign]
 
 
 @mutant("copies: a holder says so before its disk has it")
-def _holds_early(head: Head) -> None:
-    async def keep(held: Any, m: replication_messages.StoreRecords) -> bool:
+def _confirms_before_flush(gateway: Head) -> None:
+    async def store_records(replica: Any, message: replication_messages.StoreRecords) -> bool:
         return True
 
-    _holding(head)._store_records = keep
+    _replica_server_of(gateway)._store_records = store_records
 
 
 @mutant("copies: what is on its way counts as held")
-def _sent_counts(head: Head) -> None:
-    sender = _promises(head).sender
-    honest = sender.next_batch
+def _confirms_on_send(gateway: Head) -> None:
+    sender = _log_of(gateway).sender
+    original = sender.next_batch
 
     def next_batch(gateway: int, table: RecordTable, last: Any) -> Any:
-        found = honest(gateway, table, last)
-        if found is not None:
+        batch = original(gateway, table, last)
+        if batch is not None:
             sender.confirmed(gateway, last)
-        return replace(found, records=[]) if found is not None else None
+        return replace(batch, records=[]) if batch is not None else None
 
     sender.next_batch = next_batch  # type: ignore[method-assign]
 
 
 @mutant("copies: a holder keeps the first of each piece")
-def _first_only(head: Head) -> None:
-    holding = _holding(head)
-    honest = holding._store_records
+def _stores_first_record_only(gateway: Head) -> None:
+    server = _replica_server_of(gateway)
+    original = server._store_records
 
-    async def keep(held: Any, m: replication_messages.StoreRecords) -> bool:
+    async def store_records(replica: Any, message: replication_messages.StoreRecords) -> bool:
         return bool(
-            await honest(
-                held, replication_messages.StoreRecords(m.incarnation, m.replaces_all, m.entries[:1], m.last)
+            await original(
+                replica,
+                replication_messages.StoreRecords(
+                    message.incarnation, message.replaces_all, message.entries[:1], message.last
+                ),
             )
         )
 
-    holding._store_records = keep
+    server._store_records = store_records
 
 
 @mutant("copies: given back without the last")
-def _gives_less(head: Head) -> None:
-    promises = _promises(head)
-    honest = promises._on_records_fetched
+def _drops_last_records(gateway: Head) -> None:
+    log = _log_of(gateway)
+    original = log._on_records_fetched
 
-    def given(peer: int, records: RecordTable) -> None:
-        kept = sorted(records.records.values())[:-3]
-        less = RecordTable(kept)
-        less.last = records.last
-        honest(peer, less)
+    def on_records_fetched(peer: int, records: RecordTable) -> None:
+        remaining = sorted(records.records.values())[:-3]
+        truncated = RecordTable(remaining)
+        truncated.last = records.last
+        original(peer, truncated)
 
-    promises._on_records_fetched = given  # type: ignore[method-assign]
+    log._on_records_fetched = on_records_fetched  # type: ignore[method-assign]
 
 
 @mutant("driver: sends before it is kept")
-def _sends_first(head: Head) -> None:
-    promises = _promises(head)
-    honest = promises.placed
+def _sends_before_durable(gateway: Head) -> None:
+    log = _log_of(gateway)
+    original = log.placed
 
     def placed(extent: Any, shard: int, on_durable: Callable[[bool], None]) -> None:
-        promises.transport.call_soon(lambda: on_durable(True))
-        promises.transport.call_at(
-            promises.transport.now() + 0.5, lambda: honest(extent, shard, lambda kept: None)
+        log.transport.call_soon(lambda: on_durable(True))
+        log.transport.call_at(
+            log.transport.now() + 0.5, lambda: original(extent, shard, lambda durable: None)
         )
 
-    promises.placed = placed  # type: ignore[method-assign]
+    log.placed = placed  # type: ignore[method-assign]
--- a/gorsethread/simulation/mutants.py
+++ b/gorsethread/simulation/mutants.py
@@ -104,9 +104,7 @@
 
 @mutant("driver: gives up by pushing back")
 def _rejects_instead_of_failing(gateway: Head) -> None:
-    gateway.driver.fail = lambda request: gateway.driver.reject(  # type: ignore[method-assign]
-        request, 0.1
-    )
+    gateway.driver.fail = lambda request: gateway.driver.reject(request, 0.1)  # type: ignore[method-assign]
 
 
 @mutant("driver: a time-out is told as never sent")
@@ -198,16 +196,9 @@
         def broke(reason: str) -> None:
             in_flight = list(link.out.values())
             original(reason)
-            for attempt in in_flight:
+            for sent in in_flight:
                 link.send(
-                    Attempt(
-                        attempt.request,
-                        -1,
-                        attempt.backend,
-                        attempt.sent_at,
-                        attempt.payload,
-                        lambda *_: None,
-                    )
+                    Attempt(sent.request, -1, sent.backend, sent.sent_at, sent.payload, lambda *_: None)
                 )
 
         _override(link, "_broke", broke)
@@ -303,14 +294,12 @@
 
 @mutant("codec: a completion is lost, one in a hundred")
 def _loses_completions(gateway: Head) -> None:
-    should_break = every_nth_call(100)
+    lose = every_nth_call(100)
     original = gateway.server.on_stream
 
     async def on_stream(stream: Any) -> None:
         write = stream.write
-        stream.write = (
-            lambda data: None if len(data) == 24 and data[0] == 5 and should_break() else write(data)
-        )
+        stream.write = lambda data: None if len(data) == 24 and data[0] == 5 and lose() else write(data)
         await original(stream)
 
     gateway.server.on_stream = on_stream  # type: ignore[method-assign]
