--- a/gorsethread/simulation/runs.py
+++ b/gorsethread/simulation/runs.py
@@ -1,4 +1,4 @@
-"""Many worlds over all cores, and what is made of one that fails: played again, cut down, told in order."""
+"""Runs simulations of many seeds in parallel; replays, shrinks and prints the scripts of those that fail."""
 
 import gc
 import multiprocessing
@@ -23,13 +23,16 @@
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.sampling import cpu_seconds
 
-NOT_ON_THE_PLATFORM = ("disk", "wall")
-SHRINKS_MOST = 120  # worlds played to cut one down
+NOT_FOR_HTTP = ("disk", "wall")  # kinds of act: HTTP gateways have no disk, and one Unix clock
+MAX_SHRINK_RUNS = 120  # simulations to shrink one script
 
 
 @dataclass(frozen=True)
 class SeedResult:
-    """What is kept of one world of many. cost: seconds of CPU time it took."""
+    """The result of one seed.
+
+    taken: requests that gateways admitted. seconds: virtual time. cost: CPU time in seconds.
+    """
 
     seed: int
     reasons: list[str]
@@ -37,11 +40,12 @@
     taken: int
     seconds: float
     cost: float
-    first: str  # what was wrong first, for a person
+    first: str  # description of the first failure
     states: dict[str, int] = field(default_factory=dict)
 
 
 def generate_script(site: pb.Site, seed: int, http: bool = False, durable_log: bool = False) -> Script:
+    """Returns the script of a seed; http and durable_log as in play()."""
     if site.branch:
         return BranchScriptGenerator(seed, site).generate()
     return ScriptGenerator(
@@ -71,7 +75,10 @@
 
 
 def play_one(raw_site: bytes, mutant: str, http: bool, durable_log: bool, seed: int) -> SeedResult:
-    """In a process of the pool. A world that raises, or waits for ever, failed too."""
+    """Simulates one seed; called in a process of the pool.
+
+    A simulation that raises, or that would wait forever, has failed too.
+    """
     site = pb.Site.FromString(raw_site)
     began = cpu_seconds()
     try:
@@ -80,7 +87,7 @@
         return SeedResult(
             seed, [f"raised {type(error).__name__}"], "", 0, 0.0, cpu_seconds() - began, repr(error)
         )
-    gc.collect()  # a world is one large cycle, and many of them were held at once
+    gc.collect()  # each simulation is one large reference cycle; without this many stayed in memory at once
     first = str(outcome.verdict.breaks[0]) if outcome.verdict.breaks else ""
     if not first and outcome.as_it_came:
         first = str(outcome.as_it_came[0][1])
@@ -104,19 +111,26 @@
     http: bool = False,
     durable_log: bool = False,
 ) -> Iterator[SeedResult]:
-    """In the order of the seeds; at_once 0: as many as there are cores."""
-    work = partial(play_one, site.SerializeToString(), mutant, http, durable_log)
-    fresh = multiprocessing.get_context("spawn")
-    with ProcessPoolExecutor(at_once or os.cpu_count() or 1, mp_context=fresh) as pool:
+    """Yields the results in the order of the seeds.
+
+    at_once: number of processes; 0: one for each core.
+    """
+    run_seed = partial(play_one, site.SerializeToString(), mutant, http, durable_log)
+    context = multiprocessing.get_context("spawn")
+    with ProcessPoolExecutor(at_once or os.cpu_count() or 1, mp_context=context) as pool:
         try:
-            yield from pool.map(work, seeds, chunksize=4 if len(seeds) > 64 else 1)
+            yield from pool.map(run_seed, seeds, chunksize=4 if len(seeds) > 64 else 1)
         finally:
             pool.shutdown(cancel_futures=True)
 
 
 @dataclass
 class Summary:
-    """Of many worlds. wall: seconds it took on this machine's clock."""
+    """Totals of many simulations.
+
+    virtual: virtual time in seconds. cost: CPU time in seconds. states: how often a kind of act struck
+    while a gateway was in a state.
+    """
 
     worlds: int = 0
     taken: int = 0
@@ -125,120 +139,137 @@
     failed: list[SeedResult] = field(default_factory=list)
     states: Counter[str] = field(default_factory=Counter)
 
-    def add(self, played: SeedResult) -> None:
+    def add(self, result: SeedResult) -> None:
         self.worlds += 1
-        self.taken += played.taken
-        self.virtual += played.seconds
-        self.cost += played.cost
-        self.states.update(played.states)
-        if played.reasons:
-            self.failed.append(played)
+        self.taken += result.taken
+        self.virtual += result.seconds
+        self.cost += result.cost
+        self.states.update(result.states)
+        if result.reasons:
+            self.failed.append(result)
 
     def unreached(self, http: bool = False) -> list[str]:
-        kinds = [
-            kind
-            for kind, k in KINDS.items()
-            if not (k.fleet or k.relay or k.kept or k.branch)
-            and not (k.web if not http else kind in NOT_ON_THE_PLATFORM)
+        """Returns the pairs of a kind of act and a gateway state that no simulation has met."""
+        names = [
+            name
+            for name, kind in KINDS.items()
+            if not (kind.fleet or kind.relay or kind.kept or kind.branch)
+            and not (kind.web if not http else name in NOT_FOR_HTTP)
         ]
-        pairs = [f"{kind} | {state}" for kind in kinds for state in (WEB_STATES if http else STATES)]
+        pairs = [f"{name} | {state}" for name in names for state in (WEB_STATES if http else STATES)]
         return [pair for pair in pairs if pair not in self.states]
 
 
 def find_first_failing_seed(
-    site: pb.Site, mutant: str, most: int, at_once: int = 0, http: bool = False, durable_log: bool = False
+    site: pb.Site,
+    mutant: str,
+    max_seeds: int,
+    at_once: int = 0,
+    http: bool = False,
+    durable_log: bool = False,
 ) -> SeedResult | None:
-    """The first seed, from 0, whose world shows the planted defect; None where none of so many does."""
+    """Returns the result of the lowest seed that detects the mutant; None if none below max_seeds does."""
     step = 8 * (at_once or os.cpu_count() or 1)
-    for begin in range(0, most, step):
-        for played in play_many(
-            site, range(begin, min(most, begin + step)), at_once, mutant, http, durable_log
-        ):
-            if played.reasons:
-                return played
+    for begin in range(0, max_seeds, step):
+        seeds = range(begin, min(max_seeds, begin + step))
+        for result in play_many(site, seeds, at_once, mutant, http, durable_log):
+            if result.reasons:
+                return result
     return None
 
 
-# ---- one that fails
+# ---- scripts that fail
 
 
-def shrink_script(script: Script, fails: Callable[[Script], bool], say: Callable[[str], None]) -> Script:
-    """The fewest acts, volumes and seconds with which it still fails, as far as so many tries tell."""
-    tries = [0]
+def shrink_script(script: Script, fails: Callable[[Script], bool], report: Callable[[str], None]) -> Script:
+    """Returns a script that still fails, with fewer acts, no clock errors if possible, and fewer seconds.
 
-    def still(candidate: Script) -> bool:
-        tries[0] += 1
-        return tries[0] <= SHRINKS_MOST and fails(candidate)
-
-    part = max(1, len(script.acts) // 2)
-    while script.acts and part:
-        at = 0
-        while at < len(script.acts):
-            fewer = replace(script, acts=script.acts[:at] + script.acts[at + part :])
-            if still(fewer):
+    Calls fails at most MAX_SHRINK_RUNS times.
+    """
+    runs = [0]
+
+    def still_fails(candidate: Script) -> bool:
+        runs[0] += 1
+        return runs[0] <= MAX_SHRINK_RUNS and fails(candidate)
+
+    count = max(1, len(script.acts) // 2)
+    while script.acts and count:
+        start = 0
+        while start < len(script.acts):
+            fewer = replace(script, acts=script.acts[:start] + script.acts[start + count :])
+            if still_fails(fewer):
                 script = fewer
-                say(f"{len(script.acts)} acts are enough")
+                report(f"{len(script.acts)} acts are enough")
             else:
-                at += part
-        part //= 2
-    if script.clocks and still(plain := replace(script, clocks={})):
-        script = plain
-        say("clocks don't matter")
+                start += count
+        count //= 2
+    if script.clocks and still_fails(without_clocks := replace(script, clocks={})):
+        script = without_clocks
+        report("clock errors don't matter")
     for act in script.acts:
         shorter = replace(act, seconds=round(act.seconds / 4, 3)) if KINDS[act.kind].lasts else act
         fewer = replace(script, acts=tuple(shorter if a is act else a for a in script.acts))
-        if shorter.seconds > 0.05 and shorter != act and still(fewer):
+        if shorter.seconds > 0.05 and shorter != act and still_fails(fewer):
             script = fewer
     last = max((act.end for act in script.acts), default=0.0)
     for seconds in (last + 0.5, last + 2.0, 0.6 * script.seconds):
-        if 1.0 <= seconds < script.seconds and still(cut := replace(script, seconds=round(seconds, 1))):
-            script = cut
-            say(f"{script.seconds:g} s are enough")
+        if 1.0 <= seconds < script.seconds and still_fails(
+            cut_short := replace(script, seconds=round(seconds, 1))
+        ):
+            script = cut_short
+            report(f"{script.seconds:g} s are enough")
             break
     return script
 
 
 def shrink_volumes(
-    script: Script, volumes: Sequence[int], fails: Callable[[Script], bool], say: Callable[[str], None]
+    script: Script, volumes: Sequence[int], fails: Callable[[Script], bool], report: Callable[[str], None]
 ) -> Script:
-    """One volume if one is enough, else as many as matter."""
+    """Returns a script that still fails with requests to one volume; if there is none, to fewer volumes."""
     for volume in volumes:
-        if fails(one := replace(script, volumes=(volume,))):
-            say(f"volume {volume} is enough")
-            return one
-    kept = list(volumes)
+        if fails(single := replace(script, volumes=(volume,))):
+            report(f"volume {volume} is enough")
+            return single
+    needed = list(volumes)
     for volume in volumes:
-        rest = [v for v in kept if v != volume]
-        if rest and fails(replace(script, volumes=tuple(rest))):
-            kept = rest
-    return replace(script, volumes=tuple(kept)) if len(kept) < len(volumes) else script
+        others = [v for v in needed if v != volume]
+        if others and fails(replace(script, volumes=tuple(others))):
+            needed = others
+    return replace(script, volumes=tuple(needed)) if len(needed) < len(volumes) else script
 
 
 def shrink(
     site: pb.Site,
-    seed_or_script: Script,
+    script: Script,
     mutant: str,
-    say: Callable[[str], None],
+    report: Callable[[str], None],
     http: bool = False,
     durable_log: bool = False,
 ) -> Script:
-    """ValueError where it does not fail at all. What counts is that one of the same reasons stays."""
-    wanted = set(play(site, seed_or_script, mutant, http, durable_log).reasons)
-    if not wanted:
-        raise ValueError("this world shows nothing wrong")
-    say("wrong: " + ", ".join(sorted(wanted)))
+    """Returns a smaller script that still fails for one of the reasons for which the given one does.
+
+    report is called with a line about each step. Raises ValueError where the given script does not fail.
+    """
+    reasons = set(play(site, script, mutant, http, durable_log).reasons)
+    if not reasons:
+        raise ValueError("the script does not fail, so it can't be shrunk")
+    report("fails: " + ", ".join(sorted(reasons)))
 
     def fails(candidate: Script) -> bool:
-        return bool(wanted & set(play(site, candidate, mutant, http, durable_log).reasons))
+        return bool(reasons & set(play(site, candidate, mutant, http, durable_log).reasons))
 
-    # Fewer volumes first: all later worlds are the cheaper for it.
-    script = shrink_volumes(seed_or_script, [v.number for v in site.volume], fails, say)
-    return shrink_script(script, fails, say)
+    # Volumes come first: every later simulation is cheaper with fewer of them.
+    script = shrink_volumes(script, [v.number for v in site.volume], fails, report)
+    return shrink_script(script, fails, report)
 
 
-def timeline(outcome: Outcome, site_zero: float, breaks_most: int = 3) -> list[str]:
-    """Faults and, for the first breaks, every step of their transactions, in the order of time."""
-    chosen = outcome.verdict.breaks[:breaks_most]
+def timeline(outcome: Outcome, start_time: float, max_breaks: int = 3) -> list[str]:
+    """Returns lines to print: the faults and every step of the requests that broke a rule, by time.
+
+    start_time: what client_start_time() returns; times are printed relative to it. max_breaks: number of
+    breaks shown.
+    """
+    chosen = outcome.verdict.breaks[:max_breaks]
     begin = outcome.records[0]["t"] if outcome.records else 0.0
     lines: set[tuple[float, str]] = set()
     for r in outcome.records:
@@ -252,19 +283,19 @@
             "list back",
             "fell",
         ):
-            what = r.get("act") or r["e"] + "".join(f" {r[k]}" for k in ("head", "shelf") if k in r)
-            lines.add((r["t"] - begin, f"{r['t'] - site_zero:9.3f}  {'-- ' + str(what)}"))
-    offset = site_zero - begin
-    for each in chosen:
-        for step in each.history:
-            at, rest = step[:9], step[9:]
-            lines.add((float(at), f"{float(at) - offset:9.3f}{rest}"))
-    lines |= {(at - begin, f"{at - site_zero:9.3f}  !! {b}") for at, b in outcome.as_it_came[:breaks_most]}
-    found = [line for _, line in sorted(lines)]
-    return found + [f"rule {b.rule}: {b.reason}" for b in chosen] + outcome.defects[:5]
+            description = r.get("act") or r["e"] + "".join(f" {r[k]}" for k in ("head", "shelf") if k in r)
+            lines.add((r["t"] - begin, f"{r['t'] - start_time:9.3f}  {'-- ' + str(description)}"))
+    offset = start_time - begin
+    for broken in chosen:
+        for step in broken.history:
+            at, text = step[:9], step[9:]
+            lines.add((float(at), f"{float(at) - offset:9.3f}{text}"))
+    lines |= {(at - begin, f"{at - start_time:9.3f}  !! {b}") for at, b in outcome.as_it_came[:max_breaks]}
+    ordered = [line for _, line in sorted(lines)]
+    return ordered + [f"rule {b.rule}: {b.reason}" for b in chosen] + outcome.defects[:5]
 
 
 def client_start_time(outcome: Outcome) -> float:
-    """When clients began, on the world's clock."""
+    """Returns when the clients started, on the simulation's clock."""
     first: float = outcome.records[0]["t"] if outcome.records else 0.0
     return first + START_UP
