--- a/gorsethread/simulation/membership_simulation.py
+++ b/gorsethread/simulation/membership_simulation.py
@@ -1,7 +1,8 @@
-"""Worlds of the fleet's view: many pure cores on one virtual clock, datagrams that are lost, late, doubled
-and out of order, heads killed, paused, starved, cut off and told to end by a script, and a judge that knows.
+"""Simulates the membership views of a fleet on one virtual clock and compares them with the actual members.
 
-The cores meet just what they meet in a process: ticks, datagrams as bytes, and their own clocks.
+Datagrams are lost, delayed, duplicated and reordered; a script kills, pauses, slows down, cuts off and
+terminates gateways. The views do no I/O and get the same input as in a process: ticks, datagrams as bytes,
+and a clock of their own.
 """
 
 import heapq
@@ -17,53 +18,68 @@
 from gorsethread.simulation.script import Act, Script
 from gorsethread.transport.program import SeededRandom
 
-FLEET = 4711
-TICK = 0.1  # seconds
-WAY = (0.0005, 0.004)  # seconds that a datagram takes
-DELAYED_PORTION, MAX_EXTRA_DELAY = 0.05, 0.2  # of the datagrams, and by how many seconds
-DUPLICATED_PORTION, LOST_PORTION = 0.02, 0.01  # parts of the datagrams where nothing is wrong
-HELD_MOST = 64  # datagrams that wait for a paused process; the system drops what is over
-ALL_HEADS = 512  # names of a fleet
-HARD = ("killed", "restarted", "cut off", "one way", "islands", "paused", "starved", "lossy", "quick")
-REST = 20.0  # seconds at the end of a world
-FOR_GOOD = 600.0  # seconds from which on what is gone does not come back in a world
-CALM = 15.0  # seconds without a fault at either, after which a death told of a head that lives is a false one
+FLEET_ID = 4711
+TICK_INTERVAL = 0.1  # seconds
+TRANSIT_TIME = (0.0005, 0.004)  # seconds that a datagram takes
+DELAYED_PORTION, MAX_EXTRA_DELAY = 0.05, 0.2  # portion of the datagrams; seconds
+DUPLICATED_PORTION, LOST_PORTION = 0.02, 0.01  # portions of the datagrams without any fault
+MAX_HELD_CALLS = 64  # chiefly datagrams for a paused process; the operating system would drop further ones
+MAX_GATEWAYS = 512  # in one fleet
+FAULT_KINDS = ("killed", "restarted", "cut off", "one way", "islands", "paused", "starved", "lossy", "quick")
+IDLE_PERIOD = 20.0  # seconds at the end of the simulation
+PERMANENT_FAULT = 600.0  # seconds; a simulation does not wait for the end of a fault as long as this
+# Seconds without a fault at either gateway; if one then declares the other dead though it runs, that is a
+# false death.
+FALSE_DEATH_GRACE = 15.0
+
+
+def settling_bound(gateways: int) -> float:
+    """Returns the seconds after the last fault within which all views must equal the actual members.
+
+    They cover the longest suspicion, which a gateway in poor health itself has, its dissemination, and the
+    infrequent pings to members held dead.
+    """
+    return 30.0 + 12.0 * math.log2(1 + gateways)
 
 
-def settling_bound(heads: int) -> float:
-    """Seconds after the last fault within which all views are the truth: a suspicion at its longest, by a
-    head whose own health is bad, what spreads it, and the slow question to those held dead."""
-    return 30.0 + 12.0 * math.log2(1 + heads)
+@dataclass
+class SimulatedGateway:
+    """One gateway's process and its view.
 
+    offset: of its clock, in seconds. extra_delay: seconds by which it does everything late. last_fault: when
+    a fault last struck it or ended. held_calls: what waits while it is paused; at most MAX_HELD_CALLS.
+    """
 
-@dataclass
-class Node:
     number: int
     view: MembershipView
     offset: float
-    up: bool = True
+    running: bool = True
     paused: bool = False
-    late: float = 0.0
-    lossy: float = 0.0
-    troubled: float = -1e9  # when a fault last struck it, or ended
-    held: list[Callable[[], None]] = field(default_factory=list)
+    extra_delay: float = 0.0
+    loss_probability: float = 0.0
+    last_fault: float = -1e9
+    held_calls: list[Callable[[], None]] = field(default_factory=list)
     sent_bytes: int = 0
     sent: int = 0
 
 
 @dataclass
 class MembershipResult:
-    """settled: seconds from the last fault until all views were the truth; inf where they never were."""
+    """The result of one simulation.
+
+    settled: seconds from the end of the last fault until all views equalled the actual members; inf where
+    they never did.
+    """
 
     heads: int
     settled: float
     false_deaths: int
-    missed: int  # heads that are down and alive in a view at the end, and the other way round
-    revived: int  # dead lives that a view held alive again
+    missed: int  # differences at the end: gateways alive in a view that are down, or the reverse
+    revived: int  # ended incarnations that a view held alive again
     bytes_a_head_a_second: float
     messages_a_head_a_second: float
     reasons: list[str]
-    rest_bytes: float = 0.0  # a head a second, of the last seconds, in which nothing happens
+    rest_bytes: float = 0.0  # per gateway and second, in the IDLE_PERIOD at the end
 
 
 class MembershipSimulation:
@@ -84,272 +100,298 @@
         self.script, self.mutate, self.view_factory = script, mutate, view_factory
         # By member and incarnation: when each gateway came to hold that incarnation ended.
         self.death_times: dict[tuple[int, int], list[float]] = {}
-        self._sent_before = 0
-        self.chance = SeededRandom(f"fleet {script.seed}")
-        self.now, self._order = 0.0, 0
-        self._agenda: list[tuple[float, int, Callable[[], None]]] = []
-        self.nodes: dict[int, Node] = {}
+        self._bytes_before_idle = 0
+        self.rng = SeededRandom(f"fleet {script.seed}")
+        self.now, self._event_number = 0.0, 0
+        self._events: list[tuple[float, int, Callable[[], None]]] = []
+        self.gateways: dict[int, SimulatedGateway] = {}
         self.by_address: dict[Address, int] = {}
         self.cuts: Counter[tuple[int, int]] = Counter()
-        self.dead: set[tuple[int, int, int]] = set()  # who saw which life of whom end
+        self.ended_seen: set[tuple[int, int, int]] = set()  # observer, member, incarnation
         self.false_deaths = self.revived = 0
         self.reasons: list[str] = []
-        self.last = max((a.end if a.seconds < FOR_GOOD else a.at for a in script.acts), default=0.0)
-        self.until = self.last + (settling_bound(script.heads) if settle_time is None else settle_time)
+        self.last_fault_end = max(
+            (a.end if a.seconds < PERMANENT_FAULT else a.at for a in script.acts), default=0.0
+        )
+        self.until = self.last_fault_end + (
+            settling_bound(script.heads) if settle_time is None else settle_time
+        )
         self._settled_at = math.inf
 
-    def at(self, when: float, act: Callable[[], None]) -> None:
-        self._order += 1
-        heapq.heappush(self._agenda, (when, self._order, act))
+    def at(self, time: float, call: Callable[[], None]) -> None:
+        """Schedules a call on the virtual clock; calls at the same time run in the order of scheduling."""
+        self._event_number += 1
+        heapq.heappush(self._events, (time, self._event_number, call))
 
     # ---- processes
 
-    def _start(self, number: int, life: int) -> None:
-        c = self.chance
+    def _start(self, number: int, incarnation: int) -> None:
+        rng = self.rng
         address = ("10.0.0.1", 1000 + number)
-        me = MemberRecord(number, life, 0, MemberState.ALIVE, number % 2, number, *address, number)
+        me = MemberRecord(number, incarnation, 0, MemberState.ALIVE, number % 2, number, *address, number)
         known = [("10.0.0.1", 1000 + n) for n in range(self.script.heads)]
-        offset = c.uniform(-900.0, 900.0)
-        view = self.view_factory(me, tuple(known), self.now + offset, c.random, ProbeTiming(), ALL_HEADS)
+        offset = rng.uniform(-900.0, 900.0)
+        view = self.view_factory(me, tuple(known), self.now + offset, rng.random, ProbeTiming(), MAX_GATEWAYS)
         if self.mutate is not None:
             self.mutate(view)
-        node = self.nodes[number] = Node(number, view, offset, troubled=self.now)
+        gateway = self.gateways[number] = SimulatedGateway(number, view, offset, last_fault=self.now)
         self.by_address[address] = number
-        self.dead = {seen for seen in self.dead if seen[0] != number}  # a new process knows nothing
-        self.at(self.now + c.uniform(0, TICK), lambda: self._tick(node))
+        self.ended_seen = {
+            seen for seen in self.ended_seen if seen[0] != number
+        }  # a new process has no memory
+        self.at(self.now + rng.uniform(0, TICK_INTERVAL), lambda: self._tick(gateway))
 
-    def _tick(self, node: Node) -> None:
-        if not node.up:
+    def _tick(self, gateway: SimulatedGateway) -> None:
+        if not gateway.running:
             return
-        self.at(self.now + TICK, lambda: self._tick(node))
-        if not node.paused:
-            self._later(node, lambda: node.view.tick(self.now + node.offset))
+        self.at(self.now + TICK_INTERVAL, lambda: self._tick(gateway))
+        if not gateway.paused:
+            self._run_after_delay(gateway, lambda: gateway.view.tick(self.now + gateway.offset))
 
-    def _later(self, node: Node, act: Callable[[], None]) -> None:
-        if node.late:
-            self.at(self.now + node.late, lambda: self._do(node, act))
+    def _run_after_delay(self, gateway: SimulatedGateway, call: Callable[[], None]) -> None:
+        if gateway.extra_delay:
+            self.at(self.now + gateway.extra_delay, lambda: self._run(gateway, call))
         else:
-            self._do(node, act)
+            self._run(gateway, call)
 
-    def _do(self, node: Node, act: Callable[[], None]) -> None:
-        if not node.up:
+    def _run(self, gateway: SimulatedGateway, call: Callable[[], None]) -> None:
+        if not gateway.running:
             return
-        if node.paused:
-            if len(node.held) < HELD_MOST:
-                node.held.append(act)
+        if gateway.paused:
+            if len(gateway.held_calls) < MAX_HELD_CALLS:
+                gateway.held_calls.append(call)
             return
-        before = node.view.history[-1] if node.view.history else None
-        act()
-        self._watch(node, before)
-        out, node.view.outbox = node.view.outbox, []
-        for to, message in out:
-            self._send(node, to, encode(message, FLEET))
-
-    def _watch(self, node: Node, before: Any) -> None:
-        """What its view has come to: a death told in error, a dead life alive again."""
-        for change in reversed(node.view.history):
-            if change is before:
+        last_change = gateway.view.history[-1] if gateway.view.history else None
+        call()
+        self._check_changes(gateway, last_change)
+        outbox, gateway.view.outbox = gateway.view.outbox, []
+        for to, message in outbox:
+            self._send(gateway, to, encode(message, FLEET_ID))
+
+    def _check_changes(self, gateway: SimulatedGateway, last_change: Any) -> None:
+        """Checks the view's changes after last_change for ended members, false deaths and revived incarnations."""
+        for change in reversed(gateway.view.history):
+            if change is last_change:
                 break
-            w = change.record
-            if w.ended:
-                if (node.number, w.member, w.incarnation) not in self.dead:
-                    self.death_times.setdefault((w.member, w.incarnation), []).append(self.now)
-                self.dead.add((node.number, w.member, w.incarnation))
-                self._judge_death(node, w)
-            elif (node.number, w.member, w.incarnation) in self.dead:
+            record = change.record
+            if record.ended:
+                if (gateway.number, record.member, record.incarnation) not in self.ended_seen:
+                    self.death_times.setdefault((record.member, record.incarnation), []).append(self.now)
+                self.ended_seen.add((gateway.number, record.member, record.incarnation))
+                self._count_false_death(gateway, record)
+            elif (gateway.number, record.member, record.incarnation) in self.ended_seen:
                 self.revived += 1
 
-    def _judge_death(self, node: Node, w: MemberRecord) -> None:
-        other = self.nodes.get(w.member)
-        if w.state != MemberState.DEAD or w.reported_by != node.number or other is None or not other.up:
+    def _count_false_death(self, gateway: SimulatedGateway, record: MemberRecord) -> None:
+        peer = self.gateways.get(record.member)
+        if (
+            record.state != MemberState.DEAD
+            or record.reported_by != gateway.number
+            or peer is None
+            or not peer.running
+        ):
             return
-        calm = min(self.now - node.troubled, self.now - other.troubled)
-        if self.cuts[node.number, w.member] or self.cuts[w.member, node.number] or other.paused or other.late:
-            calm = 0.0  # held dead for what it can't be told from
-        if calm > CALM and other.view.own.incarnation == w.incarnation:
+        quiet_for = min(self.now - gateway.last_fault, self.now - peer.last_fault)
+        if (
+            self.cuts[gateway.number, record.member]
+            or self.cuts[record.member, gateway.number]
+            or peer.paused
+            or peer.extra_delay
+        ):
+            quiet_for = 0.0  # these look the same as a death
+        if quiet_for > FALSE_DEATH_GRACE and peer.view.own.incarnation == record.incarnation:
             self.false_deaths += 1
 
     # ---- the network
 
-    def _send(self, node: Node, to: Address, raw: bytes) -> None:
-        node.sent += 1
-        node.sent_bytes += len(raw)
-        other = self.by_address.get(to)
-        if other is None:
+    def _send(self, gateway: SimulatedGateway, to: Address, data: bytes) -> None:
+        gateway.sent += 1
+        gateway.sent_bytes += len(data)
+        peer = self.by_address.get(to)
+        if peer is None:
             return
-        c = self.chance
-        for _ in range(2 if c.random() < DUPLICATED_PORTION else 1):
-            lossy = max(LOST_PORTION, node.lossy, self.nodes[other].lossy)
-            if c.random() < lossy or self.cuts[node.number, other]:
+        rng = self.rng
+        for _ in range(2 if rng.random() < DUPLICATED_PORTION else 1):
+            loss = max(LOST_PORTION, gateway.loss_probability, self.gateways[peer].loss_probability)
+            if rng.random() < loss or self.cuts[gateway.number, peer]:
                 continue
-            delay = c.uniform(*WAY) + (c.uniform(0, MAX_EXTRA_DELAY) if c.random() < DELAYED_PORTION else 0.0)
-            self.at(self.now + delay, lambda: self._arrives(node.number, other, raw))
-
-    def _arrives(self, one: int, other: int, raw: bytes) -> None:
-        node = self.nodes[other]
-        if node.up and not self.cuts[one, other]:
-            self._later(node, lambda: node.view.received(("10.0.0.1", 1000 + one), decode(raw, FLEET)))
-
-    # ---- acts
-
-    def _members(self, name: str) -> list[int]:
-        kind, _, which = name.partition(" ")
+            delay = rng.uniform(*TRANSIT_TIME) + (
+                rng.uniform(0, MAX_EXTRA_DELAY) if rng.random() < DELAYED_PORTION else 0.0
+            )
+            self.at(self.now + delay, lambda: self._deliver(gateway.number, peer, data))
+
+    def _deliver(self, source: int, peer: int, data: bytes) -> None:
+        gateway = self.gateways[peer]
+        if gateway.running and not self.cuts[source, peer]:
+            self._run_after_delay(
+                gateway, lambda: gateway.view.received(("10.0.0.1", 1000 + source), decode(data, FLEET_ID))
+            )
+
+    # ---- faults
+
+    def _gateways_of(self, name: str) -> list[int]:
+        kind, _, number = name.partition(" ")
         if kind == "room":
-            return [n for n in self.nodes if n % 2 == int(which)]
-        return [int(which)]
+            return [n for n in self.gateways if n % 2 == int(number)]
+        return [int(number)]
 
-    def _do_act(self, act: Act) -> None:
+    def _apply(self, act: Act) -> None:
         if act.kind == "cut":
-            pairs = [(a, b) for a in self._members(act.whom) for b in self._members(act.to) if a != b]
+            pairs = [(a, b) for a in self._gateways_of(act.whom) for b in self._gateways_of(act.to) if a != b]
             pairs += [(b, a) for a, b in pairs] if act.both else []
             for pair in pairs:
                 self.cuts[pair] += 1
-                self._trouble(pair)
-            self.at(self.now + act.seconds, lambda: self._heal(pairs))
+                self._note_fault(pair)
+            self.at(self.now + act.seconds, lambda: self._heal_cuts(pairs))
             return
-        node = self.nodes[int(act.whom.split(" ")[1])]
-        if not node.up:
+        gateway = self.gateways[int(act.whom.split(" ")[1])]
+        if not gateway.running:
             return
-        self._trouble((node.number,))
+        self._note_fault((gateway.number,))
         if act.kind == "term":
-            self._do(node, node.view.leave)
+            self._run(gateway, gateway.view.leave)
         if act.kind in ("kill", "vanish", "term"):
-            node.up = False
-            life = node.view.own.incarnation + 1 + int(self.chance.random() * 1000)
-            self.at(self.now + act.seconds, lambda: self._start(node.number, life))
+            gateway.running = False
+            incarnation = gateway.view.own.incarnation + 1 + int(self.rng.random() * 1000)
+            self.at(self.now + act.seconds, lambda: self._start(gateway.number, incarnation))
         elif act.kind == "pause":
-            node.paused = True
-            self.at(self.now + act.seconds, lambda: self._wakes(node))
+            gateway.paused = True
+            self.at(self.now + act.seconds, lambda: self._resume(gateway))
         elif act.kind == "lose":
-            node.lossy = act.by
-            self.at(self.now + act.seconds, lambda: self._eased(node))
+            gateway.loss_probability = act.by
+            self.at(self.now + act.seconds, lambda: self._end_degradation(gateway))
         elif act.kind == "starve":
-            node.late = act.by
-            self.at(self.now + act.seconds, lambda: self._eased(node))
+            gateway.extra_delay = act.by
+            self.at(self.now + act.seconds, lambda: self._end_degradation(gateway))
         else:
-            raise ValueError(f"{act}: worlds of the view don't play it")
+            raise ValueError(f"{act}: the membership simulation does not support this act")
 
-    def _trouble(self, numbers: tuple[int, ...]) -> None:
+    def _note_fault(self, numbers: tuple[int, ...]) -> None:
         for n in numbers:
-            self.nodes[n].troubled = self.now
+            self.gateways[n].last_fault = self.now
 
-    def _heal(self, pairs: list[tuple[int, int]]) -> None:
+    def _heal_cuts(self, pairs: list[tuple[int, int]]) -> None:
         for pair in pairs:
             self.cuts[pair] -= 1
-            self._trouble(pair)
+            self._note_fault(pair)
 
-    def _wakes(self, node: Node) -> None:
-        node.paused = False
-        node.troubled = self.now
-        held, node.held = node.held, []
-        for act in held:
-            self._do(node, act)
+    def _resume(self, gateway: SimulatedGateway) -> None:
+        gateway.paused = False
+        gateway.last_fault = self.now
+        held_calls, gateway.held_calls = gateway.held_calls, []
+        for call in held_calls:
+            self._run(gateway, call)
 
-    def _eased(self, node: Node) -> None:
-        node.late = node.lossy = 0.0
-        node.troubled = self.now
+    def _end_degradation(self, gateway: SimulatedGateway) -> None:
+        gateway.extra_delay = gateway.loss_probability = 0.0
+        gateway.last_fault = self.now
 
-    # ---- the whole
+    # ---- run and result
 
     def play(self) -> MembershipResult:
+        """Runs the simulation to its end."""
         for n in range(self.script.heads):
             self._start(n, 1 + n)
         for act in sorted(self.script.acts):
-            self.at(act.at, lambda act=act: self._do_act(act))  # type: ignore[misc]
-        self.at(self.last + 0.5, self._look)
-        self.at(max(0.0, self.until - REST), self._rests)
-        while self._agenda and self._agenda[0][0] <= self.until:
-            self.now, _, act_ = heapq.heappop(self._agenda)
-            act_()
-        missed = sum(len(self._truth() ^ self._seen(n)) for n in self.nodes.values() if n.up)
+            self.at(act.at, lambda act=act: self._apply(act))  # type: ignore[misc]
+        self.at(self.last_fault_end + 0.5, self._check_settled)
+        self.at(max(0.0, self.until - IDLE_PERIOD), self._begin_idle_period)
+        while self._events and self._events[0][0] <= self.until:
+            self.now, _, callback = heapq.heappop(self._events)
+            callback()
+        missed = sum(
+            len(self._actual_members() ^ self._members_seen_by(g))
+            for g in self.gateways.values()
+            if g.running
+        )
         if self._settled_at == math.inf:
             self.reasons.append("views differ from the truth")
         if self.false_deaths:
             self.reasons.append("a false death")
         if self.revived:
             self.reasons.append("a dead life was alive again")
-        total = self.script.heads * self.until
-        after = self._settled_at - self.last
-        at_rest = sum(n.sent_bytes for n in self.nodes.values()) - self._sent_before
-        up = sum(n.up for n in self.nodes.values())
+        gateway_seconds = self.script.heads * self.until
+        settling_time = self._settled_at - self.last_fault_end
+        idle_bytes = sum(g.sent_bytes for g in self.gateways.values()) - self._bytes_before_idle
+        running = sum(g.running for g in self.gateways.values())
         return MembershipResult(
             self.script.heads,
-            after,
+            settling_time,
             self.false_deaths,
             missed,
             self.revived,
-            sum(n.sent_bytes for n in self.nodes.values()) / total,
-            sum(n.sent for n in self.nodes.values()) / total,
+            sum(g.sent_bytes for g in self.gateways.values()) / gateway_seconds,
+            sum(g.sent for g in self.gateways.values()) / gateway_seconds,
             self.reasons,
-            at_rest / max(1, up) / min(REST, self.until),
+            idle_bytes / max(1, running) / min(IDLE_PERIOD, self.until),
         )
 
-    def _rests(self) -> None:
-        self._sent_before = sum(n.sent_bytes for n in self.nodes.values())
+    def _begin_idle_period(self) -> None:
+        self._bytes_before_idle = sum(g.sent_bytes for g in self.gateways.values())
 
-    def _truth(self) -> set[tuple[int, int]]:
-        return {(n.number, n.view.own.incarnation) for n in self.nodes.values() if n.up}
+    def _actual_members(self) -> set[tuple[int, int]]:
+        return {(g.number, g.view.own.incarnation) for g in self.gateways.values() if g.running}
 
-    def _seen(self, node: Node) -> set[tuple[int, int]]:
-        return {(w.member, w.incarnation) for w in node.view.alive}
+    def _members_seen_by(self, gateway: SimulatedGateway) -> set[tuple[int, int]]:
+        return {(record.member, record.incarnation) for record in gateway.view.alive}
 
-    def _look(self) -> None:
-        truth = self._truth()
-        if all(self._seen(n) == truth for n in self.nodes.values() if n.up):
+    def _check_settled(self) -> None:
+        actual = self._actual_members()
+        if all(self._members_seen_by(g) == actual for g in self.gateways.values() if g.running):
             self._settled_at = min(self._settled_at, self.now)
         else:
             self._settled_at = math.inf
         if self.now + 0.5 < self.until:
-            self.at(self.now + 0.5, self._look)
+            self.at(self.now + 0.5, self._check_settled)
 
 
-def generate_script(seed: int, heads: int = 0) -> Script:
-    """A script from a seed: the hard cases of a fleet, some of them at once."""
-    c = SeededRandom(f"fleet script {seed}")
-    size = heads or c.choice((4, 5, 8, 12, 20, 33, 60))
+def generate_script(seed: int, gateway_count: int = 0) -> Script:
+    """Returns the script of a seed, with one or more kinds of fault; gateway_count 0: drawn from the seed."""
+    rng = SeededRandom(f"fleet script {seed}")
+    gateways = gateway_count or rng.choice((4, 5, 8, 12, 20, 33, 60))
     acts: list[Act] = []
-    away: set[int] = set()
+    struck: set[int] = set()
 
-    def some(part: float) -> list[int]:
-        chosen = [n for n in range(size) if c.random() < part and n not in away]
-        away.update(chosen)
+    def pick(probability: float) -> list[int]:
+        chosen = [n for n in range(gateways) if rng.random() < probability and n not in struck]
+        struck.update(chosen)
         return chosen
 
     def act(
-        at: float, kind: str, whom: str, seconds: float, to: str = "", both: bool = False, by: float = 0.0
+        at: float, kind: str, target: str, seconds: float, to: str = "", both: bool = False, by: float = 0.0
     ) -> None:
-        acts.append(Act(round(at, 3), kind, whom, to, both, round(by, 3), round(seconds, 3)))
+        acts.append(Act(round(at, 3), kind, target, to, both, round(by, 3), round(seconds, 3)))
 
-    kinds = [k for k in HARD if c.random() < 0.35] or ["killed"]
+    kinds = [kind for kind in FAULT_KINDS if rng.random() < 0.35] or ["killed"]
     for kind in kinds:
-        at = c.uniform(8.0, 25.0)
+        at = rng.uniform(8.0, 25.0)
         if kind == "killed":
-            for n in some(0.7):
-                act(at, c.choice(("kill", "vanish")), f"head {n}", c.uniform(1.0, 15.0))
+            for n in pick(0.7):
+                act(at, rng.choice(("kill", "vanish")), f"head {n}", rng.uniform(1.0, 15.0))
         elif kind == "restarted":
-            for k, n in enumerate(some(0.5)):
-                act(at + 1.5 * k, "term", f"head {n}", c.uniform(0.5, 2.0))
+            for index, n in enumerate(pick(0.5)):
+                act(at + 1.5 * index, "term", f"head {n}", rng.uniform(0.5, 2.0))
         elif kind == "quick":
-            for n in some(0.2):
+            for n in pick(0.2):
                 act(at, "kill", f"head {n}", 0.2)
         elif kind == "cut off":
-            act(at, "cut", "room 0", c.uniform(3.0, 25.0), "room 1", True)
+            act(at, "cut", "room 0", rng.uniform(3.0, 25.0), "room 1", True)
         elif kind == "one way":
-            one, other = c.randrange(size), c.randrange(size)
-            act(at, "cut", f"head {one}", c.uniform(3.0, 20.0), f"head {other}")
+            source, peer = rng.randrange(gateways), rng.randrange(gateways)
+            act(at, "cut", f"head {source}", rng.uniform(3.0, 20.0), f"head {peer}")
         elif kind == "islands":
-            lasts = c.uniform(5.0, 25.0)
-            for a in range(size):
-                for b in range(a + 1, size):
-                    if a % 3 != b % 3 and a:  # head 0 sees all of them
-                        act(at, "cut", f"head {a}", lasts, f"head {b}", True)
+            seconds = rng.uniform(5.0, 25.0)
+            for a in range(gateways):
+                for b in range(a + 1, gateways):
+                    if a % 3 != b % 3 and a:  # gateway 0 reaches all islands
+                        act(at, "cut", f"head {a}", seconds, f"head {b}", True)
         elif kind == "paused":
-            for n in some(0.2):
-                act(at, "pause", f"head {n}", c.choice((3.0, 30.0)))
+            for n in pick(0.2):
+                act(at, "pause", f"head {n}", rng.choice((3.0, 30.0)))
         elif kind == "starved":
-            for n in some(0.1):
-                act(at, "starve", f"head {n}", c.uniform(5.0, 20.0), by=c.uniform(0.2, 1.5))
+            for n in pick(0.1):
+                act(at, "starve", f"head {n}", rng.uniform(5.0, 20.0), by=rng.uniform(0.2, 1.5))
         else:
-            for n in some(0.5):
-                act(at, "lose", f"head {n}", c.uniform(5.0, 20.0), by=0.3)
-    return Script(seed, size, 1, 60.0, acts=tuple(sorted(acts)))
+            for n in pick(0.5):
+                act(at, "lose", f"head {n}", rng.uniform(5.0, 20.0), by=0.3)
+    return Script(seed, gateways, 1, 60.0, acts=tuple(sorted(acts)))
