--- a/gorsethread/simulation/membership_simulation.py
+++ b/gorsethread/simulation/membership_simulation.py
@@ -169,7 +169,7 @@
             self._send(gateway, to, encode(message, FLEET_ID))
 
     def _check_changes(self, gateway: SimulatedGateway, last_change: Any) -> None:
-        """Checks the view's changes after last_change for ended members, false deaths and revived incarnations."""
+        """Checks the changes after last_change for ended members, false deaths and revived incarnations."""
         for change in reversed(gateway.view.history):
             if change is last_change:
                 break
