--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,5 +1,4 @@
-"""Whole sites on the virtual clock: planted breaks are caught, good heads are not accused, one seed is one
-history."""
+"""Simulations of whole sites: mutants are detected, unmodified gateways pass, a seed has one result."""
 
 import os
 import subprocess
@@ -18,8 +17,8 @@
 from gorsethread.site_config.reading import read_site
 
 SITE = read_site(Path(__file__).parent.parent / "deploy" / "site.txtpb")
-# Rule: what must happen for its planted break to show.
-SHOWING = {
+# By rule: the acts of a script in which its mutant is detected.
+ACTS_BY_RULE = {
     1: "",
     2: "",
     3: "2 drain shelf-1 for 6",
@@ -34,32 +33,32 @@
     return f"seed 5\nseconds 10\n{text}\n"
 
 
-class Planted(unittest.TestCase):
-    def test_a_planted_break_of_each_rule_is_caught(self) -> None:
-        for rule, text in SHOWING.items():
+class RuleMutants(unittest.TestCase):
+    def test_checkers_detect_the_mutant_of_each_rule(self) -> None:
+        for rule, text in ACTS_BY_RULE.items():
             with self.subTest(rule=rule):
                 outcome = play(
                     SITE, read_script(script(text)), lambda head, rule=rule: break_rule(head, rule)
                 )
                 self.assertGreater(outcome.verdict.rules[rule - 1], 0)
-                moments = [at for at, broken in outcome.as_it_came if broken.rule == rule]
-                self.assertTrue(moments, "the judge of each step saw it too")
-                self.assertLess(moments[0], outcome.records[-1]["t"])
+                times = [at for at, broken in outcome.as_it_came if broken.rule == rule]
+                self.assertTrue(times, "the online checker did not detect it")
+                self.assertLess(times[0], outcome.records[-1]["t"])
 
-    def test_the_honest_head_keeps_every_rule_on_the_same_days(self) -> None:
-        for rule, text in SHOWING.items():
+    def test_unmodified_gateways_break_no_rule_in_the_same_scripts(self) -> None:
+        for rule, text in ACTS_BY_RULE.items():
             with self.subTest(rule=rule):
-                self.good(play(SITE, read_script(script(text))))
+                self.assert_no_break(play(SITE, read_script(script(text))))
 
-    def good(self, outcome: Outcome) -> None:
+    def assert_no_break(self, outcome: Outcome) -> None:
         self.assertEqual(
             ([], [], []), ([str(b) for b in outcome.verdict.breaks], outcome.as_it_came, outcome.defects)
         )
         self.assertGreater(outcome.verdict.counts["honoured"], 300)
 
 
-class OneSeed(unittest.TestCase):
-    def test_one_history_also_in_a_process_with_another_hash_seed(self) -> None:
+class Reproducibility(unittest.TestCase):
+    def test_digest_is_the_same_in_processes_with_other_hash_seeds(self) -> None:
         text = str(
             ScriptGenerator(3, [v.number for v in SITE.volume], [t.name for t in SITE.tenant]).generate()
         )
@@ -69,7 +68,7 @@
             "print(play(SITE, read_script(sys.stdin.read())).digest)"
         )
         for seed in ("1", "77"):
-            done = subprocess.run(
+            completed = subprocess.run(
                 [sys.executable, "-c", code],
                 input=text,
                 capture_output=True,
@@ -77,61 +76,61 @@
                 check=True,
                 env={**os.environ, "PYTHONHASHSEED": seed},
             )
-            digests.add(done.stdout.strip())
+            digests.add(completed.stdout.strip())
         self.assertEqual(1, len(digests))
 
-    def test_another_seed_is_another_history(self) -> None:
+    def test_another_seed_has_another_digest(self) -> None:
         self.assertNotEqual(
             play(SITE, read_script("seed 1\nseconds 3\n")).digest,
             play(SITE, read_script("seed 2\nseconds 3\n")).digest,
         )
 
 
-class Many(unittest.TestCase):
-    def test_drawn_worlds_keep_every_rule(self) -> None:
+class GeneratedScripts(unittest.TestCase):
+    def test_generated_scripts_break_no_rule(self) -> None:
         failed = [(p.seed, p.reasons, p.first) for p in play_many(SITE, range(200)) if p.reasons]
         self.assertEqual([], failed)
 
-    def test_what_was_found_once_stays_mended(self) -> None:
+    def test_scripts_that_once_failed_pass(self) -> None:
         corpus = sorted((Path(__file__).parent / "corpus").glob("*.txt"))
         self.assertGreater(len(corpus), 3)
         for path in corpus:
-            with self.subTest(world=path.name):
+            with self.subTest(script=path.name):
                 self.assertEqual([], play(SITE, read_script(path.read_text())).reasons)
 
 
 class Shrinking(unittest.TestCase):
-    def test_a_failing_world_is_cut_down_to_what_matters(self) -> None:
-        """A head deaf to drains, among faults that have nothing to do with it: the drain is what is left."""
+    def test_shrinking_leaves_only_the_acts_and_volumes_that_matter(self) -> None:
+        """The gateways ignore drains; of three faults only the drain shows that, so it alone is left."""
         text = "seed 5\nseconds 9\n1 still shelf-0 for 1\n2 drain shelf-1 for 4\n3 slow shelf-4 by 3 for 2\n"
         small = shrink(SITE, read_script(text), "list: drains are not heard", lambda line: None)
         self.assertEqual(["drain"], [act.kind for act in small.acts])
         self.assertEqual(1, len(small.volumes))
 
-    def test_a_world_without_a_fault_can_not_be_cut_down(self) -> None:
+    def test_a_script_that_does_not_fail_can_not_be_shrunk(self) -> None:
         with self.assertRaises(ValueError):
             shrink(SITE, read_script("seed 5\nseconds 3\n"), "", lambda line: None)
 
 
-class Language(unittest.TestCase):
-    def test_what_is_written_is_read_again(self) -> None:
+class ScriptFormat(unittest.TestCase):
+    def test_a_written_script_is_read_back_unchanged(self) -> None:
         for seed in range(50):
-            drawn = ScriptGenerator(seed, [1, 2], ["archive"]).generate()
-            self.assertEqual(str(drawn), str(read_script(str(drawn))))
+            generated = ScriptGenerator(seed, [1, 2], ["archive"]).generate()
+            self.assertEqual(str(generated), str(read_script(str(generated))))
 
-    def test_each_bad_line_is_named(self) -> None:
+    def test_each_invalid_line_is_reported(self) -> None:
         with self.assertRaises(BadScript) as caught:
             read_script(
                 "seed 1\nseed -2\n1 kill head-0\n2 kill room-1 for 2\n3 cut head-0 shelf-1 for 1\n"
                 "x kill head-0 for 1\n4 slow shelf-0 by 2 for 3 more\n"
             )
-        lines = [int(fault.split(":")[0].split()[1]) for fault in caught.exception.faults]
+        lines = [int(error.split(":")[0].split()[1]) for error in caught.exception.faults]
         self.assertEqual([2, 3, 4, 5, 6, 7], lines)
         with self.assertRaises(BadScript) as caught:
             read_script("heads 1\n1 kill head-1 for 1\n")
         self.assertIn("there is no head 1", caught.exception.faults[0])
 
-    def test_what_the_site_lacks_is_named(self) -> None:
+    def test_names_that_the_site_lacks_are_reported(self) -> None:
         text = (
             "volumes 1 99\n1 surge volume-77 by 2 for 1\n1 cut room-9 -> list for 1\n"
             "1 cut head-0 -> client-x for 1"
@@ -141,139 +140,154 @@
 
 
 class HardCases(unittest.TestCase):
-    """Each by a script; the witness judges, and the test says what else must be seen."""
+    """One script for each case: no rule may break, and each test checks what else must happen."""
 
-    def kept(self, text: str) -> World:
-        world = World(SITE, read_script(script(text)))
-        outcome = world.play()
+    def simulate(self, text: str) -> World:
+        simulation = World(SITE, read_script(script(text)))
+        outcome = simulation.play()
         self.assertEqual(([], []), ([str(b) for b in outcome.verdict.breaks], outcome.defects))
-        return world
+        return simulation
 
-    def times(self, world: World, event: str, **facts: Any) -> list[float]:
-        """When it was seen, in the script's seconds."""
+    def event_times(self, simulation: World, event: str, **fields: Any) -> list[float]:
+        """Returns when an event with these fields was recorded, in seconds of the script."""
         return [
-            r["t"] - world.zero
-            for r in world.records
-            if r["e"] == event and all(r.get(k) == v for k, v in facts.items())
+            r["t"] - simulation.zero
+            for r in simulation.records
+            if r["e"] == event and all(r.get(k) == v for k, v in fields.items())
         ]
 
-    def test_a_drain_whose_news_is_lost_just_then(self) -> None:
-        world = self.kept(
+    def test_gateways_learn_of_a_drain_whose_notification_was_lost(self) -> None:
+        simulation = self.simulate(
             "2 drain shelf-1 for 4\n2.01 reset head-0 -> list\n2.02 reset head-1 -> list\n"
             "2.03 reset head-2 -> list"
         )
         for head in range(3):
-            told = self.times(world, "told", head=head, shelf=1, state="draining")
-            self.assertGreater(told[0], 2.03, "by the connection made anew")
-
-    def test_a_shelf_that_slows_then_dies_with_what_it_took(self) -> None:
-        world = self.kept("factor 2\n3.6 slow shelf-0 by 60 for 3\n4 kill shelf-0 for 1")
-        ended = {(r["label"], r["attempt"]) for r in world.records if r["e"] == "ended"}
-        posts = {(r["label"], r["attempt"]) for r in world.records if r["e"] == "sent" and r["profile"] == 2}
-        died = [
+            drained = self.event_times(simulation, "told", head=head, shelf=1, state="draining")
+            self.assertGreater(drained[0], 2.03, "a gateway knew it before it had reconnected to the list")
+
+    def test_a_backend_slows_down_and_dies_with_non_idempotent_requests(self) -> None:
+        simulation = self.simulate("factor 2\n3.6 slow shelf-0 by 60 for 3\n4 kill shelf-0 for 1")
+        ended = {(r["label"], r["attempt"]) for r in simulation.records if r["e"] == "ended"}
+        non_idempotent = {
+            (r["label"], r["attempt"]) for r in simulation.records if r["e"] == "sent" and r["profile"] == 2
+        }
+        lost = [
             r
-            for r in world.records
-            if r["e"] == "arrived" and r["shelf"] == 0 and (r["label"], r["attempt"]) in posts - ended
+            for r in simulation.records
+            if r["e"] == "arrived"
+            and r["shelf"] == 0
+            and (r["label"], r["attempt"]) in non_idempotent - ended
         ]
-        self.assertTrue(died, "an irreversible transaction died with the shelf")
-        hows = {
+        self.assertTrue(lost, "no non-idempotent request was lost with the backend")
+        outcomes = {
             r["how"]
-            for r in world.records
-            if r["e"] == "answer" and (r["label"], r["attempt"]) in {(d["label"], d["attempt"]) for d in died}
+            for r in simulation.records
+            if r["e"] == "answer" and (r["label"], r["attempt"]) in {(d["label"], d["attempt"]) for d in lost}
         }
-        self.assertEqual({"given up"}, hows)
+        self.assertEqual({"given up"}, outcomes)
 
-    def test_answers_lost_one_way(self) -> None:
-        world = self.kept("2 cut shelf-0 -> head-0 for 3")
+    def test_requests_fail_while_responses_are_lost(self) -> None:
+        simulation = self.simulate("2 cut shelf-0 -> head-0 for 3")
         sent = {
             (r["label"], r["attempt"])
-            for r in world.records
-            if r["e"] == "arrived" and r["shelf"] == 0 and r["head"] == 0 and 2.0 < r["t"] - world.zero < 3.0
+            for r in simulation.records
+            if r["e"] == "arrived"
+            and r["shelf"] == 0
+            and r["head"] == 0
+            and 2.0 < r["t"] - simulation.zero < 3.0
+        }
+        outcomes = {
+            r["how"] for r in simulation.records if r["e"] == "answer" and (r["label"], r["attempt"]) in sent
         }
-        hows = {r["how"] for r in world.records if r["e"] == "answer" and (r["label"], r["attempt"]) in sent}
-        self.assertIn("given up", hows, "what the shelf did, the head could not know")
+        self.assertIn("given up", outcomes, "no request failed, though the responses were lost")
 
-    def test_a_head_that_stands_still(self) -> None:
-        world = self.kept("3 pause head-1 for 3")
-        arrived = self.times(world, "arrived", head=1)
+    def test_a_paused_gateway_sends_nothing_until_it_resumes(self) -> None:
+        simulation = self.simulate("3 pause head-1 for 3")
+        arrived = self.event_times(simulation, "arrived", head=1)
         self.assertEqual([], [at for at in arrived if 3.01 < at < 6.0])
         self.assertTrue([at for at in arrived if at > 6.0])
 
-    def test_a_head_killed_with_an_answer_in_hand(self) -> None:
-        world = self.kept("2 stab head-0 -> point-ended by 9 for 1")
-        self.assertEqual(1, len(self.times(world, "head killed")))
+    def test_a_gateway_killed_before_it_passes_on_a_response(self) -> None:
+        simulation = self.simulate("2 stab head-0 -> point-ended by 9 for 1")
+        self.assertEqual(1, len(self.event_times(simulation, "head killed")))
         answered = {
-            (r["label"], r["attempt"]) for r in world.records if r["e"] == "answer" and r["how"] == "honoured"
+            (r["label"], r["attempt"])
+            for r in simulation.records
+            if r["e"] == "answer" and r["how"] == "honoured"
         }
-        killed = self.times(world, "head killed")[0]
-        unheard = [
+        killed = self.event_times(simulation, "head killed")[0]
+        unanswered = [
             r
-            for r in world.records
+            for r in simulation.records
             if r["e"] == "ended"
             and r["how"] == "honoured"
             and r["head"] == 0
-            and killed - 0.01 < r["t"] - world.zero <= killed
+            and killed - 0.01 < r["t"] - simulation.zero <= killed
             and (r["label"], r["attempt"]) not in answered
         ]
-        self.assertTrue(unheard, "the shelf had honoured it, and the client never heard")
+        self.assertTrue(unanswered, "every response of the backend had reached its client")
 
-    def test_a_repeat_that_overtakes_the_end_of_the_first_try(self) -> None:
-        world = self.kept(
+    def test_a_resent_request_overtakes_the_end_of_the_first_attempt(self) -> None:
+        simulation = self.simulate(
             "".join(f"2.5 slow shelf-{n} by 60 for 3\n" for n in range(6))
             + "".join(f"3 reset client-{t.name} -> head-{n}\n" for t in SITE.tenant for n in range(3))
         )
-        ends = {(r["label"], r["attempt"]): r["t"] for r in world.records if r["e"] == "ended"}
+        end_times = {(r["label"], r["attempt"]): r["t"] for r in simulation.records if r["e"] == "ended"}
         overtaken = [
             r["label"]
-            for r in world.records
-            if r["e"] == "arrived" and r["attempt"] == 1 and r["t"] < ends.get((r["label"], 0), 0.0)
+            for r in simulation.records
+            if r["e"] == "arrived" and r["attempt"] == 1 and r["t"] < end_times.get((r["label"], 0), 0.0)
         ]
         self.assertTrue(overtaken)
 
-    def test_two_starts_within_a_cold_ramp(self) -> None:
-        world = self.kept("2 kill shelf-2 for 0.3\n3 kill shelf-2 for 0.3")
-        ups = self.times(world, "up", shelf=2, warm=False)
-        self.assertEqual(2, len(ups))
-        self.assertLess(ups[1] - ups[0], SITE.rules.cold.warm_after)
-        self.assertTrue([at for at in self.times(world, "arrived", shelf=2) if at > ups[1]])
-
-    def test_a_room_cut_off(self) -> None:
-        world = self.kept("2 cut room-0 <-> room-1 for 3\n2 cut room-0 <-> list for 3")
-        crossed = [r for r in world.records if r["e"] == "arrived" and r["head"] % 2 != r["shelf"] % 2]
-        self.assertEqual([], [r for r in crossed if 2.01 < r["t"] - world.zero < 5.0])
-        self.assertTrue([r for r in crossed if r["t"] - world.zero > 5.0])
-
-    def test_a_wall_clock_that_jumps_back_and_on(self) -> None:
-        """The accounts' windows bear the wall's time: none is lost or overwritten, all add up."""
-        world = self.kept("2 wall head-0 by -30\n4 wall head-0 by 60\n5 wall head-1 by -0.5")
+    def test_a_backend_restarts_twice_within_its_slow_start(self) -> None:
+        simulation = self.simulate("2 kill shelf-2 for 0.3\n3 kill shelf-2 for 0.3")
+        starts = self.event_times(simulation, "up", shelf=2, warm=False)
+        self.assertEqual(2, len(starts))
+        self.assertLess(starts[1] - starts[0], SITE.rules.cold.warm_after)
+        self.assertTrue([at for at in self.event_times(simulation, "arrived", shelf=2) if at > starts[1]])
+
+    def test_a_zone_is_cut_off(self) -> None:
+        simulation = self.simulate("2 cut room-0 <-> room-1 for 3\n2 cut room-0 <-> list for 3")
+        crossed = [r for r in simulation.records if r["e"] == "arrived" and r["head"] % 2 != r["shelf"] % 2]
+        self.assertEqual([], [r for r in crossed if 2.01 < r["t"] - simulation.zero < 5.0])
+        self.assertTrue([r for r in crossed if r["t"] - simulation.zero > 5.0])
+
+    def test_accounting_windows_survive_wall_clock_jumps(self) -> None:
+        """Windows are named after the wall clock; none is lost or overwritten, and their counts add up."""
+        simulation = self.simulate("2 wall head-0 by -30\n4 wall head-0 by 60\n5 wall head-1 by -0.5")
         counted = 0
-        for name in world.day.list_files(ACCOUNTS):
+        for name in simulation.day.list_files(ACCOUNTS):
             counted += sum(
                 row.lives
-                for row in decode(world.day.load(f"{ACCOUNTS}/{name}") or b"", world.site.name).all_rows()
+                for row in decode(
+                    simulation.day.load(f"{ACCOUNTS}/{name}") or b"", simulation.site.name
+                ).all_rows()
             )
-        closed = sum(h.driver.counts["requests"] for h in world.heads.values())
+        closed = sum(h.driver.counts["requests"] for h in simulation.heads.values())
         still_open = sum(
             row.lives
-            for h in world.heads.values()
+            for h in simulation.heads.values()
             if h.book
             for row in h.book.accounts.close_window(h.transport.now()).all_rows()
         )
         self.assertEqual(closed, counted + still_open)
 
-    def test_a_list_that_comes_back_knowing_nobody(self) -> None:
-        world = self.kept("2 kill list for 1\n2.5 kill shelf-1 for 2\n6 drain shelf-2 for 2")
-        self.assertEqual(1, len(self.times(world, "list back")))
-        self.assertTrue([at for at in self.times(world, "arrived", shelf=1) if at > 5.0])
+    def test_the_endpoint_list_restarts_empty(self) -> None:
+        simulation = self.simulate("2 kill list for 1\n2.5 kill shelf-1 for 2\n6 drain shelf-2 for 2")
+        self.assertEqual(1, len(self.event_times(simulation, "list back")))
+        self.assertTrue([at for at in self.event_times(simulation, "arrived", shelf=1) if at > 5.0])
 
-    def test_list_and_peers_disagree(self) -> None:
-        """Peers' old word against a newer one of the list: the list's holds, and the shelf is used again."""
-        world = self.kept("2 drain shelf-1 for 1.5\n2.5 late list by 2 for 3\n3 cut list -> head-2 for 3")
-        self.assertTrue([at for at in self.times(world, "arrived", shelf=1) if at > 8.0])
+    def test_a_newer_endpoint_list_overrides_the_news_of_peers(self) -> None:
+        """Peers still call a backend draining when the list calls it ready: the backend is used again."""
+        simulation = self.simulate(
+            "2 drain shelf-1 for 1.5\n2.5 late list by 2 for 3\n3 cut list -> head-2 for 3"
+        )
+        self.assertTrue([at for at in self.event_times(simulation, "arrived", shelf=1) if at > 8.0])
 
 
-class Blind(unittest.TestCase):
-    def test_an_exception_in_a_callback_is_a_defect(self) -> None:
+class UnhandledExceptions(unittest.TestCase):
+    def test_an_exception_in_a_callback_is_reported(self) -> None:
         def change(head: Head) -> None:
             head.transport.call_at(head.transport.now() + 3.0, lambda: [].pop())
 
