--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -38,7 +38,7 @@
         for rule, text in ACTS_BY_RULE.items():
             with self.subTest(rule=rule):
                 outcome = play(
-                    SITE, read_script(script(text)), lambda head, rule=rule: break_rule(head, rule)
+                    SITE, read_script(script(text)), lambda gateway, rule=rule: break_rule(gateway, rule)
                 )
                 self.assertGreater(outcome.verdict.rules[rule - 1], 0)
                 times = [at for at, broken in outcome.as_it_came if broken.rule == rule]
@@ -161,8 +161,8 @@
             "2 drain shelf-1 for 4\n2.01 reset head-0 -> list\n2.02 reset head-1 -> list\n"
             "2.03 reset head-2 -> list"
         )
-        for head in range(3):
-            drained = self.event_times(simulation, "told", head=head, shelf=1, state="draining")
+        for gateway in range(3):
+            drained = self.event_times(simulation, "told", head=gateway, shelf=1, state="draining")
             self.assertGreater(drained[0], 2.03, "a gateway knew it before it had reconnected to the list")
 
     def test_a_backend_slows_down_and_dies_with_non_idempotent_requests(self) -> None:
@@ -288,7 +288,7 @@
 
 class UnhandledExceptions(unittest.TestCase):
     def test_an_exception_in_a_callback_is_reported(self) -> None:
-        def change(head: Head) -> None:
-            head.transport.call_at(head.transport.now() + 3.0, lambda: [].pop())
+        def change(gateway: Head) -> None:
+            gateway.transport.call_at(gateway.transport.now() + 3.0, lambda: [].pop())
 
         self.assertIn("raised", play(SITE, read_script("seed 1\nseconds 3\n"), change).reasons)
