--- a/gorsethread/simulation/branch_mutants.py
+++ b/gorsethread/simulation/branch_mutants.py
@@ -93,6 +93,7 @@
 def _keeps_abandoned_writes(gateway: Head) -> None:
     def replace_append(log: ReplicatedLog, original: Any) -> Any:
         def append(fact: Any, on_durable: Any = None, own_disk_only: bool = False) -> None:
+            # A tombstone with the callback of withdraw(), for a write that could not be stored in time.
             if (
                 isinstance(fact, Tombstone)
                 and on_durable is not None
