--- a/gorsethread/simulation/http_mutants.py
+++ b/gorsethread/simulation/http_mutants.py
@@ -87,13 +87,13 @@
     def change(link: backend_link.BackendLink) -> None:
         original = link._answered
 
-        def answered(connection: Any, response: client_codec.Response) -> None:
-            if response.closes_connection and not connection.closed:
+        def answered(connection: Any, answer: client_codec.Response) -> None:
+            if answer.closes_connection and not connection.closed:
                 # As a codec without the check would: the extra bytes are read as the next response.
                 trailing = connection.codec._wire.trailing_data[0]
                 connection.codec = _LeftoverBytesCodec(bytes(trailing))
-                response = response._replace(closes_connection=False)
-            original(connection, response)
+                answer = answer._replace(closes_connection=False)
+            original(connection, answer)
 
         link._answered = answered  # type: ignore[method-assign]
 
--- a/gorsethread/simulation/mutants.py
+++ b/gorsethread/simulation/mutants.py
@@ -315,7 +315,7 @@
             payload = payload._replace(command=command._replace(cdw10=command.cdw10 - 1))
         return original(client, payload, **named)
 
-    gateway.driver.admit = admit  # type: ignore[method-assign,assignment]
+    gateway.driver.admit = admit  # type: ignore[method-assign]
 
 
 @mutant("clients: a client's own patience is not heeded")
@@ -456,4 +456,4 @@
 
 @mutant("membership: a peer's word lets a head send")
 def _lets_peers_enable_sending(gateway: Head) -> None:
-    gateway.follower._usable = lambda backend: True  # type: ignore[method-assign]
+    gateway.follower._usable = lambda s: True  # type: ignore[method-assign]
