--- a/gorsethread/harness/relay.py
+++ b/gorsethread/harness/relay.py
@@ -9,7 +9,12 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 
-from gorsethread.simulation.membership_simulation import DOUBLED, LATE_MOST, LATE_PART, LOST
+from gorsethread.simulation.membership_simulation import (
+    DELAYED_PORTION,
+    DUPLICATED_PORTION,
+    LOST_PORTION,
+    MAX_EXTRA_DELAY,
+)
 from gorsethread.transport.base import (
     Datagrams,
     Listener,
@@ -79,11 +84,11 @@
         self.bytes += len(data)
         self.datagrams += 1
         chance, faults = self.chance, self.faults
-        for _ in range(2 if chance.random() < DOUBLED else 1):
-            lost = max(LOST, faults.lossy.get(sender, 0.0), faults.lossy.get(receiver, 0.0))
+        for _ in range(2 if chance.random() < DUPLICATED_PORTION else 1):
+            lost = max(LOST_PORTION, faults.lossy.get(sender, 0.0), faults.lossy.get(receiver, 0.0))
             if chance.random() < lost or faults.cuts[sender, receiver]:
                 continue
-            wait = chance.uniform(0.0, LATE_MOST) if chance.random() < LATE_PART else 0.0
+            wait = chance.uniform(0.0, MAX_EXTRA_DELAY) if chance.random() < DELAYED_PORTION else 0.0
             wait += faults.slow.get((sender, receiver), 0.0)
             # Sent from the sender's public port, by which its peers know it.
             self.transport.call_at(
--- a/tests/test_harness.py
+++ b/tests/test_harness.py
@@ -144,7 +144,7 @@
         )
 
     def test_a_script_has_similar_results_with_processes_and_in_simulation(self) -> None:
-        real, simulated = self.run_trial(script=KILL_POINTS), play(SITE, read_script(KILL_POINTS), web=True)
+        real, simulated = self.run_trial(script=KILL_POINTS), play(SITE, read_script(KILL_POINTS), http=True)
         self.assertEqual([], real.fault_player.unreached_points, "every kill point was reached")
         r, v = real.result, simulated.verdict
         self.assertEqual(([0] * 4, 0, 0), (r.rules[:4], r.lost, r.duplicated), r.reasons)
