--- a/gorsethread/experiments/membership_processes.py
+++ b/gorsethread/experiments/membership_processes.py
@@ -11,11 +11,11 @@
 from dataclasses import dataclass, field
 
 from gorsethread.experiments.operator_queries import NoAnswer, Shown, ask
-from gorsethread.harness.process_faults import Cast
+from gorsethread.harness.process_faults import FaultPlayer
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.relay import DatagramRelay
 from gorsethread.membership.gossip_messages import MemberState
-from gorsethread.simulation.membership_simulation import bound
+from gorsethread.simulation.membership_simulation import settling_bound
 from gorsethread.simulation.script import Script
 from gorsethread.transport.base import Transport
 from gorsethread.transport.real import free_ports
@@ -48,11 +48,11 @@
         self.transport, self.processes, self.script, self.say = transport, processes, script, say
         ports = free_ports(2 * script.heads)
         self.public, self.private = ports[: script.heads], ports[script.heads :]
-        self.cast = Cast(transport, processes, script.heads, self._start, say)
+        self.fault_player = FaultPlayer(transport, processes, script.heads, self._start, say)
         names = [f"head {n}" for n in range(script.heads)]
         self.relay = DatagramRelay(
             transport,
-            self.cast.faults,
+            self.fault_player.faults,
             dict(zip(names, self.public, strict=True)),
             dict(zip(names, self.private, strict=True)),
         )
@@ -82,22 +82,22 @@
         began = self.transport.now()
         try:
             await asyncio.gather(*(self._start(f"head {n}") for n in range(self.script.heads)))
-            await self._settle(START_UP + bound(self.script.heads), "the start")
+            await self._settle(START_UP + settling_bound(self.script.heads), "the start")
             counted, at = self.relay.bytes, self.transport.now()
             zero = self.transport.now()
             for number, act in enumerate(sorted(self.script.acts)):
                 await self.transport.sleep(max(0.0, zero + act.at - self.transport.now()))
                 self.say(f"{self.transport.now() - began:7.1f} s  {act}")
-                ends = await self.cast.do(act)
+                ends = await self.fault_player.apply(act)
                 following = sorted(self.script.acts)[number + 1 :]
                 if not following or following[0].at - act.at > act.seconds + 1.0:
                     await self.transport.sleep(max(0.0, ends - self.transport.now()))
-                    await self._settle(bound(self.script.heads), str(act))
+                    await self._settle(settling_bound(self.script.heads), str(act))
             spent = (self.relay.bytes - counted) / max(0.001, self.transport.now() - at)
             self.result.bytes_a_head_a_second = round(spent / self.script.heads, 1)
             self.result.settled = not self.result.views_differ and not self.result.reasons
         finally:
-            await self.cast.end()
+            await self.fault_player.end()
             self.relay.close()
         return self.result
 
--- a/gorsethread/harness/service.py
+++ b/gorsethread/harness/service.py
@@ -1,9 +1,13 @@
-"""Heads in service as real processes on loopback, among shelves, a list and clients of this process, with a
-relay between the heads and between each head and the list; a script strikes them, judges outside look on.
+"""Runs HTTP gateways as real processes on loopback; backends, discovery and clients run in this process.
 
-What a head has to know of the list counts as told as the operators' page has it: when the list wrote it;
-where the relay kept it from coming through on any connection, when it came; where only connections of before
-had fallen silent, as long after as the page gives a head to notice.
+A relay forwards what gateways send each other and what discovery sends them. A script injects faults;
+checkers use only the records of the fakes.
+
+A gateway counts as told of a change of the list, as the operators' page defines it:
+- when discovery wrote the change;
+- if the relay held it on all connections, when the relay delivered it;
+- if only connections that existed before were muted, NOTICE_SECONDS later, the time that the page allows a
+  gateway to notice a silent connection.
 """
 
 import asyncio
@@ -13,36 +17,39 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from gorsethread.fakes.backend import Shelf
+from gorsethread.fakes.backend import FakeBackend
 from gorsethread.fakes.client import LoadClient, Surge
-from gorsethread.fakes.discovery import NodeList
+from gorsethread.fakes.discovery import FakeDiscovery
 from gorsethread.fakes.record import Fault, Recorder
-from gorsethread.fakes.web.backend import WebShelf
-from gorsethread.fakes.web.clients import WebClient
-from gorsethread.fakes.web.discovery import WebList
-from gorsethread.fakes.web.messages import HEADS_FROM, instance, settings_of
-from gorsethread.harness.kill_points import planted
-from gorsethread.harness.process_faults import Cast
+from gorsethread.fakes.web.backend import HttpFakeBackend
+from gorsethread.fakes.web.clients import HttpLoadClient
+from gorsethread.fakes.web.discovery import HttpFakeDiscovery
+from gorsethread.fakes.web.messages import FIRST_GATEWAY_PORT, instance, settings_of
+from gorsethread.harness.kill_points import kill_point_code
+from gorsethread.harness.process_faults import FaultPlayer
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.relay import DatagramRelay, StreamRelay
-from gorsethread.invariants.history_checker import Verdict, Witness
+from gorsethread.invariants.history_checker import HistoryChecker, Verdict
 from gorsethread.simulation.script import Act, Script
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.sizing import resized_site
 from gorsethread.transport.base import Transport, Unreachable
 from gorsethread.transport.real import RealTransport, free_ports
 
-PLAYED = ("kill", "pause", "term", "cut", "lose", "drain", "refuse", "late", "reset", "mute", "stab")
-PARTIES = ("head", "room", "shelf", "list", "point")
-HELD = 0.3  # seconds after a pause in which a head works on what came meanwhile
-START_WITHIN = 30.0  # seconds until all heads listen
-TOLD_AFTER = 6.0  # seconds from a silence until what it hides counts as told
-HEAD = "import runpy; runpy.run_module('gorsethread.http_gateway', run_name='__main__')"
+SUPPORTED_ACTS = ("kill", "pause", "term", "cut", "lose", "drain", "refuse", "late", "reset", "mute", "stab")
+SUPPORTED_PARTIES = ("head", "room", "shelf", "list", "point")
+SETTLE_SECONDS = 0.3  # after a pause, in which a gateway works on what arrived during it
+START_TIMEOUT_SECONDS = 30.0  # until all gateways listen
+NOTICE_SECONDS = 6.0  # after a connection was muted, until its messages count as told
+GATEWAY_CODE = "import runpy; runpy.run_module('gorsethread.http_gateway', run_name='__main__')"
 
 
 @dataclass
 class Result:
-    """rules: breaks by rule, 1 to 7. messages: that heads sent each other."""
+    """The figures of one trial.
+
+    rules: violations of each rule, 1 to 7. messages: datagrams that gateways sent each other.
+    """
 
     processes: int
     rules: list[int] = field(default_factory=list)
@@ -55,29 +62,29 @@
 
     @property
     def good(self) -> bool:
-        # Of a head that stood still nobody outside knows in which order it read what came meanwhile (rule 5).
+        # Not rule 5 (order): nobody knows in which order a paused gateway read the requests that had arrived.
         broken = [n for rule, n in enumerate(self.rules, 1) if rule != 5]
         return not (any(broken) or self.lost or self.duplicated or self.reasons)
 
 
-class Kept(Recorder):
-    """In memory, those of all parties in one list."""
+class MemoryRecorder(Recorder):
+    """Keeps the records of all parties in one list in memory."""
 
     def __init__(self, transport: Transport, who: str, records: list[dict[str, Any]]) -> None:
         super().__init__(transport, who, "")
         self._records, self._clock, self._name = records, transport, who
 
-    def saw(self, event: str, **facts: Any) -> None:
+    def record(self, event: str, **facts: Any) -> None:
         self._records.append({"t": self._clock.now(), "who": self._name, "e": event, **facts})
 
 
-class Life:
-    """One life of a shelf: its own transport, so that all of it ends together."""
+class BackendRun:
+    """One run of a backend, on a transport of its own so that all its tasks end with it."""
 
     def __init__(self, trial: "ServiceTrial", number: int, warm: bool) -> None:
         self.transport = RealTransport(trial.script.seed * 100 + number)
-        recorder = Kept(self.transport, f"shelf {number}", trial.records)
-        self.shelf = trial.made_shelf(
+        recorder = MemoryRecorder(self.transport, f"shelf {number}", trial.records)
+        self.backend = trial.make_backend(
             self.transport,
             trial.site,
             number,
@@ -86,23 +93,27 @@
             [],
             warm,
             trial.log,
-            lambda: trial.fell(number),
+            lambda: trial.backend_overloaded(number),
         )
-        self.shelf.start()
+        self.backend.start()
 
     async def end(self) -> None:
-        self.shelf.stop()
+        self.backend.stop()
         await self.transport.end()
 
 
 class ServiceTrial:
-    """Play it once. The script says how many heads and shelves, how long, and what strikes them. plant: code
-    that each head runs before it starts, for a defect. result_kind: what a trial of its own finds besides."""
+    """Runs one script against gateways as real processes; play() may be called once.
 
-    result_kind: Callable[[int], Any] = Result
-    list_kind: type[NodeList] = WebList
-    shelf_kind: type[Shelf] = WebShelf
-    client_kind: type[LoadClient] = WebClient
+    The script gives the number of gateways and backends, the duration and the faults.
+    defect_code: Python code that each gateway process runs before it starts, to make it faulty.
+    result_class: class of the result; a subclass adds figures of its own.
+    """
+
+    result_class: Callable[[int], Any] = Result
+    discovery_class: type[FakeDiscovery] = HttpFakeDiscovery
+    backend_class: type[FakeBackend] = HttpFakeBackend
+    client_class: type[LoadClient] = HttpLoadClient
 
     def __init__(
         self,
@@ -111,63 +122,71 @@
         site: pb.Site,
         log: Any,
         script: Script,
-        plant: str = "",
+        defect_code: str = "",
     ) -> None:
         self.say: Callable[[str], None] = lambda line: None
         self.transport, self.processes, self.log, self.script = transport, processes, log, script
-        self.plant = plant
-        heads, shelves = script.heads, script.shelves
-        # Addresses of this process alone on loopback, so that trials may run beside each other.
+        self.defect_code = defect_code
+        gateways, backends = script.heads, script.shelves
+        # Loopback addresses that only this process uses, so that trials can run at the same time.
         self.net = f"127.{64 + os.getpid() % 128}.{os.getpid() // 128 % 200}"
-        ports = free_ports(3 * heads + 2 + shelves)
+        ports = free_ports(3 * gateways + 2 + backends)
         addresses = [
             f"{self.net}.250:{ports[0]}",
-            *(f"127.0.0.1:{p}" for p in ports[1 : 1 + heads]),
-            *(f"{self.net}.{1 + n}:{ports[1 + heads + n]}" for n in range(shelves)),
-            *(f"127.0.0.1:{p}" for p in ports[1 + heads + shelves : 1 + 2 * heads + shelves]),
+            *(f"127.0.0.1:{p}" for p in ports[1 : 1 + gateways]),
+            *(f"{self.net}.{1 + n}:{ports[1 + gateways + n]}" for n in range(backends)),
+            *(f"127.0.0.1:{p}" for p in ports[1 + gateways + backends : 1 + 2 * gateways + backends]),
         ]
-        self.site = resized_site(site, heads, shelves, addresses)
-        self.list_led = f"{self.net}.251:{ports[-1]}"  # where heads of a site file find the list
+        self.site = resized_site(site, gateways, backends, addresses)
+        # The relay's address of the list, for gateways with a site file.
+        self.relayed_list_address = f"{self.net}.251:{ports[-1]}"
         self.records: list[dict[str, Any]] = []
-        self.day = Kept(transport, "day", self.records)
-        self.nodes = self.list_kind(transport, self.site, Kept(transport, "list", self.records), [], log)
-        self.cast = Cast(transport, processes, heads, self._start_head, lambda line: self.say(line))
-        self.cast.own = {"shelf": self._shelf_act, "list": self._list_act}
-        self.cast.saw = self._struck
-        names = [f"head {n}" for n in range(heads)]
-        self.private = ports[1 + 2 * heads + shelves : -1]
+        self.day = MemoryRecorder(transport, "day", self.records)
+        self.discovery = self.discovery_class(
+            transport, self.site, MemoryRecorder(transport, "list", self.records), [], log
+        )
+        self.fault_player = FaultPlayer(
+            transport, processes, gateways, self._start_gateway, lambda line: self.say(line)
+        )
+        self.fault_player.in_process_acts = {"shelf": self._backend_act, "list": self._discovery_act}
+        self.fault_player.on_act = self._record_act
+        names = [f"head {n}" for n in range(gateways)]
+        self.private = ports[1 + 2 * gateways + backends : -1]
         self.public = [int(h.peers.rpartition(":")[2]) for h in self.site.head]
         self.relay = DatagramRelay(
             transport,
-            self.cast.faults,
+            self.fault_player.faults,
             dict(zip(names, self.public, strict=True)),
             dict(zip(names, self.private, strict=True)),
         )
-        self.streams = self.cast.streams = StreamRelay(transport, self.cast.faults)
-        self.lives: dict[int, Life] = {}
-        self.result = self.result_kind(heads)
+        self.streams = self.fault_player.streams = StreamRelay(transport, self.fault_player.faults)
+        self.backends: dict[int, BackendRun] = {}
+        self.result = self.result_class(gateways)
 
-    def made_shelf(self, *given: Any) -> Any:
-        return self.shelf_kind(*given)
+    def make_backend(self, *given: Any) -> Any:
+        return self.backend_class(*given)
 
     def _site_for(self, tenant: str) -> pb.Site:
         return self.site
 
-    def fell(self, number: int) -> None:
-        """A cold shelf got more than it bears."""
+    def backend_overloaded(self, number: int) -> None:
+        """Called when a backend was overloaded during slow start."""
 
-    # ---- heads
+    # ---- gateways
 
     def _configure(self, number: int) -> str:
-        """What it is told at its start: the list as it knew it before any shelf came back."""
+        """Writes a gateway's configuration and returns its path.
+
+        The endpoint list in it is as before any restart: every backend is ready and started long ago.
+        """
         known = [
             instance(s.number, s.address, s.shard, s.zone, "ready", 0.0, number) for s in self.site.shelf
         ]
         settings = {**settings_of(self.site), "index": number}
-        order = {
+        configuration = {
             "name": f"n{number}",
             "listen": self.site.head[number].address,
-            "discovery": f"{self.net}.251:{HEADS_FROM + number}",
+            "discovery": f"{self.net}.251:{FIRST_GATEWAY_PORT + number}",
             "seed": f"{self.script.seed * 1000 + number:016x}",
             "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 512},
             "settings": settings,
@@ -176,24 +195,24 @@
             "peers": [f"127.0.0.1:{port}" for port in self.public],
         }
         path = self.processes.folder / f"config-{number}.json"
-        path.write_text(json.dumps(order))
+        path.write_text(json.dumps(configuration))
         return str(path)
 
-    async def _start_head(self, name: str) -> None:
+    async def _start_gateway(self, name: str) -> None:
         flags = {
-            a.to.split(" ")[1]: self.cast.flag(a)
+            a.to.split(" ")[1]: self.fault_player.flag(a)
             for a in self.script.acts
             if a.kind == "stab" and a.whom == name
         }
-        points = planted(flags) if flags else ""
+        points = kill_point_code(flags) if flags else ""
         await self.processes.start(
             name,
-            begins=("-c", f"{points}\n{self.plant}\n{HEAD}"),
+            begins=("-c", f"{points}\n{self.defect_code}\n{GATEWAY_CODE}"),
             settings={"GW_CONFIG": self._configure(int(name.split(" ")[1]))},
         )
 
     async def _all_listen(self) -> None:
-        by = self.transport.now() + START_WITHIN
+        deadline = self.transport.now() + START_TIMEOUT_SECONDS
         for head in self.site.head:
             host, _, port = head.address.rpartition(":")
             while True:
@@ -201,75 +220,80 @@
                     (await self.transport.connect(host, int(port), 1.0)).close()
                     break
                 except Unreachable:
-                    if self.transport.now() > by:
-                        raise RuntimeError(f"head {head.number} does not listen") from None
+                    if self.transport.now() > deadline:
+                        raise RuntimeError(f"gateway {head.number} does not listen") from None
                     await self.transport.sleep(0.1)
 
     # ---- the script
 
-    def _struck(self, event: str, act: Act) -> None:
+    def _record_act(self, event: str, act: Act) -> None:
+        """Records when gateways were killed, stopped or cut off from clients, for the checker."""
         if event in ("cut", "reset", "mute"):
-            client, head = (act.whom, act.to) if act.whom.startswith("client") else (act.to, act.whom)
-            if client.startswith("client") and head.startswith("head"):
-                self.day.saw(
+            client, gateway = (act.whom, act.to) if act.whom.startswith("client") else (act.to, act.whom)
+            if client.startswith("client") and gateway.startswith("head"):
+                self.day.record(
                     "apart",
                     client=client,
-                    head=int(head.split(" ")[1]),
-                    until=self.transport.now() + act.seconds + HELD,
+                    head=int(gateway.split(" ")[1]),
+                    until=self.transport.now() + act.seconds + SETTLE_SECONDS,
                 )
             return
         number = int(act.whom.split(" ")[1])
         if event == "stopped":
             for t in self.site.tenant:
-                # What it did not take while it stood still, or had no time left for, is no loss of its.
-                self.day.saw(
+                # Requests that it did not read while stopped, or had no time left for, are not lost.
+                self.day.record(
                     "apart",
                     client=f"client {t.name}",
                     head=number,
-                    until=self.transport.now() + act.seconds + HELD,
+                    until=self.transport.now() + act.seconds + SETTLE_SECONDS,
                 )
         elif event == "killed":
-            self.day.saw("head killed", head=number)
+            self.day.record("head killed", head=number)
 
-    async def _shelf_act(self, act: Act) -> None:
+    async def _backend_act(self, act: Act) -> None:
         number = int(act.whom.split(" ")[1])
         if act.kind == "kill":
-            await self.lives[number].end()
-            self.day.saw("shelf killed", shelf=number)
+            await self.backends[number].end()
+            self.day.record("shelf killed", shelf=number)
             await self.transport.sleep(act.seconds)
-            self.lives[number] = Life(self, number, False)
+            self.backends[number] = BackendRun(self, number, False)
         elif act.kind == "drain":
-            self.nodes.order(number, "draining")
+            self.discovery.set_state(number, "draining")
             await self.transport.sleep(act.seconds)
-            self.nodes.order(number, "ready")
+            self.discovery.set_state(number, "ready")
         else:
-            self.lives[number].shelf._fault(Fault(self.transport.now(), act.kind, act.seconds, act.by))
+            self.backends[number].backend._fault(Fault(self.transport.now(), act.kind, act.seconds, act.by))
 
-    async def _list_act(self, act: Act) -> None:
-        self.nodes._fault(Fault(self.transport.now(), act.kind, act.seconds, act.by))
+    async def _discovery_act(self, act: Act) -> None:
+        self.discovery._fault(Fault(self.transport.now(), act.kind, act.seconds, act.by))
 
-    def _ways(self) -> None:
-        """What leads heads to the list, before any starts."""
+    def _add_routes(self) -> None:
+        """Adds the relay's routes from gateways to discovery, before any gateway starts."""
         list_host = self.site.list.address.rpartition(":")[0]
         for n in range(self.script.heads):
-            self.streams.way(
-                f"head {n}", "list", (f"{self.net}.251", HEADS_FROM + n), (list_host, HEADS_FROM + n)
+            self.streams.add_route(
+                f"head {n}",
+                "list",
+                (f"{self.net}.251", FIRST_GATEWAY_PORT + n),
+                (list_host, FIRST_GATEWAY_PORT + n),
             )
 
-    def _begun(self) -> None:
-        """Clients are there, and have sent nothing yet."""
+    def _clients_started(self) -> None:
+        """Called when the clients exist and have not sent anything."""
 
-    async def _settled(self) -> None:
-        """The script is played and clients have their answers; heads still run."""
+    async def _clients_finished(self) -> None:
+        """Called when the script is over and clients have their answers; gateways still run."""
 
     async def play(self) -> Any:
+        """Runs the trial and returns its result."""
         site, transport, script = self.site, self.transport, self.script
-        self.nodes.start()
-        self._ways()
+        self.discovery.start()
+        self._add_routes()
         try:
             for shelf in site.shelf:
-                self.lives[shelf.number] = Life(self, shelf.number, True)
-            await asyncio.gather(*(self._start_head(f"head {h.number}") for h in site.head))
+                self.backends[shelf.number] = BackendRun(self, shelf.number, True)
+            await asyncio.gather(*(self._start_gateway(f"head {h.number}") for h in site.head))
             await self._all_listen()
             self.zero = zero = transport.now() + 1.0
             surges = [
@@ -278,11 +302,11 @@
                 if a.kind == "surge"
             ]
             clients = self.clients = [
-                self.client_kind(
+                self.client_class(
                     transport,
                     self._site_for(t.name),
                     t.name,
-                    Kept(transport, f"client {t.name}", self.records),
+                    MemoryRecorder(transport, f"client {t.name}", self.records),
                     script.factor,
                     zero,
                     zero + script.seconds,
@@ -292,45 +316,48 @@
                 for t in site.tenant
             ]
             runs = [asyncio.ensure_future(c.run()) for c in clients]
-            self._begun()
-            await self.cast.play(script, zero)
-            # A process that was started just now has no handler of SIGTERM yet, and would end by the signal.
+            self._clients_started()
+            await self.fault_player.play(script, zero)
+            # Waits for restarted gateways: a new process has no handler of SIGTERM yet and would die of it.
             await self._all_listen()
             await asyncio.gather(*runs)
-            await self._settled()
+            await self._clients_finished()
         finally:
-            statuses = await self.cast.end()
+            statuses = await self.fault_player.end()
             self.relay.close()
             self.streams.close()
-            self.nodes.stop()
-            for life in self.lives.values():
-                await life.end()
+            self.discovery.stop()
+            for backend in self.backends.values():
+                await backend.end()
         self.result.reasons += [f"{name} ended with {status}" for name, status in statuses.items() if status]
-        self.result.reasons += [f"never came to its point: {act}" for act in self.cast.unreached]
-        return self._judged()
+        self.result.reasons += [
+            f"the kill point was not reached: {act}" for act in self.fault_player.unreached_points
+        ]
+        return self._check_records()
 
-    # ---- judging
+    # ---- checks
 
-    def _judged(self) -> Any:
-        self._tell_late()
-        verdict, r = Witness(self.site, self.records).judge(), self.result
+    def _check_records(self) -> Any:
+        self._postpone_told_records()
+        verdict, r = HistoryChecker(self.site, self.records).check(), self.result
         self.verdict = verdict
         r.rules, r.lost, r.duplicated = verdict.rules, verdict.lost, verdict.duplicated
         r.honoured, r.taken = verdict.counts["honoured"], verdict.counts["taken"]
         r.messages = self.relay.datagrams
-        r.reasons += [str(b) for b in verdict.breaks[:3]]
+        r.reasons += [str(b) for b in verdict.violations[:3]]
         self.judge(verdict)
         return r
 
     def judge(self, verdict: Verdict) -> None:
-        """What a trial of its own looks at besides the rules."""
+        """Checks what a subclass checks in addition to the rules."""
 
-    def _tell_late(self) -> None:
-        faults = self.cast.faults
+    def _postpone_told_records(self) -> None:
+        """Sets each told record to the time at which its gateway counts as told."""
+        faults = self.fault_player.faults
         silences = list(faults.silences)
-        silences += [(way, begun, begun + TOLD_AFTER) for way, begun in faults.mutes]
+        silences += [(direction, begin, begin + NOTICE_SECONDS) for direction, begin in faults.mutes]
         for r in self.records:
-            for way, begun, over in silences:
-                if r["e"] == "told" and way == ("list", f"head {r['head']}") and begun <= r["t"] < over:
-                    r["t"] = over
+            for direction, begin, end in silences:
+                if r["e"] == "told" and direction == ("list", f"head {r['head']}") and begin <= r["t"] < end:
+                    r["t"] = end
         self.records.sort(key=lambda r: r["t"])
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -5,12 +5,12 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from gorsethread.fakes.backend import Shelf
-from gorsethread.fakes.client import stamped
-from gorsethread.fakes.discovery import NodeList
+from gorsethread.fakes.backend import FakeBackend
+from gorsethread.fakes.client import stamped_blocks
+from gorsethread.fakes.discovery import FakeDiscovery
 from gorsethread.fakes.record import Recorder
-from gorsethread.harness.processes import resized
-from gorsethread.invariants.history_checker import Witness
+from gorsethread.harness.processes import resize_site
+from gorsethread.invariants.history_checker import HistoryChecker
 from gorsethread.logs import log_for, start_logs
 from gorsethread.nvme.command import Completion, Opcode, io_command
 from gorsethread.nvme.subsystem import BLOCK
@@ -56,11 +56,11 @@
         super().__init__(transport, who, "")
         self._events = events
 
-    def saw(self, event: str, **facts: Any) -> None:
+    def record(self, event: str, **facts: Any) -> None:
         self._events.append({"t": self._transport.now(), "who": self._who, "e": event, **facts})
 
 
-class ScriptedBackend(Shelf):
+class ScriptedBackend(FakeBackend):
     """A fake backend whose commands a test can handle.
 
     Attributes:
@@ -76,7 +76,7 @@
 
     def die(self) -> None:
         """Behaves like a killed process: the connections end, and commands it holds are never answered."""
-        self.recorder.saw("shelf killed", shelf=self.number)
+        self.recorder.record("shelf killed", shelf=self.number)
         self._listener.close()
         for connection in list(self.server.connections):
             connection.stream.close()
@@ -123,12 +123,12 @@
         self.events: list[dict[str, Any]] = []
         self.last_label = 0
         self.site = self.with_free_addresses(parse_site(self.site_text))
-        self.discovery: NodeList | None = None
+        self.discovery: FakeDiscovery | None = None
         self.backends: dict[int, ScriptedBackend] = {}
         self.gateways: dict[int, NvmeGateway] = {}
 
     def with_free_addresses(self, site: pb.Site) -> pb.Site:
-        return resized(site, len(site.head), len(site.shelf))
+        return resize_site(site, len(site.head), len(site.shelf))
 
     async def asyncTearDown(self) -> None:
         for gateway in self.gateways.values():
@@ -151,7 +151,7 @@
         return MemoryRecorder(self.transport, who, self.events)
 
     def start_discovery(self) -> None:
-        self.discovery = NodeList(self.transport, self.site, self.recorder("list"), [], log_for())
+        self.discovery = FakeDiscovery(self.transport, self.site, self.recorder("list"), [], log_for())
         self.discovery.start()
 
     def start_backend(self, number: int, warm: bool = True) -> ScriptedBackend:
@@ -242,7 +242,7 @@
         deadline = self.transport.now() + 1.0
         client = self.recorder("client")
         key = f"{volume}/{block // 64}" if request_class == 1 else ""
-        client.saw(
+        client.record(
             "sent",
             label=label,
             attempt=attempt,
@@ -255,14 +255,14 @@
             due=self.transport.now(),
         )
         command = io_command(operation, volume, block, blocks, hints=hints, attempt=attempt, label=label)
-        data = stamped(label, volume, block, blocks) if operation == Opcode.WRITE else b""
+        data = stamped_blocks(label, volume, block, blocks) if operation == Opcode.WRITE else b""
         try:
             completion, received = await association.io.call(command, data, 0 if data else blocks * BLOCK)
         except Exception:
-            client.saw("answer", label=label, attempt=attempt, how="left", status=-1, wrong=0)
+            client.record("answer", label=label, attempt=attempt, how="left", status=-1, wrong=0)
             raise
         how = "honoured" if completion.succeeded else "pushed back" if completion.rejected else "given up"
-        client.saw("answer", label=label, attempt=attempt, how=how, status=completion.status, wrong=0)
+        client.record("answer", label=label, attempt=attempt, how=how, status=completion.status, wrong=0)
         return how, completion, received
 
     def backends_reached(self, label: int | None = None) -> list[int]:
@@ -271,8 +271,8 @@
 
     def assert_invariants_hold(self) -> None:
         """Asserts that the events violate no invariant, and that no request was lost or duplicated."""
-        verdict = Witness(self.site, self.events).judge()
-        self.assertEqual([], [str(violation) for violation in verdict.breaks])
+        verdict = HistoryChecker(self.site, self.events).check()
+        self.assertEqual([], [str(violation) for violation in verdict.violations])
         self.assertEqual((0, 0), (verdict.lost, verdict.duplicated))
 
 
--- a/tests/test_nvme_gateway.py
+++ b/tests/test_nvme_gateway.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 from typing import Any
 
-from gorsethread.fakes.client import stamped
-from gorsethread.fakes.discovery import Order
+from gorsethread.fakes.client import stamped_blocks
+from gorsethread.fakes.discovery import DrainOrder
 from gorsethread.gateway.attempts import Attempt, AttemptResult
 from gorsethread.gateway.driver import attempt_count
 from gorsethread.nvme.command import Command, Completion, Opcode, Status, connect, connect_data, io_command
@@ -33,7 +33,7 @@
             how, _, _ = await self.send(client, Opcode.WRITE, block=block, blocks=blocks)
             self.assertEqual("honoured", how)
             how, _, data = await self.send(client, Opcode.READ, block=block, blocks=blocks)
-            self.assertEqual(("honoured", stamped(self.last_label - 1, 1, block, blocks)), (how, data))
+            self.assertEqual(("honoured", stamped_blocks(self.last_label - 1, 1, block, blocks)), (how, data))
         completion, _ = await client.io.call(io_command(Opcode.FLUSH, 1))
         self.assertTrue(completion.succeeded)
         self.assert_invariants_hold()
@@ -110,7 +110,7 @@
         await asyncio.sleep(0)
         second = self.send(client, Opcode.READ, block=1)
         self.assertEqual("pushed back", (await second)[0])
-        self.backends[0]._saw_end(held[0], "honoured", False)
+        self.backends[0]._record_end(held[0], "honoured", False)
         held[0].answer(Completion(0), bytes(4096))
         self.assertEqual("honoured", (await first)[0])
         await ending
@@ -221,7 +221,7 @@
         client = await self.connect_client()
 
         def answer_twice(io: IoCommand) -> bool:
-            self.backends[0]._saw_end(io, "honoured", False)
+            self.backends[0]._record_end(io, "honoured", False)
             io.answer(Completion(0), bytes(4096))
             io.connection.queue._open.add(io.command.cid)
             io.connection.queue.respond(Completion(io.command.cid))
@@ -282,8 +282,8 @@
             original.server.stop("killed")
             original._listener.close()
             self.discovery.stop()
-            for follower in list(self.discovery.followers):
-                follower.stream.close()
+            for watcher in list(self.discovery.watchers):
+                watcher.stream.close()
             self.start_gateway(0, path)
             client = await self.connect_client()
             self.assertEqual("honoured", (await self.send(client, Opcode.READ))[0])
@@ -307,11 +307,11 @@
         pending = self.send(client, Opcode.WRITE, blocks=32)
         # It must have been sent: the drain ends an attempt that still waits for a connection.
         await self.wait_until(lambda: self.gateways[0].driver.links[0].in_flight)
-        self.discovery._order(Order(0, "draining"), _IgnoringStream())
+        self.discovery._order(DrainOrder(0, "draining"), _IgnoringStream())
         await self.wait_until(lambda: 0 not in self.gateways[0].driver.scheduler.shards.serving)
         late = self.send(client, Opcode.READ)
         await self.wait_until(lambda: held)
-        self.backends[0]._saw_end(held[0], "honoured", True)
+        self.backends[0]._record_end(held[0], "honoured", True)
         held[0].answer(Completion(0))
         self.assertEqual("honoured", (await pending)[0])
         self.assertIn((await late)[0], ("pushed back", "given up"))
@@ -331,7 +331,7 @@
             % _entry_of_gone_backend(self.site.shelf[0].address)
         )
         self.assertIn(0, driver.links)
-        self.backends[0]._saw_end(held[0], "honoured", False)
+        self.backends[0]._record_end(held[0], "honoured", False)
         held[0].answer(Completion(0), bytes(4096))
         self.assertEqual("honoured", (await pending)[0])
         discovery._line_received(b'{"kind":"changes","version":91,"shelves":[]}')
@@ -350,7 +350,7 @@
         command = Command(**{**_fields(connect(1, 8)), "sgl_type": 1, "sgl_length": 1024})
         stream.write(encoder.capsule_cmd(command.pack(), data))
         write = io_command(Opcode.WRITE, 1, 0, 1, label=77)
-        payload = stamped(77, 1, 0, 1)
+        payload = stamped_blocks(77, 1, 0, 1)
         command = Command(**{**_fields(write), "cid": 5, "sgl_type": 0x5A, "sgl_length": len(payload)})
         stream.write(encoder.capsule_cmd(command.pack()))
         pdu = encoder.data(PduType.H2C_DATA, 5, 5, 0, payload, True)
