--- a/gorsethread/simulation/branch_mutants.py
+++ b/gorsethread/simulation/branch_mutants.py
@@ -183,14 +183,14 @@
 @mutant("branch: copies come on any stream")
 def _accepts_replication_on_any_stream(gateway: NvmeGateway) -> None:
     if gateway.replica_server is not None:
-        holding: Any = gateway.replica_server
-        original = holding._on_store_records
+        server: Any = gateway.replica_server
+        original = server._on_store_records
 
         async def on_store_records(stream: Any, origin: int, message: Any) -> None:
-            holding.replica_of(origin).stream = stream
+            server.replica_of(origin).stream = stream
             await original(stream, origin, message)
 
-        holding._on_store_records = on_store_records
+        server._on_store_records = on_store_records
 
 
 @mutant("main site: what is in effect is not known")
--- a/gorsethread/simulation/mutants.py
+++ b/gorsethread/simulation/mutants.py
@@ -193,7 +193,7 @@
     def change(link: BackendLink) -> None:
         original = link._connection_lost
 
-        def broke(reason: str) -> None:
+        def connection_lost(reason: str) -> None:
             in_flight = list(link.in_flight.values())
             original(reason)
             for sent in in_flight:
@@ -201,7 +201,7 @@
                     Attempt(sent.request, -1, sent.backend, sent.sent_at, sent.payload, lambda *_: None)
                 )
 
-        _override(link, "_connection_lost", broke)
+        _override(link, "_connection_lost", connection_lost)
 
     _on_links(gateway, change)
 
@@ -213,14 +213,14 @@
     def change(link: BackendLink) -> None:
         original = link._command_completed
 
-        def done(attempt: Attempt, completion: Completion, data: bytes) -> None:
+        def command_completed(attempt: Attempt, completion: Completion, data: bytes) -> None:
             sent_data = data
             if len(previous_data[0]) == len(data) and should_break():
                 sent_data = previous_data[0]
             previous_data[0] = data
             original(attempt, completion, sent_data)
 
-        _override(link, "_command_completed", done)
+        _override(link, "_command_completed", command_completed)
 
     _on_links(gateway, change)
 
@@ -230,12 +230,12 @@
     def change(link: BackendLink) -> None:
         original = link._command_completed
 
-        def done(attempt: Attempt, completion: Completion, data: bytes) -> None:
+        def command_completed(attempt: Attempt, completion: Completion, data: bytes) -> None:
             if completion.status == Status.INTERNAL_ERROR:
                 completion = completion._replace(status=Status.SUCCESS, do_not_retry=False)
             original(attempt, completion, data)
 
-        _override(link, "_command_completed", done)
+        _override(link, "_command_completed", command_completed)
 
     _on_links(gateway, change)
 
@@ -247,13 +247,13 @@
     def change(link: BackendLink) -> None:
         original = link._command_completed
 
-        def done(attempt: Attempt, completion: Completion, data: bytes) -> None:
+        def command_completed(attempt: Attempt, completion: Completion, data: bytes) -> None:
             if should_break():
                 link.in_flight.pop(attempt.cid, None)
             else:
                 original(attempt, completion, data)
 
-        _override(link, "_command_completed", done)
+        _override(link, "_command_completed", command_completed)
 
     _on_links(gateway, change)
 
@@ -261,11 +261,11 @@
 @mutant("links: nothing is told of what was out as a link broke")
 def _hides_connection_loss(gateway: NvmeGateway) -> None:
     def change(link: BackendLink) -> None:
-        def broke(reason: str) -> None:
+        def connection_lost(reason: str) -> None:
             link.association = None
             link.in_flight = {}
 
-        _override(link, "_connection_lost", broke)
+        _override(link, "_connection_lost", connection_lost)
 
     _on_links(gateway, change)
 
@@ -456,4 +456,4 @@
 
 @mutant("membership: a peer's word lets a head send")
 def _lets_peers_enable_sending(gateway: NvmeGateway) -> None:
-    gateway.discovery._is_usable = lambda s: True  # type: ignore[method-assign]
+    gateway.discovery._is_usable = lambda backend: True  # type: ignore[method-assign]
