--- a/gorsethread/simulation/mutants.py
+++ b/gorsethread/simulation/mutants.py
@@ -456,4 +456,4 @@
 
 @mutant("membership: a peer's word lets a head send")
 def _lets_peers_enable_sending(gateway: NvmeGateway) -> None:
-    gateway.discovery._is_usable = lambda s: True  # type: ignore[method-assign]
+    gateway.discovery._is_usable = lambda backend: True  # type: ignore[method-assign]
