--- a/gorsethread/experiments/alternate.py
+++ b/gorsethread/experiments/alternate.py
@@ -31,7 +31,7 @@
         if honoured:
             self.stretches.append((on, honoured / (self.transport.now() - self.started)))
         # What is open at the turn is in neither; what waits to be counted is counted in the next with them.
-        self.book.accounts = self.book.accounts.renewed(self.transport.now())
+        self.book.accounts = self.book.accounts.without_open_requests(self.transport.now())
         self.head.driver.accounting.accounts = None if on else self.book.accounts
         self._begin()
 
--- a/gorsethread/experiments/day.py
+++ b/gorsethread/experiments/day.py
@@ -18,7 +18,7 @@
 from gorsethread.harness.processes import Processes, resized
 from gorsethread.invariants.history_checker import Verdict, Witness
 from gorsethread.latency_attribution import causes, report
-from gorsethread.latency_attribution.site_baseline import known_of
+from gorsethread.latency_attribution.site_baseline import baseline_of
 from gorsethread.latency_attribution.snapshots import SUFFIX, decode
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.reading import split_address
@@ -354,16 +354,16 @@
         """What the heads' accounts hold together; None where there is none."""
         kept = sorted((self.folder / "accounts").glob(f"*{SUFFIX}"))
         windows = [decode(path.read_bytes(), self.site.name) for path in kept]
-        return causes.find(known_of(self.site), windows) if windows else None
+        return causes.find(baseline_of(self.site), windows) if windows else None
 
     def _accounts(self) -> str:
         found = self.findings()
         if found is None:
             return ""
-        if found.whole.remainders or found.whole.disorders:
+        if found.merged.remainders or found.merged.disorders:
             self.defects.append(
-                f"accounts: {found.whole.remainders} transactions are not the sum of their "
-                f"stages, {found.whole.disorders} events came out of order"
+                f"accounts: {found.merged.remainders} transactions are not the sum of their "
+                f"stages, {found.merged.disorders} events came out of order"
             )
         return report.top(found).sentence
 
--- a/gorsethread/experiments/latency_attribution.py
+++ b/gorsethread/experiments/latency_attribution.py
@@ -13,7 +13,7 @@
 from gorsethread.experiments.day import Day, DayPlan
 from gorsethread.fakes.client import Surge
 from gorsethread.latency_attribution import report
-from gorsethread.latency_attribution.request_attribution import Accounts
+from gorsethread.latency_attribution.request_attribution import LatencyAccounts
 from gorsethread.latency_attribution.stages import STAGES, Stage
 from gorsethread.latency_attribution.window import Window
 from gorsethread.scheduling.model import RequestOutcome
@@ -63,7 +63,7 @@
     if found is None:
         raise FileNotFoundError(f"{folder}: no head kept accounts")
     named = Truth(frozenset(found.slow) | frozenset(found.stopped), frozenset(found.floods))
-    lives = sum(row.lives for row in found.whole.all_rows())
+    lives = sum(row.requests for row in found.merged.all_rows())
     return {
         "seed": seed,
         "scenario": scenario,
@@ -75,11 +75,11 @@
         "accused": bool((named.slow - day.truth.slow) | (named.floods - day.truth.floods)),
         "sentence": report.top(found).sentence,
         "pressure": round(found.pressure, 3),
-        "stalled": [round(p.stalled, 3) for p in found.paces.values()],
+        "stalled": [round(p.stalled, 3) for p in found.speeds.values()],
         "unknown": round(found.unknown, 3),
         "lives": lives,
-        "remainders": found.whole.remainders,
-        "disorders": found.whole.disorders,
+        "remainders": found.merged.remainders,
+        "disorders": found.merged.disorders,
         "rules": result.verdict.rules,
         "good": result.good,
         "defects": result.defects,
@@ -125,7 +125,7 @@
     """Bytes that the accounts hold: for an open transaction, a volume with a row, and 100,000 volumes."""
     # Durations like those of a quick shelf and a slow one, drawn once, as drawing is dear under tracemalloc.
     chance = SeededRandom(1)
-    passing = (Stage.HEAD, Stage.SLOTS, Stage.WAY_THERE, Stage.AT_SHELF, Stage.WORK, Stage.WAY_BACK)
+    passing = (Stage.GATEWAY, Stage.SLOTS, Stage.OUTBOUND, Stage.BACKEND_QUEUE, Stage.SERVICE, Stage.RETURN)
     drawn = []
     for _ in range(1000):
         stages = [0] * STAGES
@@ -137,8 +137,8 @@
         for volume in range(1, volumes + 1):
             for n in range(each):
                 stages = drawn[(volume + n) % len(drawn)]
-                window.life(volume, 0, 1, RequestOutcome.SUCCEEDED, False, stages, sum(stages))
-        window.settle()
+                window.add_request(volume, 0, 1, RequestOutcome.SUCCEEDED, False, stages, sum(stages))
+        window.apply_pending()
 
     def held(fill: Callable[[], object]) -> int:
         tracemalloc.start()
@@ -153,10 +153,10 @@
         lives(window, volumes, each)
         return window
 
-    def opened() -> Accounts:
-        accounts = Accounts([1.0], 0.0)
+    def opened() -> LatencyAccounts:
+        accounts = LatencyAccounts([1.0], 0.0)
         for id in range(1000):
-            accounts.taken(id, 1 + id % 8, 0, id % 3, False, 1, 0.0, 0.001)
+            accounts.admitted(id, 1 + id % 8, 0, id % 3, False, 1, 0.0, 0.001)
             accounts.sent(id, 0, id % 3, 0.002)
         return accounts
 
--- a/gorsethread/latency_attribution/__init__.py
+++ b/gorsethread/latency_attribution/__init__.py
@@ -1,1 +1,1 @@
-"""Latency accounts: where each transaction's time went, and who held what it waited for."""
+"""Attributes the latency of requests to its causes, for an operator: stages, holders and backends."""
--- a/gorsethread/latency_attribution/page.py
+++ b/gorsethread/latency_attribution/page.py
@@ -1,4 +1,4 @@
-"""An answer as one self-contained HTML page: the sentence, the tables, and plots drawn into it as SVG."""
+"""Renders an answer as one self-contained HTML page: the sentence, the tables, and plots as inline SVG."""
 
 import io
 from collections import Counter
@@ -12,15 +12,15 @@
 
 from gorsethread.latency_attribution.causes import Findings  # noqa: E402
 from gorsethread.latency_attribution.report import Answer  # noqa: E402
-from gorsethread.latency_attribution.stages import HOLDER_WORDS, WORDS, Stage  # noqa: E402
+from gorsethread.latency_attribution.stages import HOLDER_LABELS, STAGE_LABELS, Stage  # noqa: E402
 
-# Okabe and Ito's colours, told apart by the colour-blind; hatches tell them apart in print.
+# The palette of Okabe and Ito, which colour-blind readers can distinguish; hatches distinguish them in print.
 COLOURS = ("#0072B2", "#E69F00", "#009E73", "#D55E00", "#CC79A7", "#56B4E9", "#F0E442", "#000000")
 HATCHES = ("", "//", "..", "xx", "\\\\", "++", "oo", "--")
-MATRIX_MOST = 12  # waiters and holders drawn
-LAYERS = 7
+MAX_MATRIX_SIZE = 12  # waiters and holders drawn in the matrix
+MAX_LAYERS = 7  # stages drawn in the timeline
 
-PAGE = jinja2.Environment(autoescape=True).from_string("""<!doctype html>
+PAGE_TEMPLATE = jinja2.Environment(autoescape=True).from_string("""<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{ title }}</title><style>
 body { font: 15px/1.45 sans-serif; max-width: 62em; margin: 2em auto; padding: 0 1em; color: #111 }
 .first { font-size: 1.35em } .note { color: #8a3b00 }
@@ -28,7 +28,7 @@
 td, th { padding: .15em .7em; border-bottom: 1px solid #ccc; text-align: right }
 td:first-child, th:first-child { text-align: left } figure { margin: 1em 0 } svg { max-width: 100% }
 </style></head><body>
-<h1>{{ title }}</h1><p class="first">{{ answer.sentence }}</p><p>How sure: {{ answer.sure }}.</p>
+<h1>{{ title }}</h1><p class="first">{{ answer.sentence }}</p><p>Confidence: {{ answer.confidence }}.</p>
 {% for note in answer.notes %}<p class="note">{{ note }}</p>{% endfor %}
 {% for caption, drawn in figures %}
 <figure>{{ drawn }}<figcaption>{{ caption }}</figcaption></figure>
@@ -42,34 +42,37 @@
 
 
 def page(title: str, answer: Answer, found: Findings, volume: int | None = None) -> str:
-    """volume: whose timeline is drawn; None: that of all."""
+    """Returns the page. volume: the volume whose timeline is drawn; None: all volumes."""
     figures = [
-        ("Mean time of a transaction by stage, slot after slot", _timeline(found, volume)),
-        ("Who waited behind whom, as parts of all waiting", _matrix(found)),
-        ("Work for the same units, times the usual of all shelves", _shelves(found)),
+        ("Mean time of a request by stage, over time", _timeline_plot(found, volume)),
+        ("Who waited behind whom, as shares of all waiting", _blame_matrix(found)),
+        (
+            "Service time for the same units, in proportion to the usual one of all backends",
+            _backend_plot(found),
+        ),
     ]
-    return PAGE.render(title=title, answer=answer, figures=figures)
+    return PAGE_TEMPLATE.render(title=title, answer=answer, figures=figures)
 
 
-def _svg(figure: Figure) -> Markup:
+def _svg_markup(figure: Figure) -> Markup:
     out = io.StringIO()
     with matplotlib.rc_context({"svg.hashsalt": "gorsethread", "svg.fonttype": "none"}):
         figure.savefig(out, format="svg", bbox_inches="tight", metadata={"Date": None})
     text = out.getvalue()
-    # The only text in it from outside are volumes' names, which matplotlib has escaped.
+    # The only external texts in it are names of volumes, which matplotlib has escaped.
     return Markup(text[text.index("<svg") :])
 
 
-def _timeline(found: Findings, volume: int | None) -> Markup:
-    slots = list(found.slots.values())
-    begin = min(s.start for s in found.whole.spans)
+def _timeline_plot(found: Findings, volume: int | None) -> Markup:
+    slots = list(found.time_slots.values())
+    begin = min(s.start for s in found.merged.spans)
     means: list[list[float]] = []
     for window in slots:
         rows = [r for (v, _), r in window.rows.items() if volume in (None, v)]
-        lives = max(1, sum(r.lives for r in rows))
-        means.append([sum(r.stages[s] for r in rows) / lives / 1000 for s in Stage])
-    heaviest = sorted(Stage, key=lambda s: -sum(m[s] for m in means))[:LAYERS]
-    at = [max(0.0, key * found.slot_seconds - begin) for key in found.slots]
+        requests = max(1, sum(r.requests for r in rows))
+        means.append([sum(r.stages[s] for r in rows) / requests / 1000 for s in Stage])
+    heaviest = sorted(Stage, key=lambda s: -sum(m[s] for m in means))[:MAX_LAYERS]
+    at = [max(0.0, key * found.slot_seconds - begin) for key in found.time_slots]
     figure = Figure(figsize=(9, 3))
     axes = figure.add_subplot()
     bottom = [0.0] * len(slots)
@@ -85,16 +88,16 @@
             hatch=HATCHES[n],
             edgecolor="white",
             linewidth=0.3,
-            label=WORDS[stage],
+            label=STAGE_LABELS[stage],
         )
         bottom = [b + h for b, h in zip(bottom, heights, strict=True)]
     axes.set_xlabel("seconds from the start of the period")
     axes.set_ylabel("milliseconds")
     axes.legend(fontsize=8, loc="upper left", bbox_to_anchor=(1.0, 1.0))
-    return _svg(figure)
+    return _svg_markup(figure)
 
 
-def _matrix(found: Findings) -> Markup:
+def _blame_matrix(found: Findings) -> Markup:
     waiters: Counter[int] = Counter()
     holders: Counter[int] = Counter()
     cells: Counter[tuple[int, int]] = Counter()
@@ -102,15 +105,15 @@
         waiters[b.waiter] += us
         holders[b.holder] += us
         cells[b.waiter, b.holder] += us
-    rows = [v for v, _ in waiters.most_common(MATRIX_MOST)]
-    columns = [v for v, _ in holders.most_common(MATRIX_MOST)]
+    rows = [v for v, _ in waiters.most_common(MAX_MATRIX_SIZE)]
+    columns = [v for v, _ in holders.most_common(MAX_MATRIX_SIZE)]
     total = max(1, sum(cells.values()))
     figure = Figure(figsize=(1.5 + 0.8 * max(1, len(columns)), 1.0 + 0.35 * max(1, len(rows))))
     axes = figure.add_subplot()
     if rows:
         shares = [[cells[w, h] / total for h in columns] for w in rows]
         axes.imshow(shares, cmap="Greys", aspect="auto", vmin=0)
-    most = max(cells.values(), default=0)
+    largest = max(cells.values(), default=0)
     for y, w in enumerate(rows):
         for x, h in enumerate(columns):
             if share := cells[w, h]:
@@ -121,43 +124,43 @@
                     ha="center",
                     va="center",
                     fontsize=8,
-                    color="white" if share > 0.6 * most else "black",
+                    color="white" if share > 0.6 * largest else "black",
                 )
-    axes.set_xticks(range(len(columns)), [_name(found, h) for h in columns], rotation=40, ha="right")
-    axes.set_yticks(range(len(rows)), [_name(found, w) for w in rows])
+    axes.set_xticks(range(len(columns)), [_holder_name(found, h) for h in columns], rotation=40, ha="right")
+    axes.set_yticks(range(len(rows)), [_holder_name(found, w) for w in rows])
     axes.set_xlabel("behind")
     axes.set_ylabel("waited")
-    return _svg(figure)
+    return _svg_markup(figure)
 
 
-def _name(found: Findings, number: int) -> str:
-    # A dollar sign would begin mathematics.
-    return (found.known.volume(number) if number > 0 else HOLDER_WORDS[number]).replace("$", r"\$")
+def _holder_name(found: Findings, number: int) -> str:
+    # matplotlib would read text between dollar signs as mathematics.
+    return (found.baseline.volume(number) if number > 0 else HOLDER_LABELS[number]).replace("$", r"\$")
 
 
-def _shelves(found: Findings) -> Markup:
-    begin = min(s.start for s in found.whole.spans)
+def _backend_plot(found: Findings) -> Markup:
+    begin = min(s.start for s in found.merged.spans)
     figure = Figure(figsize=(9, 3))
     axes = figure.add_subplot()
     named = {*found.slow, *found.stopped}
-    for number, pace in found.paces.items():
-        at = [key * found.slot_seconds - begin for key in pace.slots]
+    for number, speed in found.speeds.items():
+        at = [key * found.slot_seconds - begin for key in speed.time_slots]
         if number in named:
             n = sorted(named).index(number)
             axes.plot(
                 at,
-                list(pace.slots.values()),
+                list(speed.time_slots.values()),
                 color=COLOURS[n % 8],
                 marker="osv^D*"[n % 6],
                 markersize=4,
-                label=f"shelf {number}",
+                label=f"backend {number}",
             )
         else:
-            axes.plot(at, list(pace.slots.values()), color="#999999", linewidth=0.8)
+            axes.plot(at, list(speed.time_slots.values()), color="#999999", linewidth=0.8)
     axes.axhline(1.0, color="black", linewidth=0.5, linestyle=":")
     axes.set_ylim(bottom=0)
     axes.set_xlabel("seconds from the start of the period")
     axes.set_ylabel("times the usual")
     if named:
         axes.legend(fontsize=8)
-    return _svg(figure)
+    return _svg_markup(figure)
--- a/gorsethread/latency_attribution/site_baseline.py
+++ b/gorsethread/latency_attribution/site_baseline.py
@@ -1,12 +1,13 @@
-"""What the accounts need to know of a site."""
+"""Reads the baseline of a site file: what the attribution compares the figures of a period with."""
 
-from gorsethread.latency_attribution.causes import Known
+from gorsethread.latency_attribution.causes import SiteBaseline
 from gorsethread.site_config import site_pb2 as pb
 
 
-def known_of(site: pb.Site) -> Known:
+def baseline_of(site: pb.Site) -> SiteBaseline:
+    """Returns the names, usual rates and latency objectives that the site file sets."""
     usual = {plan.name: plan.usual for plan in site.plan}
-    return Known(
+    return SiteBaseline(
         site.name,
         {v.number: v.name for v in site.volume},
         {v.number: usual[v.plan] for v in site.volume},
--- a/gorsethread/latency_attribution/sketch.py
+++ b/gorsethread/latency_attribution/sketch.py
@@ -1,7 +1,7 @@
-"""Sums by volume where there are too many volumes to keep each: a count-min sketch, merged by adding.
+"""Sums by volume, where there are too many volumes to keep one each: a count-min sketch.
 
-Cormode and Muthukrishnan 2005: an estimate is never too low, and too high by at most e / WIDTH of all that
-was added, with probability 1 - e**-DEPTH (here 0.07% and 98%).
+Cormode and Muthukrishnan 2005: an estimate is never too low, and with probability 1 - e**-DEPTH (here 98%) it
+is too high by at most e / WIDTH (here 0.07%) of all that was added.
 """
 
 import math
@@ -12,11 +12,11 @@
 WIDTH = 4096
 DEPTH = 4
 ERROR = math.e / WIDTH
-SURE = 1.0 - math.exp(-DEPTH)
+CONFIDENCE = 1.0 - math.exp(-DEPTH)
 
 
 class Sketch:
-    """Whole numbers only, so that adding in any order gives the same."""
+    """A count-min sketch of integers, so that sketches add up to the same in any order."""
 
     __slots__ = ("cells", "total")
 
@@ -25,8 +25,8 @@
         self.total = 0
 
     @staticmethod
-    def places(volume: int) -> tuple[int, int, int, int]:
-        """The volume's cell in each row."""
+    def cells_of(volume: int) -> tuple[int, int, int, int]:
+        """Returns the index of the volume's cell in each row."""
         h = xxhash.xxh3_64_intdigest(volume.to_bytes(8, "little"))
         mask = WIDTH - 1
         return (
@@ -36,15 +36,15 @@
             3 * WIDTH + (h >> 48 & mask),
         )
 
-    def add(self, places: tuple[int, int, int, int], amount: int) -> None:
+    def add(self, indexes: tuple[int, int, int, int], amount: int) -> None:
         cells = self.cells
-        for n in places:
+        for n in indexes:
             cells[n] += amount
         self.total += amount
 
-    def estimate(self, places: tuple[int, int, int, int]) -> int:
-        """At least what was added for the volume."""
-        return min(self.cells[n] for n in places)
+    def estimate(self, indexes: tuple[int, int, int, int]) -> int:
+        """Returns an upper estimate of what was added for the volume."""
+        return min(self.cells[n] for n in indexes)
 
     def merge(self, other: "Sketch") -> None:
         if not other.total:
--- a/gorsethread/latency_attribution/window.py
+++ b/gorsethread/latency_attribution/window.py
@@ -1,6 +1,6 @@
-"""What is known of one stretch of time, in bounded memory; windows of any heads and times add up.
+"""The figures of one period of time, in bounded memory. Windows of any gateways and periods can be merged.
 
-All figures are whole microseconds and counts, so merging is associative and commutative to the last unit.
+All figures are whole microseconds and counts, so merging is exactly associative and commutative.
 """
 
 from collections.abc import Iterator, Mapping
@@ -11,78 +11,83 @@
 import numpy.typing
 
 from gorsethread.latency_attribution.sketch import WIDTH, Sketch
-from gorsethread.latency_attribution.stages import OTHERS, STAGES, UNKNOWN, WAITS
+from gorsethread.latency_attribution.stages import OTHERS, STAGES, UNKNOWN, WAITING_STAGES
 from gorsethread.scheduling.model import RequestOutcome
 
-ROWS_MOST = 512  # volumes with a row of their own, by profile, in the window of one head
-BLAMES_MOST = 4096  # entries of the matrix; past them holders and then waiters are not told apart
-BUCKETS = 2048  # more than bucket_of gives for any duration under eight hours
-PROFILES = 1 << 10
-FRESH_MOST = 1024
-DENSE = 1 << 17  # keys below this are counted in place, which is quicker than sorting them
+MAX_ROWS = 512  # pairs of volume and request class with a row of their own, in one gateway's window
+MAX_BLAME_ENTRIES = 4096  # beyond them, new holders and then new waiters are counted as OTHERS
+BUCKETS = 2048  # more than bucket_of() returns for any duration under eight hours
+MAX_REQUEST_CLASSES = 1 << 10
+MAX_PENDING = 1024
+MAX_DENSE_KEY = 1 << 17  # smaller keys are counted in an array, which is faster than sorting them
 Numbers = numpy.typing.NDArray[numpy.int64]
 
 
 class Span(NamedTuple):
-    """What one head's snapshot covers, in seconds of that head's wall clock; life tells restarts apart."""
+    """The period that one gateway's snapshot covers, in seconds of its wall clock.
 
-    head: int
-    life: int
+    incarnation: distinguishes restarts of the gateway.
+    """
+
+    gateway: int
+    incarnation: int
     start: float
     end: float
-    last: bool  # the head ended in order after it
+    last: bool  # the gateway shut down gracefully after it
 
 
-class Blamed(NamedTuple):
+class BlameKey(NamedTuple):
     waiter: int
     holder: int
-    shelf: int
+    backend: int
     stage: int
 
 
 @dataclass(slots=True)
 class Row:
-    """One volume under one profile. stages and buckets in microseconds; no time at all is in no bucket."""
+    """One volume's requests of one request class. Stages are in microseconds; zero time is in no bucket."""
 
-    lives: int = 0
-    late: int = 0  # not honoured within the promised time, though the client stayed
+    requests: int = 0
+    late: int = 0  # did not succeed within the latency objective, though the client stayed
     units: int = 0
-    life_us: int = 0
+    duration_us: int = 0
     outcomes: list[int] = field(default_factory=lambda: [0] * len(RequestOutcome))
     stages: list[int] = field(default_factory=lambda: [0] * STAGES)
-    # By stage * BUCKETS + bucket, the whole life under STAGES; as many as there are buckets at most.
+    # By stage * BUCKETS + bucket; STAGES stands for the request's duration. Bounded by the number of buckets.
     buckets: dict[int, int] = field(default_factory=dict)
-    partly: bool = False  # some of it lies in the rest
+    partial: bool = False  # some of the volume's requests are counted in the rest
 
     def merge(self, other: "Row") -> None:
-        self.lives += other.lives
+        self.requests += other.requests
         self.late += other.late
         self.units += other.units
-        self.life_us += other.life_us
+        self.duration_us += other.duration_us
         self.outcomes = [a + b for a, b in zip(self.outcomes, other.outcomes, strict=True)]
         self.stages = [a + b for a, b in zip(self.stages, other.stages, strict=True)]
         for bucket, count in other.buckets.items():
             self.buckets[bucket] = self.buckets.get(bucket, 0) + count
-        self.partly = self.partly or other.partly
+        self.partial = self.partial or other.partial
 
     @property
     def waited_us(self) -> int:
-        return sum(self.stages[s] for s in WAITS)
+        return sum(self.stages[s] for s in WAITING_STAGES)
 
 
 @dataclass(slots=True)
-class ShelfRow:
-    """One shelf. classes: by binary order of a transaction's units: count, units, work in microseconds."""
+class BackendRow:
+    """One backend. classes: by the bit length of a request's units: count, units, microseconds of service."""
 
     classes: dict[int, list[int]] = field(default_factory=dict)
-    units: dict[int, int] = field(default_factory=dict)  # honoured here, by volume; bounded like the rows
-    endings: dict[str, int] = field(default_factory=dict)
+    units: dict[int, int] = field(
+        default_factory=dict
+    )  # of successful requests, by volume; bounded like the rows
+    endings: dict[str, int] = field(default_factory=dict)  # attempts by outcome
     wait_us: int = 0
-    stalled_us: int = 0  # answered nothing though it held forwards, longer than it usually takes
+    stalled_us: int = 0  # answered nothing while attempts were in flight, for longer than usual
 
-    def worked(self, volume: int, order: int, count: int, units: int, work_us: int) -> None:
-        """So many transactions of one class, all of one volume; units and work of them together."""
-        if volume not in self.units and len(self.units) >= ROWS_MOST:
+    def add_work(self, volume: int, order: int, count: int, units: int, work_us: int) -> None:
+        """Adds count requests of one volume and one class of sizes; units and work_us are their totals."""
+        if volume not in self.units and len(self.units) >= MAX_ROWS:
             volume = OTHERS
         self.units[volume] = self.units.get(volume, 0) + units
         known = self.classes.get(order)
@@ -92,7 +97,7 @@
         known[1] += units
         known[2] += work_us
 
-    def merge(self, other: "ShelfRow") -> None:
+    def merge(self, other: "BackendRow") -> None:
         for order, known in other.classes.items():
             mine = self.classes.get(order, (0, 0, 0))
             self.classes[order] = [a + b for a, b in zip(mine, known, strict=True)]
@@ -105,194 +110,200 @@
 
 
 def shares(held: dict[int, int], us: int) -> list[tuple[int, int]]:
-    """us among holders in proportion to the units they held, to the last microsecond; unknown if none did."""
-    found = []
+    """Divides us among the holders exactly, in proportion to their units; to UNKNOWN if there are none."""
+    result = []
     left, left_units = us, sum(held.values())
     for holder, units in held.items():
         if part := left * units // left_units:
-            found.append((holder, part))
+            result.append((holder, part))
         left, left_units = left - part, left_units - units
-    return found if found or not us else [(UNKNOWN, us)]
+    return result if result or not us else [(UNKNOWN, us)]
 
 
-def sums(group: Numbers, groups: int, values: Numbers) -> list[int]:
-    """By group. Exact: what is added up stays far under 2**53."""
+def group_sums(group: Numbers, groups: int, values: Numbers) -> list[int]:
+    """Returns the sum of each group's values. Exact, as the sums stay far under 2**53."""
     return [int(v) for v in numpy.bincount(group, weights=values, minlength=groups)]
 
 
-def counted(keys: Numbers) -> Iterator[tuple[int, int]]:
-    """Each key, and how often it is there."""
-    if len(keys) and int(keys.max()) < DENSE:
-        times = numpy.bincount(keys)
-        found = numpy.nonzero(times)[0]
-        times = times[found]
+def value_counts(keys: Numbers) -> Iterator[tuple[int, int]]:
+    """Yields each distinct key and its number of occurrences."""
+    if len(keys) and int(keys.max()) < MAX_DENSE_KEY:
+        counts = numpy.bincount(keys)
+        distinct = numpy.nonzero(counts)[0]
+        counts = counts[distinct]
     else:
-        found, times = numpy.unique(keys, return_counts=True)
-    return zip(found.tolist(), times.tolist(), strict=True)
+        distinct, counts = numpy.unique(keys, return_counts=True)
+    return zip(distinct.tolist(), counts.tolist(), strict=True)
 
 
 class Window:
-    """Bounded while a head fills it; a merge keeps every row it is given, and is bounded by its inputs."""
+    """Bounded while a gateway fills it; a merge keeps every row, so it is bounded by its inputs."""
 
     def __init__(self) -> None:
         self.spans: set[Span] = set()
-        self.rows: dict[tuple[int, int], Row] = {}  # by volume and profile; emptied with the window
-        self.rest: dict[int, Row] = {}  # of volumes without a row, by profile
-        self.lives, self.waited = Sketch(), Sketch()  # of the rest, by volume
-        self.blame: dict[Blamed, int] = {}
-        self.shelves: dict[int, ShelfRow] = {}
-        self.remainders = 0  # lives whose stages did not sum to them: each is a defect
-        self.disorders = 0  # events that came out of order and were counted as if in it
-        self._fresh: list[tuple[int, ...]] = []  # emptied by settle()
-        self._adding: set[tuple[int, int]] = set()  # whose rows must stay while lives are added to them
-        self._admitted_from = 0  # lives a volume of the rest must show to take a row over
+        self.rows: dict[tuple[int, int], Row] = {}  # by volume and request class
+        self.rest: dict[int, Row] = {}  # volumes without a row of their own, by request class
+        self.rest_requests, self.rest_waits = (
+            Sketch(),
+            Sketch(),
+        )  # counts and waiting time of these, by volume
+        self.blame: dict[BlameKey, int] = {}
+        self.backends: dict[int, BackendRow] = {}
+        self.remainders = 0  # requests whose stages do not sum to their duration: each is a defect
+        self.disorders = 0  # events that arrived out of order and got the time of the event before
+        self._pending: list[tuple[int, ...]] = []  # emptied by apply_pending()
+        self._adding: set[tuple[int, int]] = set()  # rows that must stay while requests are added to them
+        self._min_admitted = 0  # requests that a volume of the rest needs to take over a row
 
     # ---- filling
 
-    def life(
+    def add_request(
         self,
         volume: int,
-        profile: int,
+        request_class: int,
         units: int,
         outcome: RequestOutcome,
         late: bool,
         stages: list[int],
-        life_us: int,
+        duration_us: int,
     ) -> None:
-        """Counted with others later; nothing is to be read before settle()."""
-        self._fresh.append((volume, profile, units, outcome, late, life_us, *stages))
-        if len(self._fresh) >= FRESH_MOST:
-            self.settle()
+        """Adds one request, to be counted with others; call apply_pending() before reading."""
+        self._pending.append((volume, request_class, units, outcome, late, duration_us, *stages))
+        if len(self._pending) >= MAX_PENDING:
+            self.apply_pending()
 
-    def settle(self) -> None:
-        if not self._fresh:
+    def apply_pending(self) -> None:
+        if not self._pending:
             return
-        table: Numbers = numpy.array(self._fresh, dtype=numpy.int64).T
-        self._fresh.clear()
-        volume, profile, units, outcome, late, life = table[:6]
-        self.together(volume, profile, units, outcome, late, dict(enumerate(table[6:])), life)
+        table: Numbers = numpy.array(self._pending, dtype=numpy.int64).T
+        self._pending.clear()
+        volume, request_class, units, outcome, late, duration = table[:6]
+        self.add_requests(volume, request_class, units, outcome, late, dict(enumerate(table[6:])), duration)
 
-    def together(
+    def add_requests(
         self,
         volume: Numbers,
-        profile: Numbers,
+        request_class: Numbers,
         units: Numbers,
         outcome: Numbers,
         late: Numbers,
         stages: Mapping[int, Numbers],
-        life: Numbers,
+        duration: Numbers,
     ) -> None:
-        """Many lives at once, as one by one each costs several times as much. Stages that are not given, and
-        the life, are microseconds; a stage that is not given took no time."""
+        """Adds many requests at once, as adding them one by one costs several times as much.
+
+        Stages and durations are in microseconds; a stage that is not given took no time.
+        """
         stages = {stage: us for stage, us in stages.items() if us.any()}
-        self.remainders += int((sum(stages.values(), numpy.zeros_like(life)) != life).sum())
-        keys, group = numpy.unique(volume * PROFILES + profile, return_inverse=True)
-        lives, several = numpy.bincount(group).tolist(), len(keys)
-        all_units, all_late = sums(group, several, units), sums(group, several, late)
-        all_life, waited = sums(group, several, life), [0] * several
-        by_stage = {stage: sums(group, several, us) for stage, us in stages.items()}
-        for wait in WAITS:
+        self.remainders += int((sum(stages.values(), numpy.zeros_like(duration)) != duration).sum())
+        keys, group = numpy.unique(volume * MAX_REQUEST_CLASSES + request_class, return_inverse=True)
+        requests, group_count = numpy.bincount(group).tolist(), len(keys)
+        all_units, all_late = group_sums(group, group_count, units), group_sums(group, group_count, late)
+        all_durations, waited = group_sums(group, group_count, duration), [0] * group_count
+        by_stage = {stage: group_sums(group, group_count, us) for stage, us in stages.items()}
+        for wait in WAITING_STAGES:
             if wait in by_stage:
                 waited = [a + b for a, b in zip(waited, by_stage[wait], strict=True)]
-        self._adding = {divmod(key, PROFILES) for key in keys.tolist()}
+        self._adding = {divmod(key, MAX_REQUEST_CLASSES) for key in keys.tolist()}
         rows = []
         for n, key in enumerate(keys.tolist()):
-            row = self.row(key // PROFILES, key % PROFILES, lives[n], waited[n])
+            row = self.row(key // MAX_REQUEST_CLASSES, key % MAX_REQUEST_CLASSES, requests[n], waited[n])
             rows.append(row)
-            row.lives += lives[n]
+            row.requests += requests[n]
             row.late += all_late[n]
             row.units += all_units[n]
-            row.life_us += all_life[n]
+            row.duration_us += all_durations[n]
             for stage, each in by_stage.items():
                 row.stages[stage] += each[n]
-        for key, times in counted(group * len(RequestOutcome) + outcome):
-            rows[key // len(RequestOutcome)].outcomes[key % len(RequestOutcome)] += times
-        every: list[tuple[int, Numbers]] = [*stages.items(), (STAGES, life)]
-        for number, us in every:
-            some = us > 0 if number != STAGES else us >= 0
-            took = us[some]
-            shift = numpy.maximum(numpy.frexp(took)[1] - 6, 0).astype(numpy.int64)
-            bucket = (shift << 6) + (took >> shift)
+        for key, count in value_counts(group * len(RequestOutcome) + outcome):
+            rows[key // len(RequestOutcome)].outcomes[key % len(RequestOutcome)] += count
+        all_times: list[tuple[int, Numbers]] = [*stages.items(), (STAGES, duration)]
+        for number, us in all_times:
+            included = us > 0 if number != STAGES else us >= 0
+            times = us[included]
+            shift = numpy.maximum(numpy.frexp(times)[1] - 6, 0).astype(numpy.int64)
+            bucket = (shift << 6) + (times >> shift)
             if number != STAGES:
-                bucket -= (bucket & 1) * (shift > 0)  # stages by pairs of buckets: half as many to count
-            found = counted(group[some] * BUCKETS + bucket)
-            for key, times in found:
-                buckets, place = rows[key // BUCKETS].buckets, number * BUCKETS + key % BUCKETS
-                buckets[place] = buckets.get(place, 0) + times
+                bucket -= (bucket & 1) * (shift > 0)  # pairs of buckets for stages: half as many to count
+            for key, count in value_counts(group[included] * BUCKETS + bucket):
+                buckets, bucket_key = rows[key // BUCKETS].buckets, number * BUCKETS + key % BUCKETS
+                buckets[bucket_key] = buckets.get(bucket_key, 0) + count
         self._adding = set()
 
-    def row(self, volume: int, profile: int, lives: int, waited: int) -> Row:
-        """Where so many of its lives, which waited so long, are to be added: its own row or the rest's."""
-        if (row := self.rows.get((volume, profile))) is not None:
+    def row(self, volume: int, request_class: int, requests: int, waited: int) -> Row:
+        """Returns the row to add a volume's requests to: its own, or the rest's.
+
+        requests, waited: how many requests are about to be added, and the microseconds that they waited.
+        """
+        if (row := self.rows.get((volume, request_class))) is not None:
             return row
-        if len(self.rows) < ROWS_MOST:
-            return self.rows.setdefault((volume, profile), Row())
-        places = Sketch.places(volume)
-        # Less what others put into each cell on average: else, at 100,000 light volumes, each looks heavy.
-        seen = self.lives.estimate(places) + lives - self.lives.total // WIDTH
-        if seen >= max(self._admitted_from, 8) or lives > 8:
-            # A volume that turned heavy late takes the lightest row's place; what it did before stays in the
-            # rest.
+        if len(self.rows) < MAX_ROWS:
+            return self.rows.setdefault((volume, request_class), Row())
+        cells = Sketch.cells_of(volume)
+        # Less what other volumes add to a cell on average: else each of 100,000 light volumes looks heavy.
+        estimated = self.rest_requests.estimate(cells) + requests - self.rest_requests.total // WIDTH
+        if estimated >= max(self._min_admitted, 8) or requests > 8:
+            # A volume that became heavy late takes the lightest row; its earlier requests stay in the rest.
             lightest = min(
                 (k for k in self.rows if k not in self._adding),
                 default=None,
-                key=lambda k: (self.rows[k].lives, k),
+                key=lambda k: (self.rows[k].requests, k),
             )
-            least = self.rows[lightest].lives if lightest else seen
-            self._admitted_from = 2 * least
-            if lightest and seen > 2 * least:
+            fewest = self.rows[lightest].requests if lightest else estimated
+            self._min_admitted = 2 * fewest
+            if lightest and estimated > 2 * fewest:
                 self._to_rest(*lightest)
-                return self.rows.setdefault((volume, profile), Row(partly=True))
-        self.lives.add(places, lives)
+                return self.rows.setdefault((volume, request_class), Row(partial=True))
+        self.rest_requests.add(cells, requests)
         if waited:
-            self.waited.add(places, waited)
-        return self.rest.setdefault(profile, Row())
-
-    def _to_rest(self, volume: int, profile: int) -> None:
-        row = self.rows.pop((volume, profile))
-        places = Sketch.places(volume)
-        self.lives.add(places, row.lives)
-        self.waited.add(places, row.waited_us)
-        self.rest.setdefault(profile, Row()).merge(row)
-
-    def blamed(self, waiter: int, holder: int, shelf: int, stage: int, us: int) -> None:
-        key = Blamed(waiter, holder, shelf, stage)
-        if key not in self.blame and len(self.blame) >= BLAMES_MOST:
-            key = Blamed(waiter, holder if holder < 0 else OTHERS, shelf, stage)
-            if key not in self.blame and len(self.blame) >= BLAMES_MOST + BLAMES_MOST // 4:
-                key = Blamed(OTHERS, holder if holder < 0 else OTHERS, shelf, stage)
+            self.rest_waits.add(cells, waited)
+        return self.rest.setdefault(request_class, Row())
+
+    def _to_rest(self, volume: int, request_class: int) -> None:
+        row = self.rows.pop((volume, request_class))
+        cells = Sketch.cells_of(volume)
+        self.rest_requests.add(cells, row.requests)
+        self.rest_waits.add(cells, row.waited_us)
+        self.rest.setdefault(request_class, Row()).merge(row)
+
+    def add_blame(self, waiter: int, holder: int, backend: int, stage: int, us: int) -> None:
+        key = BlameKey(waiter, holder, backend, stage)
+        if key not in self.blame and len(self.blame) >= MAX_BLAME_ENTRIES:
+            key = BlameKey(waiter, holder if holder < 0 else OTHERS, backend, stage)
+            if key not in self.blame and len(self.blame) >= MAX_BLAME_ENTRIES + MAX_BLAME_ENTRIES // 4:
+                key = BlameKey(OTHERS, holder if holder < 0 else OTHERS, backend, stage)
         self.blame[key] = self.blame.get(key, 0) + us
 
-    def shared_out(self, waiter: int, held: dict[int, int], shelf: int, stage: int, us: int) -> None:
+    def add_shared_blame(self, waiter: int, held: dict[int, int], backend: int, stage: int, us: int) -> None:
         for holder, part in shares(held, us):
-            self.blamed(waiter, holder, shelf, stage, part)
+            self.add_blame(waiter, holder, backend, stage, part)
 
-    def shelf(self, number: int) -> ShelfRow:
-        row = self.shelves.get(number)
-        return row if row is not None else self.shelves.setdefault(number, ShelfRow())
+    def backend(self, number: int) -> BackendRow:
+        row = self.backends.get(number)
+        return row if row is not None else self.backends.setdefault(number, BackendRow())
 
-    # ---- adding up
+    # ---- merging and reading
 
     def merge(self, other: "Window") -> None:
         self.spans |= other.spans
         for key, row in other.rows.items():
             self.rows.setdefault(key, Row()).merge(row)
-        for profile, row in other.rest.items():
-            self.rest.setdefault(profile, Row()).merge(row)
-        self.lives.merge(other.lives)
-        self.waited.merge(other.waited)
-        for blamed, us in other.blame.items():
-            self.blame[blamed] = self.blame.get(blamed, 0) + us
-        for number, shelf in other.shelves.items():
-            self.shelf(number).merge(shelf)
+        for request_class, row in other.rest.items():
+            self.rest.setdefault(request_class, Row()).merge(row)
+        self.rest_requests.merge(other.rest_requests)
+        self.rest_waits.merge(other.rest_waits)
+        for blame_key, us in other.blame.items():
+            self.blame[blame_key] = self.blame.get(blame_key, 0) + us
+        for number, backend in other.backends.items():
+            self.backend(number).merge(backend)
         self.remainders += other.remainders
         self.disorders += other.disorders
 
     def all_rows(self) -> list[Row]:
         return [*self.rows.values(), *self.rest.values()]
 
-    def asked(self) -> dict[int, int]:
-        """Units by volume, of those with rows."""
+    def requested_units(self) -> dict[int, int]:
+        """Returns the requested units of each volume that has a row."""
         units: dict[int, int] = {}
         for (volume, _), row in self.rows.items():
             units[volume] = units.get(volume, 0) + row.units
@@ -306,9 +317,9 @@
             and self.rows == other.rows
             and self.rest == other.rest
             and self.blame == other.blame
-            and self.shelves == other.shelves
-            and self.lives.cells == other.lives.cells
-            and self.waited.cells == other.waited.cells
+            and self.backends == other.backends
+            and self.rest_requests.cells == other.rest_requests.cells
+            and self.rest_waits.cells == other.rest_waits.cells
             and (self.remainders, self.disorders) == (other.remainders, other.disorders)
         )
 
--- a/gorsethread/nvme_gateway/latency_accounting.py
+++ b/gorsethread/nvme_gateway/latency_accounting.py
@@ -4,7 +4,7 @@
 
 from gorsethread.gateway.driver import Driver
 from gorsethread.gateway.held_reasons import why_held
-from gorsethread.latency_attribution.request_attribution import LOOK_EVERY, Accounts
+from gorsethread.latency_attribution.request_attribution import RECHECK_INTERVAL, LatencyAccounts
 from gorsethread.latency_attribution.snapshots import SUFFIX, encode
 from gorsethread.latency_attribution.window import Span
 from gorsethread.site_config import site_pb2 as pb
@@ -29,7 +29,7 @@
     ) -> None:
         self.transport, self.driver, self.log = transport, driver, log
         self.site_name, self.head, self.folder, self.seconds = site.name, head, folder, seconds
-        self.accounts = Accounts([p.promised for p in site.profile], transport.now())
+        self.accounts = LatencyAccounts([p.promised for p in site.profile], transport.now())
         self.start = transport.wall_time()
         self.life = int(self.start * 1e6)
         self.most = KEPT_MOST
@@ -52,10 +52,10 @@
         if self.ended:
             return
         now = self.transport.now()
-        if self.accounts.lanes:
-            for id in self.accounts.looks():
+        if self.accounts.groups:
+            for id in self.accounts.requests_to_recheck():
                 self.accounts.held(id, *why_held(self.driver.scheduler, id), now)
-        self.transport.call_at(now + LOOK_EVERY, self._look)
+        self.transport.call_at(now + RECHECK_INTERVAL, self._look)
 
     def _next(self) -> None:
         wall = self.transport.wall_time()
--- a/tests/scheduling/test_same_decisions.py
+++ b/tests/scheduling/test_same_decisions.py
@@ -10,7 +10,7 @@
 from gorsethread.gateway.driver import Driver
 from gorsethread.gateway.held_reasons import why_held
 from gorsethread.gateway.scheduler_settings import EFFECTS, IDEMPOTENCY_SCOPES
-from gorsethread.latency_attribution.request_attribution import Accounts
+from gorsethread.latency_attribution.request_attribution import LatencyAccounts
 from gorsethread.logs import log_for, start_logs
 from gorsethread.nvme.command import Opcode, io_command
 from gorsethread.nvme_gateway.backend_link import Order
@@ -200,7 +200,9 @@
         driver.links.update(links)  # type: ignore[arg-type]
         driver.shards.update({0: 0, 1: 1})
         if accounts:
-            driver.accounting.accounts = Accounts([profile.promised for profile in site.profile], clock.time)
+            driver.accounting.accounts = LatencyAccounts(
+                [profile.promised for profile in site.profile], clock.time
+            )
         clock.run_ready()
         driver.endpoints_listed([(0, 0, 0, True, 0.0), (1, 0, 1, True, 0.0)], True, True)
         for step in range(600):
@@ -240,7 +242,7 @@
         self.assertEqual({}, driver.open_requests, "every request has ended")
         self.assertEqual({}, driver.first_writes.pending)
         if driver.accounting.accounts:
-            self.assertEqual(0, driver.accounting.accounts.open)
+            self.assertEqual(0, driver.accounting.accounts.open_count)
             self.assertEqual(0, driver.accounting.accounts.window.remainders)
         return recorded, [entry[1:] for entry in recorded if entry[0] == "act"]
 
--- a/tests/test_latency_attribution_running.py
+++ b/tests/test_latency_attribution_running.py
@@ -1,11 +1,11 @@
-"""The accounts in a running head: what its snapshots say is what clients and shelves saw."""
+"""Latency attribution in a running gateway: its snapshots match what clients and backends saw."""
 
 import asyncio
 import tempfile
 from pathlib import Path
 
 from gorsethread.latency_attribution.snapshots import decode
-from gorsethread.latency_attribution.stages import SHELF, Stage
+from gorsethread.latency_attribution.stages import BACKEND, Stage
 from gorsethread.latency_attribution.window import Window
 from gorsethread.logs import log_for
 from gorsethread.nvme.command import Opcode
@@ -14,7 +14,7 @@
 from tests.rig import Rig
 
 
-class Running(Rig):
+class RunningGatewayTest(Rig):
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
@@ -27,55 +27,59 @@
         self.heads[number] = head
         return head
 
-    def kept(self) -> Window:
-        whole = Window()
+    def merged_snapshots(self) -> Window:
+        merged = Window()
         for path in sorted(Path(self.folder).glob("*.acc")):
-            whole.merge(decode(path.read_bytes(), "test"))
-        return whole
+            merged.merge(decode(path.read_bytes(), "test"))
+        return merged
 
-    async def test_every_answer_is_accounted_for(self) -> None:
+    async def test_every_answer_is_counted(self) -> None:
         await self.start_all()
         client = await self.client()
         for n in range(20):
             answers = await asyncio.gather(
                 *(self.send(client, Opcode.WRITE, 1, n * 16 + k) for k in range(4))
             )
-            self.assertEqual({"honoured"}, {how for how, _, _ in answers})
+            self.assertEqual({"honoured"}, {outcome for outcome, _, _ in answers})
         await self.heads[0].end()
-        whole = self.kept()
-        rows = whole.all_rows()
+        merged = self.merged_snapshots()
+        rows = merged.all_rows()
         self.assertEqual(80, sum(row.outcomes[RequestOutcome.SUCCEEDED] for row in rows))
-        self.assertEqual(80, sum(row.lives for row in rows))
-        self.assertEqual(0, whole.remainders)
+        self.assertEqual(80, sum(row.requests for row in rows))
+        self.assertEqual(0, merged.remainders)
         for row in rows:
-            self.assertEqual(row.life_us, sum(row.stages))
-            self.assertGreater(row.stages[Stage.WORK], row.lives * 1500, "2 ms a unit, as the shelf told")
-            self.assertGreater(row.stages[Stage.WAY_THERE], 0)
-        self.assertEqual(1, sum(span.last for span in whole.spans))
+            self.assertEqual(row.duration_us, sum(row.stages))
+            self.assertGreater(
+                row.stages[Stage.SERVICE], row.requests * 1500, "2 ms per unit, as the backend reported"
+            )
+            self.assertGreater(row.stages[Stage.OUTBOUND], 0)
+        self.assertEqual(1, sum(span.last for span in merged.spans))
 
-    async def test_a_silent_shelf_is_blamed(self) -> None:
+    async def test_a_silent_backend_is_blamed(self) -> None:
         await self.start_all()
         self.hold(0)
         client = await self.client()
-        how, _, _ = await self.send(client, Opcode.WRITE)
-        self.assertNotEqual("honoured", how)
+        outcome, _, _ = await self.send(client, Opcode.WRITE)
+        self.assertNotEqual("honoured", outcome)
         await self.heads[0].end()
         lost = {
-            (b.holder, b.shelf): us for b, us in self.kept().blame.items() if b.stage == Stage.LOST_FORWARD
+            (b.holder, b.backend): us
+            for b, us in self.merged_snapshots().blame.items()
+            if b.stage == Stage.FAILED_ATTEMPT
         }
-        self.assertEqual([(SHELF, 0)], list(lost))
-        self.assertGreater(lost[SHELF, 0], 800_000)
+        self.assertEqual([(BACKEND, 0)], list(lost))
+        self.assertGreater(lost[BACKEND, 0], 800_000)
 
-    async def test_a_folder_that_goes_away_stops_nothing(self) -> None:
+    async def test_requests_are_served_though_the_snapshot_folder_is_gone(self) -> None:
         await self.start_all()
         self.heads[0].book.folder = f"{self.folder}/gone"  # type: ignore[union-attr]
         client = await self.client()
         await asyncio.sleep(0.6)
-        how, _, _ = await self.send(client, Opcode.WRITE)
-        self.assertEqual("honoured", how)
+        outcome, _, _ = await self.send(client, Opcode.WRITE)
+        self.assertEqual("honoured", outcome)
         await self.heads[0].end()
 
-    async def test_old_files_make_room(self) -> None:
+    async def test_the_oldest_snapshots_of_the_gateway_are_removed(self) -> None:
         old = Path(self.folder) / "head-0-000000000000001.acc"
         other = Path(self.folder) / "head-1-000000000000001.acc"
         for path in (old, other):
@@ -83,5 +87,5 @@
         await self.start_all()
         self.heads[0].book.most = 2  # type: ignore[union-attr]
         await self.until(lambda: not old.exists())
-        self.assertTrue(other.exists(), "another head's")
+        self.assertTrue(other.exists(), "the snapshot of another gateway")
         await self.until(lambda: len(list(Path(self.folder).glob("head-0-*.acc"))) == 2)
--- a/tests/test_latency_causes.py
+++ b/tests/test_latency_causes.py
@@ -1,32 +1,32 @@
-"""The right cause is named, and no other, on days whose truth is known."""
+"""The causes of waiting are found, and no others, in simulated queues whose causes are known."""
 
 import unittest
 from collections.abc import Iterable
 
 from gorsethread.latency_attribution import report
 from gorsethread.latency_attribution.causes import Findings, find
-from gorsethread.latency_attribution.stages import HEAD, SHELF, Stage
+from gorsethread.latency_attribution.stages import BACKEND, GATEWAY, Stage
 from gorsethread.latency_attribution.window import Window
-from tests.queue_model import KNOWN, QueueDay
+from tests.queue_model import BASELINE, QueueDay
 
 
-def quiet_day(seed: int = 1, **how: float) -> QueueDay:
-    day = QueueDay(seed, **how)  # type: ignore[arg-type]
+def quiet_day(seed: int = 1, **options: float) -> QueueDay:
+    day = QueueDay(seed, **options)  # type: ignore[arg-type]
     for volume in range(1, 7):
         day.traffic(volume)
     return day
 
 
-def waited_for(found: Findings, volume: int) -> dict[int, float]:
-    """Parts of the volume's waiting, by holder."""
+def waiting_shares(found: Findings, volume: int) -> dict[int, float]:
+    """Returns the shares of the volume's waiting, by holder."""
     held: dict[int, int] = {}
     for (holder, _), us in found.holders(volume).items():
         held[holder] = held.get(holder, 0) + us
     return {holder: us / sum(held.values()) for holder, us in held.items()}
 
 
-class Named(unittest.TestCase):
-    def named(
+class CausesTest(unittest.TestCase):
+    def assert_named(
         self,
         found: Findings,
         slow: set[int] = frozenset(),
@@ -38,141 +38,143 @@
             (set(found.slow), set(found.floods), set(found.stopped)),
             report.top(found).sentence,
         )
-        self.assertEqual(0, found.whole.remainders)
-        self.assertEqual(0, found.whole.disorders)
+        self.assertEqual(0, found.merged.remainders)
+        self.assertEqual(0, found.merged.disorders)
 
-    def test_quiet_days_accuse_nobody(self) -> None:
+    def test_quiet_traffic_names_no_cause(self) -> None:
         for seed in range(8):
             with self.subTest(seed=seed):
                 found = quiet_day(seed).run()
-                self.named(found)
+                self.assert_named(found)
                 self.assertIn("Nothing stands out", report.top(found).sentence)
 
-    def test_slow_shelf_and_no_volume(self) -> None:
+    def test_a_slow_backend_is_named_and_no_volume(self) -> None:
         for seed in range(4):
             with self.subTest(seed=seed):
                 day = quiet_day(seed)
-                day.shelves[1].slow = 3.0
+                day.backends[1].slow = 3.0
                 found = day.run()
-                self.named(found, slow={1})
+                self.assert_named(found, slow={1})
                 self.assertAlmostEqual(3.0, found.slow[1], delta=0.3)
-                self.assertIn("shelf 1 took", report.top(found).sentence)
-                self.assertIn("times as long as its peers", report.shelf(found, 1).sentence)
-                self.assertIn("as quick as its peers", report.shelf(found, 0).sentence)
+                self.assertIn("backend 1 took", report.top(found).sentence)
+                self.assertIn("times as long as the other backends", report.backend(found, 1).sentence)
+                self.assertIn("as fast as the other backends", report.backend(found, 0).sentence)
 
-    def test_flood_through_four_heads_adds_up(self) -> None:
-        day = quiet_day(heads=4)
-        day.traffic(7, 25.0, shelf=2)
+    def test_a_flood_through_four_gateways_is_added_up(self) -> None:
+        day = quiet_day(gateways=4)
+        day.traffic(7, 25.0, backend=2)
         found = day.run()
-        self.named(found, floods={7})
+        self.assert_named(found, floods={7})
         alone = [
-            held_by(find_of(w for w in day.windows if head in {s.head for s in w.spans}), 7)
-            for head in range(4)
+            blamed_on(find_in(w for w in day.windows if gateway in {s.gateway for s in w.spans}), 7)
+            for gateway in range(4)
         ]
-        self.assertGreater(held_by(found, 7), 0.95 * sum(alone))
-        self.assertLess(max(alone), 0.5 * held_by(found, 7), "no head sees the half of it")
-        self.assertGreater(waited_for(found, 1).get(7, 0.0), 0.5)
+        self.assertGreater(blamed_on(found, 7), 0.95 * sum(alone))
+        self.assertLess(max(alone), 0.5 * blamed_on(found, 7), "no gateway sees half of it")
+        self.assertGreater(waiting_shares(found, 1).get(7, 0.0), 0.5)
         self.assertRegex(
-            report.why(found, 1).sentence, r"behind L07 on shelf 2 \(it is as quick as its peers\)"
+            report.why(found, 1).sentence, r"behind L07 on backend 2 \(it is as fast as the other backends\)"
         )
 
-    def test_slow_and_flood_on_one_shelf(self) -> None:
+    def test_a_slow_backend_with_a_flood_on_it(self) -> None:
         day = quiet_day()
-        day.shelves[0].slow = 3.0
-        day.traffic(7, 20.0, shelf=0)
+        day.backends[0].slow = 3.0
+        day.traffic(7, 20.0, backend=0)
         found = day.run()
-        self.named(found, slow={0}, floods={7})
-        parts = waited_for(found, 1)
-        self.assertGreater(parts[SHELF], 0.4, "what would not have been on a usual shelf")
+        self.assert_named(found, slow={0}, floods={7})
+        parts = waiting_shares(found, 1)
+        self.assertGreater(parts[BACKEND], 0.4, "the waiting that the usual speed would have avoided")
         self.assertGreater(parts[7], 0.15)
 
-    def test_slow_and_flood_on_different_shelves(self) -> None:
+    def test_a_slow_backend_and_a_flood_on_another_one(self) -> None:
         day = quiet_day()
-        day.shelves[0].slow = 3.0
-        day.traffic(7, 20.0, shelf=2)
+        day.backends[0].slow = 3.0
+        day.traffic(7, 20.0, backend=2)
         found = day.run()
-        self.named(found, slow={0}, floods={7})
-        self.assertNotIn((7, 0), found.holders(shelf=0))
+        self.assert_named(found, slow={0}, floods={7})
+        self.assertNotIn((7, 0), found.holders(backend=0))
 
-    def test_volume_behind_itself(self) -> None:
+    def test_a_volume_waits_behind_itself(self) -> None:
         day = QueueDay()
-        day.traffic(7, 25.0, shelf=0, heads=1)
+        day.traffic(7, 25.0, backend=0, gateways=1)
         found = day.run()
-        self.named(found, floods={7})
-        self.assertGreater(waited_for(found, 7)[7], 0.99)
-        self.assertIn("behind itself on shelf 0", report.why(found, 7).sentence)
+        self.assert_named(found, floods={7})
+        self.assertGreater(waiting_shares(found, 7)[7], 0.99)
+        self.assertIn("behind itself on backend 0", report.why(found, 7).sentence)
 
-    def test_limit_holds_a_volume_alone(self) -> None:
+    def test_a_rate_limit_delays_only_its_volume(self) -> None:
         day = quiet_day()
         day.limited[7] = (24.0, 0.0)
         day.traffic(7, 6.0)
         found = day.run()
-        self.named(found, floods={7})
-        limited = {b.waiter for b in found.blame if b.stage == Stage.LIMIT}
+        self.assert_named(found, floods={7})
+        limited = {b.waiter for b in found.blame if b.stage == Stage.RATE_LIMIT}
         self.assertEqual({7}, limited)
-        self.assertGreater(waited_for(found, 7)[HEAD], 0.8)
-        self.assertIn("the head's decision (limit)", report.why(found, 7).sentence)
-        self.assertIn("nothing held it up", report.why(found, 1).sentence)
+        self.assertGreater(waiting_shares(found, 7)[GATEWAY], 0.8)
+        self.assertIn("the gateway's decision (limit)", report.why(found, 7).sentence)
+        self.assertIn("nothing delayed it much", report.why(found, 1).sentence)
 
-    def test_paused_shelf_full_of_innocents(self) -> None:
+    def test_a_stalled_backend_is_blamed_and_not_its_queued_volumes(self) -> None:
         day = quiet_day()
         for volume in range(1, 7):
-            day.traffic(volume, 0.5, shelf=1)
-        day.shelves[1].still = (2.0, 3.6)
+            day.traffic(volume, 0.5, backend=1)
+        day.backends[1].stalled = (2.0, 3.6)
         found = day.run()
-        self.named(found, stopped={1})
-        holders = found.holders(shelf=1)
-        self.assertGreater(holders[SHELF, 1] / sum(holders.values()), 0.9)
-        self.assertIn("shelf 1 stood still", report.top(found).sentence)
+        self.assert_named(found, stopped={1})
+        holders = found.holders(backend=1)
+        self.assertGreater(holders[BACKEND, 1] / sum(holders.values()), 0.9)
+        self.assertIn("backend 1 stalled or did not answer", report.top(found).sentence)
 
-    def test_hung_shelf(self) -> None:
+    def test_a_backend_that_stops_answering_is_named(self) -> None:
         day = quiet_day()
-        day.shelves[2].hung_from = 2.0
+        day.backends[2].silent_from = 2.0
         found = day.run()
-        self.named(found, stopped={2})
-        self.assertGreater(found.paces[2].lost, 0)
+        self.assert_named(found, stopped={2})
+        self.assertGreater(found.speeds[2].lost, 0)
 
-    def test_clocks_apart(self) -> None:
-        """Heads' clocks 50 ms apart: the same lives, the same answer."""
+    def test_clock_differences_do_not_change_the_answer(self) -> None:
+        """With gateways' clocks 50 ms apart, the counts and the answer are the same."""
         answers = []
-        for skew in (0.0, 0.05):
-            day = quiet_day(3, skew=skew)
-            day.shelves[1].slow = 3.0
+        for clock_offset in (0.0, 0.05):
+            day = quiet_day(3, clock_offset=clock_offset)
+            day.backends[1].slow = 3.0
             found = day.run()
-            self.named(found, slow={1})
-            answers.append((sum(r.lives for r in found.whole.all_rows()), report.top(found).sentence))
-            self.assertEqual(len(found.slots), 12)
+            self.assert_named(found, slow={1})
+            answers.append((sum(r.requests for r in found.merged.all_rows()), report.top(found).sentence))
+            self.assertEqual(len(found.time_slots), 12)
         self.assertEqual(answers[0], answers[1])
 
-    def test_head_that_died_leaves_a_gap(self) -> None:
+    def test_missing_snapshots_of_a_gateway_are_reported(self) -> None:
         day = quiet_day()
-        day.shelves[0].slow = 3.0
+        day.backends[0].slow = 3.0
         day.run()
-        missing = [w for w in day.windows if any(s.head == 1 and 1003 <= s.start < 1006 for s in w.spans)]
+        missing = [w for w in day.windows if any(s.gateway == 1 and 1003 <= s.start < 1006 for s in w.spans)]
         self.assertEqual(3, len(missing))
-        found = find_of(w for w in day.windows if w not in missing)
-        self.assertEqual([(1, 3.0, True)], [(g.head, round(g.end - g.start, 3), g.died) for g in found.gaps])
+        found = find_in(w for w in day.windows if w not in missing)
+        self.assertEqual(
+            [(1, 3.0, True)], [(g.gateway, round(g.end - g.start, 3), g.died) for g in found.gaps]
+        )
         answer = report.top(found)
-        self.assertIn("head 1 has no figures for 3.0 s", " ".join(answer.notes))
-        self.assertTrue(answer.sure.startswith("likely"), answer.sure)
-        self.assertIn("shelf 0 took", answer.sentence)
+        self.assertIn("gateway 1 has no figures for 3.0 s", " ".join(answer.notes))
+        self.assertTrue(answer.confidence.startswith("likely"), answer.confidence)
+        self.assertIn("backend 0 took", answer.sentence)
 
-    def test_few_transactions_are_a_guess(self) -> None:
+    def test_an_answer_from_few_requests_is_called_a_guess(self) -> None:
         day = QueueDay()
         day.traffic(1, seconds=1.0)
-        self.assertTrue(report.top(day.run()).sure.startswith("a guess"))
+        self.assertTrue(report.top(day.run()).confidence.startswith("a guess"))
 
-    def test_what_changed(self) -> None:
+    def test_diff_names_a_new_cause(self) -> None:
         before, day = quiet_day(1).run(), quiet_day(2)
-        day.shelves[1].slow = 3.0
+        day.backends[1].slow = 3.0
         sentence = report.diff(before, day.run()).sentence
-        self.assertRegex(sentence, r"1\.\d\d times as long as before; new is: shelf 1 took")
+        self.assertRegex(sentence, r"1\.\d\d times as long as before; new is: backend 1 took")
         self.assertIn("nothing new", report.diff(before, quiet_day(3).run()).sentence)
 
 
-def find_of(windows: Iterable[Window]) -> Findings:
-    return find(KNOWN, list(windows))
+def find_in(windows: Iterable[Window]) -> Findings:
+    return find(BASELINE, list(windows))
 
 
-def held_by(found: Findings, holder: int) -> int:
+def blamed_on(found: Findings, holder: int) -> int:
     return sum(us for b, us in found.blame.items() if b.holder == holder)
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -245,12 +245,12 @@
         counted = 0
         for name in world.day.list_files(ACCOUNTS):
             counted += sum(
-                row.lives
+                row.requests
                 for row in decode(world.day.load(f"{ACCOUNTS}/{name}") or b"", world.site.name).all_rows()
             )
         closed = sum(h.driver.counts["requests"] for h in world.heads.values())
         still_open = sum(
-            row.lives
+            row.requests
             for h in world.heads.values()
             if h.book
             for row in h.book.accounts.close_window(h.transport.now()).all_rows()
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -75,7 +75,7 @@
     message = snapshot_pb2.Snapshot.FromString(raw[FRAME.size :])
     expected = expected_contents(SNAPSHOT.parent / "contents.json")
     assert MessageToDict(message, preserving_proto_field_name=True) == expected
-    assert sum(row.lives for row in window.rows.values()) == 59
+    assert sum(row.requests for row in window.rows.values()) == 59
     assert encode("fixture-site", window) == raw
 
 
