--- a/gorsethread/cli/accounts.py
+++ b/gorsethread/cli/accounts.py
@@ -11,7 +11,7 @@
 from rich.console import Console
 from rich.table import Table as RichTable
 
-from gorsethread.cli.options import SitePath, site_at
+from gorsethread.cli.options import SitePath, read_site_or_exit
 from gorsethread.latency_attribution import causes, report
 from gorsethread.latency_attribution.causes import Findings
 from gorsethread.latency_attribution.site_baseline import baseline_of
@@ -92,7 +92,7 @@
 
 
 def _findings(site: Path, paths: list[Path], start: float, end: float) -> Findings:
-    baseline = baseline_of(site_at(site))
+    baseline = baseline_of(read_site_or_exit(site))
     windows, refused = load(baseline.site, paths, start, end)
     for line in refused:
         typer.echo(f"refused: {line}", err=True)
@@ -187,7 +187,7 @@
     as_json: JsonOption = False,
 ) -> None:
     """Show why a volume's requests took as long as they did, and behind which volumes they waited."""
-    volumes = {v.name: v.number for v in site_at(site).volume}
+    volumes = {v.name: v.number for v in read_site_or_exit(site).volume}
     number = volumes.get(volume, int(volume) if volume.isdigit() else -1)
     if number not in volumes.values():
         typer.echo(f"{site}: volume: there is no volume {volume!r}", err=True)
--- a/gorsethread/cli/faults.py
+++ b/gorsethread/cli/faults.py
@@ -8,7 +8,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from gorsethread.cli.options import SitePath, site_at, tell, write_json
+from gorsethread.cli.options import SitePath, print_error, read_site_or_exit, write_json
 from gorsethread.experiments.script_comparison import beside
 from gorsethread.harness.process_faults import unplayable
 from gorsethread.harness.site import PARTIES, PLAYED
@@ -69,7 +69,7 @@
     except OSError as error:
         typer.echo(f"{what}: {error.strerror}", err=True)
     except BadScript as bad:
-        tell(bad, what)
+        print_error(bad, what)
     raise typer.Exit(2)
 
 
@@ -99,7 +99,7 @@
     json_path: JsonPath = "",
 ) -> None:
     """Plays the worlds of many seeds. Status 0: every rule held in each, and nothing was left behind."""
-    known, wanted, planted = site_at(site), _seeds(seeds), _mutant(mutant, web, kept)
+    known, wanted, planted = read_site_or_exit(site), _seeds(seeds), _mutant(mutant, web, kept)
     console = Console(stderr=json_path == "-")
     summary, began = Summary(), wall_seconds()
     for played in play_many(known, wanted, at_once, planted, web, kept):
@@ -163,7 +163,7 @@
     ] = False,
 ) -> None:
     """Plays one world twice, checks that it was the same history, and tells it. Status 0: every rule held."""
-    known = site_at(site)
+    known = read_site_or_exit(site)
     script, planted = _script(known, what, web, kept), _mutant(mutant, web, kept)
     console = Console(stderr=json_path == "-")
     console.print(str(script), markup=False, highlight=False)
@@ -212,7 +212,7 @@
 ) -> None:
     """Cuts a failing world down to the few faults and volumes that matter; the script comes on standard
     output. Status 2: it does not fail."""
-    known, planted = site_at(site), _mutant(mutant, web, kept)
+    known, planted = read_site_or_exit(site), _mutant(mutant, web, kept)
     console = Console(stderr=True)
     try:
         small = shrink(
@@ -237,7 +237,7 @@
 @app.command()
 def compare(what: What, site: SitePath = DEFAULT_SITE, json_path: JsonPath = "") -> None:
     """Plays one script on real sockets, every process on its own, and on the virtual clock, side by side."""
-    known = site_at(site)
+    known = read_site_or_exit(site)
     script = _script(known, what)
     if no := unplayable(script, PLAYED, PARTIES):
         typer.echo(f"{what}: real processes are not put through: {'; '.join(no)}", err=True)
@@ -272,7 +272,7 @@
         for name in chosen:
             typer.echo(name)
         return
-    known, console = site_at(site), Console(stderr=json_path == "-")
+    known, console = read_site_or_exit(site), Console(stderr=json_path == "-")
     table = Table("planted defect", "first seed that shows it", "as")
     caught: dict[str, Any] = {}
     for name in chosen:
--- a/gorsethread/cli/fleet.py
+++ b/gorsethread/cli/fleet.py
@@ -1,4 +1,4 @@
-"""gorsethread fleet: what heads know of each other."""
+"""gorsethread fleet: shows which gateways one gateway of a fleet believes to be running."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -18,59 +18,68 @@
 from gorsethread.site_config.reading import BadSite, read_site, split_address
 from gorsethread.transport.real import RealTransport, run
 
-app = typer.Typer(name="fleet", no_args_is_help=True, help="What heads know of each other.")
+app = typer.Typer(
+    name="fleet", no_args_is_help=True, help="Show the fleet's members, as one of its gateways sees them."
+)
 Fleet = Annotated[
     int,
     typer.Option(
-        help="Which fleet, as its heads' logs name it; messages of another are "
-        "not listened to. Not needed with --site."
+        help="The fleet's number, as its gateways' logs give it; messages of other fleets are ignored. "
+        "Not needed with --site."
     ),
 ]
 Head = Annotated[
-    str, typer.Option(help="Where the head's datagrams come in, on this machine; with --site " "its number.")
+    str,
+    typer.Option(
+        help="host:port where the gateway receives datagrams, on this machine; with --site, its number."
+    ),
 ]
-Site = Annotated[str, typer.Option(help="The site file (protobuf text format) that the head runs by.")]
-Json = Annotated[str, typer.Option("--json", help="Write it here; - for standard output.")]
+Site = Annotated[str, typer.Option(help="The site file (protobuf text format) that the gateway runs with.")]
+Json = Annotated[str, typer.Option("--json", help="Write the result as JSON here; - for standard output.")]
 
+# Names of a record's fields in the JSON output, where they differ from those in MemberRecord.
 JSON_NAMES = {"member": "name", "incarnation": "life", "refutation": "incarnation", "reported_by": "by"}
 
 
-def _end(text: str) -> typer.Exit:
+def _exit_with(text: str) -> typer.Exit:
+    """Prints an error and returns the exit with status 2, to be raised."""
     typer.echo(text, err=True)
     return typer.Exit(2)
 
 
 def address_of(text: str, name: str) -> Address:
+    """Parses the host:port of the option called name; exits with status 2 if it is invalid."""
     try:
         host, port = split_address(text)
     except ValueError:
         host, port = "", 0
     if not host or not 0 < port < 65536:
-        raise _end(f"--{name}: {text!r} is no host:port")
+        raise _exit_with(f"--{name}: {text!r} is not host:port")
     return host, port
 
 
-def _whom(head: str, fleet: int, site: str) -> tuple[Address, int]:
+def _target(head: str, fleet: int, site: str) -> tuple[Address, int]:
+    """Returns the address of the gateway to ask and its fleet's number; exits with status 2 if not found."""
     if not site:
         return address_of(head, "head"), fleet
     try:
         known = read_site(Path(site))
-    except BadSite as bad:
-        raise _end("\n".join(bad.lines)) from None
+    except BadSite as error:
+        raise _exit_with("\n".join(error.lines)) from None
     except OSError as error:
-        raise _end(f"{site}: {error.strerror}") from None
+        raise _exit_with(f"{site}: {error.strerror}") from None
     at = next((h.peers for h in known.head if str(h.number) == head), None)
     if not at:
-        raise _end(
-            f"--head: {site} has no head {head!r}"
+        raise _exit_with(
+            f"--head: {site} has no gateway {head!r}"
             if at is None
-            else f"--head: head {head} of {site} has no address for peers"
+            else f"--head: gateway {head} of {site} has no address for its peers"
         )
     return address_of(at, "head"), fleet_of(known)
 
 
-def _asked(question: Callable[[RealTransport], Awaitable[Any]], command: str) -> Any:
-    """What came of it; status 2 where no answer did."""
+def _ask_or_exit(question: Callable[[RealTransport], Awaitable[Any]], command: str) -> Any:
+    """Returns the answer to a question; exits with status 2 if there is none."""
     found: dict[str, Any] = {}
 
     async def work(transport: RealTransport) -> None:
@@ -81,50 +90,55 @@
 
     run(work)
     if "error" in found:
-        raise _end(f"fleet {command}: {found['error']}")
+        raise _exit_with(f"fleet {command}: {found['error']}")
     return found["answer"]
 
 
-def _state(w: MemberRecord) -> str:
-    return MemberState(w.state).name.lower()
+def _state(record: MemberRecord) -> str:
+    return MemberState(record.state).name.lower()
 
 
-def record_as_json(w: MemberRecord) -> dict[str, Any]:
-    """A record under the names of its fields in this command's JSON."""
-    fields = w._asdict()
+def record_as_json(record: MemberRecord) -> dict[str, Any]:
+    """Returns a record's fields under their names in the JSON output."""
+    fields = record._asdict()
     return {JSON_NAMES.get(name, name): value for name, value in fields.items()}
 
 
 @app.callback()
 def fleet() -> None:
-    """What heads know of each other."""
+    """Show the fleet's members, as one of its gateways sees them."""
 
 
 @app.command()
 def show(head: Head, fleet: Fleet = 0, site: Site = "", json_path: Json = "") -> None:
-    """One head's view: each head's state and life, its place, who said so. Status 2: no answer."""
-    address, which = _whom(head, fleet, site)
-    shown: Any = _asked(lambda transport: ask(transport, address, which), "show")
-    table = Table("head", "state", "life", "incarnation", "zone", "address", "said by")
-    for _, w in sorted(shown.words.items()):
+    """Show one gateway's membership view: state, incarnation and address of each member, and who reported it.
+
+    Exit status 2: no answer.
+    """
+    address, which = _target(head, fleet, site)
+    shown: Any = _ask_or_exit(lambda transport: ask(transport, address, which), "show")
+    table = Table("head", "state", "life", "incarnation", "zone", "address", "reported by")
+    for _, record in sorted(shown.words.items()):
         table.add_row(
-            str(w.member),
-            _state(w),
-            str(w.incarnation),
-            str(w.refutation),
-            str(w.zone),
-            f"{w.host}:{w.port}",
-            str(w.reported_by),
+            str(record.member),
+            _state(record),
+            str(record.incarnation),
+            str(record.refutation),
+            str(record.zone),
+            f"{record.host}:{record.port}",
+            str(record.reported_by),
         )
     console = Console(stderr=json_path == "-")
     console.print(table)
-    console.print(f"head {shown.me.member}: {', '.join(shown.own) or 'not settled'}; view {shown.digest:08x}")
+    console.print(
+        f"gateway {shown.me.member}: {', '.join(shown.own) or 'not settled'}; view {shown.digest:08x}"
+    )
     write_json(
         {
             "head": shown.me.member,
             "own": shown.own,
             "digest": shown.digest,
-            "words": [record_as_json(w) for _, w in sorted(shown.words.items())],
+            "words": [record_as_json(record) for _, record in sorted(shown.words.items())],
         },
         json_path,
     )
@@ -132,18 +146,25 @@
 
 @app.command()
 def history(head: Head, fleet: Fleet = 0, site: Site = "", json_path: Json = "") -> None:
-    """The changes of one head's view that it keeps, oldest first. Status 2: no answer."""
-    address, which = _whom(head, fleet, site)
-    found: list[tuple[float, MemberRecord]] = _asked(
+    """Show the changes that one gateway keeps of its view, oldest first. Exit status 2: no answer."""
+    address, which = _target(head, fleet, site)
+    found: list[tuple[float, MemberRecord]] = _ask_or_exit(
         lambda transport: ask_past(transport, address, which), "history"
     )
-    table = Table("seconds ago", "head", "state", "life", "incarnation", "said by")
-    for age, w in found:
+    table = Table("seconds ago", "head", "state", "life", "incarnation", "reported by")
+    for age, record in found:
         table.add_row(
-            f"{age:.1f}", str(w.member), _state(w), str(w.incarnation), str(w.refutation), str(w.reported_by)
+            f"{age:.1f}",
+            str(record.member),
+            _state(record),
+            str(record.incarnation),
+            str(record.refutation),
+            str(record.reported_by),
         )
     Console(stderr=json_path == "-").print(table)
-    write_json({"changes": [{"seconds_ago": age, **record_as_json(w)} for age, w in found]}, json_path)
+    write_json(
+        {"changes": [{"seconds_ago": age, **record_as_json(record)} for age, record in found]}, json_path
+    )
 
 
 @app.command()
@@ -151,16 +172,16 @@
     head: Head,
     fleet: Fleet = 0,
     site: Site = "",
-    every: Annotated[float, typer.Option(help="Seconds between two looks.")] = 1.0,
-    seconds: Annotated[float, typer.Option("--for", help="Seconds to watch; 0: until ended.")] = 0.0,
+    every: Annotated[float, typer.Option(help="Seconds between two requests for the view.")] = 1.0,
+    seconds: Annotated[float, typer.Option("--for", help="Seconds to watch; 0: until interrupted.")] = 0.0,
 ) -> None:
-    """Tells each change of one head's view as it comes, a line each, and when the head does not answer."""
+    """Print each change of one gateway's view as it happens, and when the gateway does not answer."""
     if every < 0.1 or seconds < 0:
-        raise _end("--every is 0.1 or more, --for 0 or more")
-    address, which = _whom(head, fleet, site)
+        raise _exit_with("--every must be 0.1 or more, --for 0 or more")
+    address, which = _target(head, fleet, site)
 
-    async def look(transport: RealTransport) -> None:
-        before: Shown | None = None
+    async def poll(transport: RealTransport) -> None:
+        previous: Shown | None = None
         answered, begun = True, transport.now()
         while not seconds or transport.now() < begun + seconds:
             try:
@@ -170,24 +191,27 @@
                     typer.echo(f"{transport.now() - begun:8.1f}  {error}")
                 answered = False
             else:
-                for line in _differences(before, shown, not answered):
+                for line in _differences(previous, shown, not answered):
                     typer.echo(f"{transport.now() - begun:8.1f}  {line}")
-                before, answered = shown, True
+                previous, answered = shown, True
             await transport.sleep(every)
 
-    _asked(look, "watch")
-
-
-def _differences(before: Shown | None, now: Shown, back: bool) -> list[str]:
-    """Lines for what one look found that the one before had not."""
-    lines = ["it answers again"] if back else []
-    if before is None or before.own != now.own:
-        lines.append(f"head {now.me.member if now.me else '?'}: {', '.join(now.own) or 'not settled'}")
-    for name, w in sorted(now.words.items()):
-        old = before.words.get(name) if before else None
-        if old is None or (old.incarnation, old.state) != (w.incarnation, w.state):
-            was = f", was {_state(old)}" if old is not None and old.incarnation == w.incarnation else ""
-            lines.append(f"head {name} is {_state(w)}{was}, life {w.incarnation}, says head {w.reported_by}")
+    _ask_or_exit(poll, "watch")
+
+
+def _differences(previous: Shown | None, now: Shown, back: bool) -> list[str]:
+    """Returns a line for each difference from the view before. back: the gateway had not answered before."""
+    lines = ["the gateway answers again"] if back else []
+    if previous is None or previous.own != now.own:
+        lines.append(f"gateway {now.me.member if now.me else '?'}: {', '.join(now.own) or 'not settled'}")
+    for name, record in sorted(now.words.items()):
+        old = previous.words.get(name) if previous else None
+        if old is None or (old.incarnation, old.state) != (record.incarnation, record.state):
+            was = f", was {_state(old)}" if old is not None and old.incarnation == record.incarnation else ""
+            lines.append(
+                f"gateway {name} is {_state(record)}{was}, incarnation {record.incarnation}, "
+                f"reported by gateway {record.reported_by}"
+            )
     return lines
 
 
@@ -200,7 +224,7 @@
     zone: int = 0,
     contact: Annotated[list[str] | None, typer.Option()] = None,
 ) -> None:
-    """A process that keeps a view of the fleet and nothing else, until SIGTERM."""
+    """Run a process that only keeps a membership view of the fleet, until SIGTERM."""
     start_logs(True)
     here = address_of(address, "address")
     known = tuple(address_of(c, "contact") for c in contact or [])
--- a/gorsethread/cli/lab.py
+++ b/gorsethread/cli/lab.py
@@ -13,7 +13,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from gorsethread.cli.options import SitePath, site_at, tell, write_json
+from gorsethread.cli.options import SitePath, print_error, read_site_or_exit, write_json
 from gorsethread.experiments.branch import script_of as branch_script
 from gorsethread.experiments.durable_log import NotThere
 from gorsethread.experiments.durable_log import compared as compared_records
@@ -56,7 +56,7 @@
 
     Exit status 0: at least 95% right, under 2% accused on quiet days, nothing left over, every rule held.
     """
-    known = site_at(site)
+    known = read_site_or_exit(site)
     first, _, last = seeds.partition("..")
     try:
         wanted = list(range(int(first), int(last or first) + 1))
@@ -293,7 +293,7 @@
     if processes < 6 or seconds < 10 or factor <= 0:
         typer.echo("--processes is 6 or more, --seconds 10 or more, --factor over 0", err=True)
         raise typer.Exit(2)
-    known = site_at(site)
+    known = read_site_or_exit(site)
     _played(Trial, known, script_of(seed, processes, seconds, factor), json_path)
 
 
@@ -317,7 +317,7 @@
             err=True,
         )
         raise typer.Exit(2)
-    known, console = site_at(site), Console(stderr=True)
+    known, console = read_site_or_exit(site), Console(stderr=True)
     start_logs(True, "critical")
     if virtual:
         both = [in_world(known, processes, shelves, seed, factor, kinds, alone) for alone in (False, True)]
@@ -374,7 +374,7 @@
 ) -> None:
     """Real heads of a branch whose link goes, that die and lose disks meanwhile and in replay. Status 0:
     all that was accepted is in effect, once and in causal order, or waits for a person; every rule held."""
-    known = site_at(site)
+    known = read_site_or_exit(site)
     if not known.branch or processes != len(known.head) or cycles < 1 or factor <= 0:
         typer.echo(
             f"--site needs a branch, --processes is its heads' number ({len(known.head)}), --cycles "
@@ -426,7 +426,7 @@
     try:
         run(work, 1)
     except NotThere as trouble:
-        tell(trouble)
+        print_error(trouble)
         raise typer.Exit(2) from None
     table = Table(
         "waiting at once", "kept a second, log over store (quartiles)", "1 in 100 takes", "flushes a record"
@@ -462,7 +462,7 @@
         typer.echo(f"{script}: {error.strerror}", err=True)
         raise typer.Exit(2) from None
     except BadScript as bad:
-        tell(bad, script or "the short form")
+        print_error(bad, script or "the short form")
         raise typer.Exit(2) from None
     console = Console(stderr=True)
     found: dict[str, Any] = {}
--- a/gorsethread/cli/main.py
+++ b/gorsethread/cli/main.py
@@ -15,7 +15,7 @@
 from rich.table import Table
 
 from gorsethread.cli import accounts, branch, faults, fleet, lab, records
-from gorsethread.cli.options import SitePath, site_at, write_json
+from gorsethread.cli.options import SitePath, read_site_or_exit, write_json
 from gorsethread.errors import GorsethreadError
 from gorsethread.experiments import bench as benches
 from gorsethread.experiments.alternate import Alternating
@@ -123,7 +123,7 @@
 ) -> None:
     """Runs a head: clients in, decisions, shelves out. SIGTERM ends it in order."""
     start_logs(log is LogForm.json, log_level)
-    known = site_at(site)
+    known = read_site_or_exit(site)
     if head not in {h.number for h in known.head}:
         typer.echo(f"{site}: head: there is no head {head}", err=True)
         raise typer.Exit(2)
@@ -180,7 +180,7 @@
 ) -> None:
     """Runs a stand-in shelf. Exit status 3: it was pushed over while cold."""
     start_logs(log is LogForm.json)
-    known = site_at(site)
+    known = read_site_or_exit(site)
     if shelf not in {s.number for s in known.shelf}:
         typer.echo(f"{site}: shelf: there is no shelf {shelf}", err=True)
         raise typer.Exit(2)
@@ -208,7 +208,7 @@
 ) -> None:
     """Runs the stand-in node list."""
     start_logs(log is LogForm.json)
-    known = site_at(site)
+    known = read_site_or_exit(site)
     logger = log_for(list=known.name)
 
     def make(transport: RealTransport) -> NodeList:
@@ -232,7 +232,7 @@
 ) -> None:
     """Plays one tenant's applications, open-loop, for a bounded time."""
     start_logs(log is LogForm.json)
-    known = site_at(site)
+    known = read_site_or_exit(site)
     if tenant not in {t.name for t in known.tenant}:
         typer.echo(f"{site}: tenant: there is no tenant {tenant!r}", err=True)
         raise typer.Exit(2)
@@ -259,7 +259,7 @@
 @app.command("check-site")
 def check_site(site: Annotated[Path, typer.Argument(help="The site file.")]) -> None:
     """Reads a site file and says what is wrong with it, line by line, or what it holds."""
-    s = site_at(site)
+    s = read_site_or_exit(site)
     typer.echo(
         f"{site}: good: {len(s.head)} heads, {len(s.shelf)} shelves, {len(s.profile)} profiles, "
         f"{len(s.plan)} plans, {len(s.tenant)} tenants, {len(s.volume)} volumes"
@@ -328,7 +328,7 @@
     ] = 1.0,
 ) -> None:
     """Plays a bad day with every process on its own and judges the seven rules. Status 0: every rule held."""
-    known = site_at(site)
+    known = read_site_or_exit(site)
     kinds = () if troubles == "none" else tuple(t.strip() for t in troubles.split(","))
     if unknown := [t for t in kinds if t not in TROUBLES]:
         typer.echo(f"--troubles: unknown {', '.join(unknown)}; there are {', '.join(TROUBLES)}", err=True)
@@ -424,7 +424,7 @@
 ) -> None:
     """One process round the head in a bench."""
     start_logs(False, "warning")
-    known = site_at(site)
+    known = read_site_or_exit(site)
     logger = log_for(peer=kind.value)
     if kind is Peer.relay:
         _serve(lambda transport: Relay(transport, known, number, logger), 0, logger)
@@ -445,7 +445,7 @@
             logger,
         )
     elif kind is Peer.turns:
-        sites = [known, site_at(other)]
+        sites = [known, read_site_or_exit(other)]
         result = _run_async(
             lambda transport: TurnLoad(transport, sites, depth, start_at, stretches).run(), number
         )
--- a/gorsethread/cli/options.py
+++ b/gorsethread/cli/options.py
@@ -1,4 +1,4 @@
-"""Options that several commands share."""
+"""Options and helpers that several commands share."""
 
 import json
 import sys
@@ -14,23 +14,23 @@
 SitePath = Annotated[Path, typer.Option("--site", help="The site file (protobuf text format).")]
 
 
-def tell(trouble: GorsethreadError, place: str = "") -> None:
-    """On standard error: each fault, and what can be done."""
-    for line in trouble.lines:
-        typer.echo(f"{place}: {line}" if place else line, err=True)
+def print_error(error: GorsethreadError, source: str = "") -> None:
+    """Prints an error and what can be done about it on standard error. source: a prefix for each line."""
+    for line in error.lines:
+        typer.echo(f"{source}: {line}" if source else line, err=True)
 
 
-def site_at(path: Path) -> pb.Site:
-    """Exits with 2, its faults told, where it is no good."""
+def read_site_or_exit(path: Path) -> pb.Site:
+    """Returns the site file's contents; if it is invalid, prints its faults and exits with status 2."""
     try:
         return read_site(path)
-    except BadSite as bad:
-        tell(bad)
+    except BadSite as error:
+        print_error(error)
         raise typer.Exit(2) from None
 
 
 def write_json(result: dict[str, Any], path: str) -> None:
-    """Where --json says: a file, - for standard output, "" for nowhere."""
+    """Writes the result as JSON to path: a file, "-" for standard output, or "" for nowhere."""
     text = json.dumps(result, indent=1) + "\n"
     if path == "-":
         sys.stdout.write(text)
--- a/gorsethread/cli/records.py
+++ b/gorsethread/cli/records.py
@@ -1,4 +1,4 @@
-"""gorsethread records: what a folder of records holds, read without the head."""
+"""gorsethread records: reads a folder of durable records without its gateway."""
 
 from collections import Counter
 from pathlib import Path
@@ -9,7 +9,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from gorsethread.cli.options import tell, write_json
+from gorsethread.cli.options import print_error, write_json
 from gorsethread.durable_log.recovery import (
     LOSS_ACCEPTED_FILE,
     RecoveredLog,
@@ -18,32 +18,37 @@
 )
 from gorsethread.errors import GorsethreadError
 
-app = typer.Typer(name="records", no_args_is_help=True, help="What a folder of records holds.")
-Folder = Annotated[Path, typer.Argument(help="The folder given to a head by --records.")]
-Json = Annotated[str, typer.Option("--json", help="Write it here; - for standard output.")]
+app = typer.Typer(
+    name="records", no_args_is_help=True, help="Read a folder of durable records without its gateway."
+)
+Folder = Annotated[Path, typer.Argument(help="The folder given to a gateway by --records.")]
+Json = Annotated[str, typer.Option("--json", help="Write the result as JSON here; - for standard output.")]
 
 
-class NoRecords(GorsethreadError):
-    """There is no folder, or nothing of a head's records in it."""
+class NoRecordsError(GorsethreadError):
+    """The folder does not exist, or has no records of a gateway."""
 
-    action = "Name the folder that the head was given by --records."
+    action = "Name the folder that was given to the gateway by --records."
 
 
 @app.callback()
 def records() -> None:
-    """What a folder of records holds, read without the head."""
+    """Read a folder of durable records without its gateway."""
 
 
-def _stores(folder: Path) -> list[Path]:
-    """The own records in it, and each copy held for another head."""
+def _log_folders(folder: Path) -> list[Path]:
+    """Returns the folders of the gateway's own records and of each copy kept for another gateway."""
     found = [p for p in (*folder.glob("own-*"), *folder.glob("copies/head-*")) if p.is_dir()]
     if not found:
-        raise NoRecords(f"{folder}: there are no records")
+        raise NoRecordsError(f"{folder}: there are no records")
     return sorted(found)
 
 
 def _read(store: Path) -> RecoveredLog:
-    """As a head would; whose they are is read from them. A head at work may remove a segment meanwhile."""
+    """Recovers a log as a gateway would, except that the fleet's number is not checked.
+
+    A running gateway may remove a segment meanwhile.
+    """
     files: dict[str, bytes] = {}
     for path in sorted(store.iterdir()):
         if parse_segment_file_name(path.name) is not None:
@@ -55,29 +60,29 @@
     return recover(files, None, int(number) if number.isdigit() else None)
 
 
-def _shown(folder: Path, store: Path) -> dict[str, Any]:
-    r = _read(store)
-    begins = [s.header for _, s in r.files if s is not None]
+def _summary(folder: Path, store: Path) -> dict[str, Any]:
+    recovered = _read(store)
+    headers = [segment.header for _, segment in recovered.files if segment is not None]
     return {
         "what": str(store.relative_to(folder)),
-        "fleet": begins[0].fleet if begins else None,
-        "life": r.newest[0],
-        "last": list(r.table.last),
-        "extents": len(r.table.placements()),
-        "segments": len(r.files),
+        "fleet": headers[0].fleet if headers else None,
+        "life": recovered.newest[0],
+        "last": list(recovered.table.last),
+        "extents": len(recovered.table.placements()),
+        "segments": len(recovered.files),
         "bytes": sum(p.stat().st_size for p in store.iterdir()),
-        "torn_bytes": r.torn_bytes,
-        "whole": r.complete,
-        "empty": r.empty,
-        "faults": r.faults,
+        "torn_bytes": recovered.torn_bytes,
+        "whole": recovered.complete,
+        "empty": recovered.empty,
+        "faults": recovered.faults,
     }
 
 
-def _each(folder: Path) -> list[dict[str, Any]]:
+def _summaries(folder: Path) -> list[dict[str, Any]]:
     try:
-        return [_shown(folder, store) for store in _stores(folder)]
-    except GorsethreadError as trouble:
-        tell(trouble)
+        return [_summary(folder, store) for store in _log_folders(folder)]
+    except GorsethreadError as error:
+        print_error(error)
         raise typer.Exit(2) from None
     except OSError as error:
         typer.echo(f"{folder}: {error.strerror}", err=True)
@@ -86,18 +91,18 @@
 
 @app.command()
 def show(folder: Folder, json_path: Json = "") -> None:
-    """What is kept: the head's own records, and copies of other heads'."""
-    found = _each(folder)
+    """Show what is stored: the gateway's own records, and copies of other gateways' records."""
+    found = _summaries(folder)
     table = Table("records", "life", "last", "extents", "segments", "bytes", "whole")
-    for one in found:
+    for log in found:
         table.add_row(
-            one["what"],
-            str(one["life"]),
-            str(one["last"][1]),
-            str(one["extents"]),
-            str(one["segments"]),
-            str(one["bytes"]),
-            "yes" if one["whole"] else "NO",
+            log["what"],
+            str(log["life"]),
+            str(log["last"][1]),
+            str(log["extents"]),
+            str(log["segments"]),
+            str(log["bytes"]),
+            "yes" if log["whole"] else "NO",
         )
     Console(stderr=json_path == "-").print(table)
     write_json({"records": found}, json_path)
@@ -105,22 +110,22 @@
 
 @app.command()
 def verify(folder: Folder, json_path: Json = "") -> None:
-    """Reads every frame. Status 0: nothing is lost; 1: something is, said by file and bytes."""
-    found = _each(folder)
-    for one in found:
-        for fault in one["faults"]:
-            typer.echo(f"{one['what']}/{fault}")
-        if one["torn_bytes"]:
+    """Read every frame. Exit status 0: nothing is lost; 1: something is, listed by file and bytes."""
+    found = _summaries(folder)
+    for log in found:
+        for fault in log["faults"]:
+            typer.echo(f"{log['what']}/{fault}")
+        if log["torn_bytes"]:
             typer.echo(
-                f"{one['what']}: {one['torn_bytes']} bytes at an end are no whole record, as a kill "
-                "leaves them; nothing that was promised is lost by that"
+                f"{log['what']}: {log['torn_bytes']} bytes at the end of a file are an incomplete record, as "
+                "a kill leaves it; no record that was acknowledged is lost by that"
             )
-    bad = [one["what"] for one in found if not one["whole"]]
-    typer.echo(f"{len(found)} read; lost something: {', '.join(bad) or 'none'}")
+    bad = [log["what"] for log in found if not log["whole"]]
+    typer.echo(f"{len(found)} logs read; with lost records: {', '.join(bad) or 'none'}")
     if bad:
         typer.echo(
-            "to do: start the head while the others serve, it fetches what they hold; if these are "
-            "gone for good: gorsethread records accept",
+            "to do: start the gateway while the others serve: it fetches the records that they hold copies "
+            "of. If these are lost for good, run 'gorsethread records accept'",
             err=True,
         )
     write_json({"records": found}, json_path)
@@ -130,32 +135,31 @@
 @app.command()
 def export(
     folder: Folder,
-    to: Annotated[str, typer.Option(help="Write here; none: standard output.")] = "",
+    to: Annotated[str, typer.Option(help="File to write to; by default standard output.")] = "",
 ) -> None:
-    """Every record that holds, one JSON object a line: whose, its number, what it says."""
+    """Print every record in effect, one JSON object per line: its log, its number and its contents."""
     lines: list[bytes] = []
     counts: Counter[str] = Counter()
     try:
-        for store in _stores(folder):
-            for r in sorted(_read(store).table.records.values()):
-                kind = str(r.fact.__struct_config__.tag)
+        for store in _log_folders(folder):
+            for record in sorted(_read(store).table.records.values()):
+                fact = record.fact
+                kind = str(fact.__struct_config__.tag)
                 counts[kind] += 1
-                said = dict(
-                    zip(r.fact.__struct_encode_fields__, msgspec.structs.astuple(r.fact), strict=True)
-                )
+                fields = dict(zip(fact.__struct_encode_fields__, msgspec.structs.astuple(fact), strict=True))
                 lines.append(
                     msgspec.json.encode(
                         {
                             "of": str(store.relative_to(folder)),
-                            "life": r.number[0],
-                            "place": r.number[1],
+                            "life": record.number[0],
+                            "place": record.number[1],
                             "says": kind,
-                            **said,
+                            **fields,
                         }
                     )
                 )
-    except GorsethreadError as trouble:
-        tell(trouble)
+    except GorsethreadError as error:
+        print_error(error)
         raise typer.Exit(2) from None
     text = b"".join(line + b"\n" for line in lines).decode()
     if to:
@@ -166,9 +170,13 @@
 
 
 @app.command()
-def accept(folder: Folder, head: Annotated[int, typer.Option(help="Whose own records.")]) -> None:
-    """Says that what is lost of a head's own records is lost: it places anew what it does not know. Data of
-    extents that only the lost records told of can't be found by this head any more."""
+def accept(
+    folder: Folder, head: Annotated[int, typer.Option(help="Number of the gateway whose records they are.")]
+) -> None:
+    """Accept the loss of a gateway's own records: it will place extents anew that it has no record of.
+
+    This gateway can no longer find the data of extents whose place only the lost records named.
+    """
     own = folder / f"own-{head}"
     try:
         own.mkdir(parents=True, exist_ok=True)
@@ -176,4 +184,4 @@
     except OSError as error:
         typer.echo(f"{own}: {error.strerror}", err=True)
         raise typer.Exit(2) from None
-    typer.echo(f"{own}: accepted; a head that is at work takes it within a second")
+    typer.echo(f"{own}: accepted; a running gateway notices it within a second")
--- a/tests/test_durable_log.py
+++ b/tests/test_durable_log.py
@@ -270,7 +270,7 @@
         status, text = self.run_command("verify", str(self.folder))
         self.assertEqual(1, status)
         self.assertIn(f"own-0/{path.name}: bytes", text)
-        self.assertIn("to do: start the head while the others serve", text)
+        self.assertIn("to do: start the gateway while the others serve", text)
         self.assertEqual(bytes(data), path.read_bytes())
 
     def test_invalid_folders_exit_with_status_2(self) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -138,7 +138,7 @@
             (("fleet", "show", "--head", "127.0.0.1:9"), "no answer"),
             (("fleet", "history", "--head", "127.0.0.1:9"), "no answer"),
             (("fleet", "watch", "--head", "127.0.0.1:9", "--every", "0"), "0.1 or more"),
-            (("fleet", "show", "--head", "9", "--site", "deploy/site.txtpb"), "no head"),
+            (("fleet", "show", "--head", "9", "--site", "deploy/site.txtpb"), "no gateway"),
             (("fleet", "show", "--head", "0", "--site", "/nowhere"), "can't be read"),
             (("lab", "fleet", "--processes", "1"), "2 or more"),
             (("lab", "fleet", "--script", "/nowhere"), "No such file"),
--- a/tests/test_offline_writes.py
+++ b/tests/test_offline_writes.py
@@ -322,7 +322,7 @@
 
     def test_invalid_arguments_are_reported(self) -> None:
         for arguments, expected in (
-            ("show 0", "Name a head that stands in a branch"),
+            ("show 0", "Name a gateway that is in a branch"),
             ("show 3", "See that the head runs"),
             ("release 3 --number x", "is not like"),
             ("discard 3 --number 3/1/1", "--yes"),
