--- a/gorsethread/cli/faults.py
+++ b/gorsethread/cli/faults.py
@@ -1,4 +1,4 @@
-"""gorsethread faults: worlds on the virtual clock, drawn from seeds or written by hand."""
+"""gorsethread faults: simulations on a virtual clock, with faults drawn from a seed or read from a script."""
 
 import sys
 from pathlib import Path
@@ -32,22 +32,29 @@
 from gorsethread.transport.sampling import wall_seconds
 
 DEFAULT_SITE = Path("deploy/site.txtpb")
-SHOWN_MOST = 10
+MAX_SHOWN_FAILURES = 10
 
 app = typer.Typer(
     name="faults",
     no_args_is_help=True,
-    help="The whole program under one seed, on a virtual clock, with every rule judged.",
+    help="Simulate the whole program under one seed on a virtual clock, and check every rule.",
 )
 
-What = Annotated[str, typer.Argument(help="A seed, or the path of a script.")]
-Planted = Annotated[str, typer.Option(help="Plant this defect in every head (see 'faults mutants').")]
-AtOnce = Annotated[int, typer.Option(help="Worlds side by side; 0: as many as there are cores.")]
-Web = Annotated[bool, typer.Option("--web", help="Heads on the operators' platform, not the NVMe front.")]
-Kept = Annotated[
-    bool, typer.Option("--records", help="Heads that keep records and copies, on disks that fail.")
+SeedOrScript = Annotated[str, typer.Argument(help="A seed, or the path of a script.")]
+MutantOption = Annotated[str, typer.Option(help="Run every gateway with this mutant (see 'faults mutants').")]
+AtOnce = Annotated[int, typer.Option(help="Simulations to run in parallel; 0: as many as there are cores.")]
+Web = Annotated[bool, typer.Option("--web", help="Simulate the HTTP gateway instead of the NVMe gateway.")]
+WithRecords = Annotated[
+    bool, typer.Option("--records", help="Simulate gateways with durable records, on disks that fail.")
+]
+JsonPath = Annotated[
+    str, typer.Option("--json", help="Write the result as JSON here; - for standard output.")
+]
+
+AllEvents = Annotated[
+    bool,
+    typer.Option("--all", help="Print every event that backends and clients saw, not only of broken rules."),
 ]
-JsonPath = Annotated[str, typer.Option("--json", help="Write the result here; - for standard output.")]
 
 
 def _seeds(text: str) -> range:
@@ -63,13 +70,13 @@
         return drawn(site, int(what), web, kept)
     try:
         script = read_script(Path(what).read_text())
-        if no := misfits(site, script, web, kept):
-            raise BadScript(no)
+        if mismatches := misfits(site, script, web, kept):
+            raise BadScript(mismatches)
         return script
     except OSError as error:
         typer.echo(f"{what}: {error.strerror}", err=True)
-    except BadScript as bad:
-        print_error(bad, what)
+    except BadScript as error:
+        print_error(error, what)
     raise typer.Exit(2)
 
 
@@ -78,11 +85,11 @@
 
 
 def _mutant(name: str, web: bool = False, kept: bool = False) -> str:
-    """The one defect whose name has this in it."""
+    """Returns the only mutant whose name contains this text; exits with status 2 if there is not just one."""
     found = [m for m in _mutants_of(web, kept) if name in m] if name else [""]
     if len(found) != 1:
         typer.echo(
-            f"--mutant: {name!r} is in the names of {len(found)} defects; see 'faults mutants'", err=True
+            f"--mutant: {name!r} is in the names of {len(found)} mutants; see 'faults mutants'", err=True
         )
         raise typer.Exit(2)
     return found[0]
@@ -91,30 +98,33 @@
 @app.command()
 def run(
     site: SitePath = DEFAULT_SITE,
-    seeds: Annotated[str, typer.Option(help="First and last.")] = "0..199",
+    seeds: Annotated[str, typer.Option(help="First and last seed.")] = "0..199",
     at_once: AtOnce = 0,
-    mutant: Planted = "",
+    mutant: MutantOption = "",
     web: Web = False,
-    kept: Kept = False,
+    kept: WithRecords = False,
     json_path: JsonPath = "",
 ) -> None:
-    """Plays the worlds of many seeds. Status 0: every rule held in each, and nothing was left behind."""
-    known, wanted, planted = read_site_or_exit(site), _seeds(seeds), _mutant(mutant, web, kept)
+    """Run the simulations of many seeds.
+
+    Exit status 0: in each, every rule held and nothing was left over.
+    """
+    settings, wanted, planted = read_site_or_exit(site), _seeds(seeds), _mutant(mutant, web, kept)
     console = Console(stderr=json_path == "-")
     summary, began = Summary(), wall_seconds()
-    for played in play_many(known, wanted, at_once, planted, web, kept):
+    for played in play_many(settings, wanted, at_once, planted, web, kept):
         summary.add(played)
-        if played.reasons and len(summary.failed) <= SHOWN_MOST:
+        if played.reasons and len(summary.failed) <= MAX_SHOWN_FAILURES:
             console.print(f"seed {played.seed}: {', '.join(played.reasons)}", markup=False)
             console.print(played.first, markup=False, highlight=False)
     wall = wall_seconds() - began
     pairs = len(KINDS) * len(WEB_STATES if web else STATES)
     unreached = summary.unreached(web)
     console.print(
-        f"{summary.worlds} worlds, {summary.taken} transactions: {len(summary.failed)} failed. "
-        f"{summary.virtual / wall:.0f} virtual seconds a real one, "
-        f"{summary.virtual / summary.cost:.0f} a second of one core; {len(unreached)} of at most "
-        f"{pairs} pairs of fault and state not met"
+        f"{summary.worlds} simulations, {summary.taken} requests: {len(summary.failed)} failed. "
+        f"{summary.virtual / wall:.0f} virtual seconds per real second, "
+        f"{summary.virtual / summary.cost:.0f} per CPU second; {len(unreached)} of at most "
+        f"{pairs} pairs of fault and state not reached"
     )
     write_json(
         {
@@ -134,10 +144,10 @@
 
 @app.command()
 def kinds() -> None:
-    """Lists the acts that a script may have: whom each strikes and what else it takes."""
-    table = Table("act", "strikes", "takes", "what it does")
+    """List the faults that a script may contain: their targets, arguments and effects."""
+    table = Table("fault", "targets", "arguments", "effect")
     for name, kind in KINDS.items():
-        takes = [
+        arguments = [
             word
             for word, needed in (
                 ("-> or <-> whom", kind.to),
@@ -146,46 +156,47 @@
             )
             if needed
         ]
-        table.add_row(name, ", ".join(kind.strikes), " ".join(takes), kind.says)
+        table.add_row(name, ", ".join(kind.strikes), " ".join(arguments), kind.says)
     Console().print(table)
 
 
 @app.command()
 def replay(
-    what: What,
+    what: SeedOrScript,
     site: SitePath = DEFAULT_SITE,
-    mutant: Planted = "",
+    mutant: MutantOption = "",
     web: Web = False,
-    kept: Kept = False,
+    kept: WithRecords = False,
     json_path: JsonPath = "",
-    every: Annotated[
-        bool, typer.Option("--all", help="Every step that shelves and clients saw, not just of what broke.")
-    ] = False,
+    every: AllEvents = False,
 ) -> None:
-    """Plays one world twice, checks that it was the same history, and tells it. Status 0: every rule held."""
-    known = read_site_or_exit(site)
-    script, planted = _script(known, what, web, kept), _mutant(mutant, web, kept)
+    """Run one simulation twice, compare the histories, and print it.
+
+    Exit status 0: every rule held, and the histories are the same.
+    """
+    settings = read_site_or_exit(site)
+    script, planted = _script(settings, what, web, kept), _mutant(mutant, web, kept)
     console = Console(stderr=json_path == "-")
     console.print(str(script), markup=False, highlight=False)
-    outcome, again = (play(known, script, planted, web, kept) for _ in range(2))
-    zero = zero_of(outcome)
+    outcome, again = (play(settings, script, planted, web, kept) for _ in range(2))
+    start = zero_of(outcome)
     if every:
         hidden = ("t", "who", "e", "start")
         for r in outcome.records:
             facts = " ".join(f"{k}={v}" for k, v in r.items() if k not in hidden)
             console.print(
-                f"{r['t'] - zero:9.3f}  {r['who']:<18} {r['e']:<14} {facts}",
+                f"{r['t'] - start:9.3f}  {r['who']:<18} {r['e']:<14} {facts}",
                 markup=False,
                 highlight=False,
                 soft_wrap=True,
             )
-    for line in timeline(outcome, zero):
+    for line in timeline(outcome, start):
         console.print(line, markup=False, highlight=False, soft_wrap=True)
     counts = ", ".join(f"{n} {w}" for w, n in outcome.verdict.counts.items() if n)
     console.print(f"{counts}; digest {outcome.digest}")
     same = outcome.digest == again.digest
     if not same:
-        console.print("NOT THE SAME HISTORY TWICE: something rests on more than the seed")
+        console.print("THE TWO HISTORIES DIFFER: something depends on more than the seed")
     console.print("every rule held" if outcome.good else f"NOT GOOD: {', '.join(outcome.reasons)}")
     write_json(
         {
@@ -203,21 +214,23 @@
 
 @app.command("shrink")
 def shrink_one(
-    what: What,
+    what: SeedOrScript,
     site: SitePath = DEFAULT_SITE,
-    mutant: Planted = "",
+    mutant: MutantOption = "",
     web: Web = False,
-    kept: Kept = False,
-    out: Annotated[str, typer.Option(help="Write the script here too.")] = "",
+    kept: WithRecords = False,
+    out: Annotated[str, typer.Option(help="Also write the script to this file.")] = "",
 ) -> None:
-    """Cuts a failing world down to the few faults and volumes that matter; the script comes on standard
-    output. Status 2: it does not fail."""
-    known, planted = read_site_or_exit(site), _mutant(mutant, web, kept)
+    """Reduce a failing simulation to the few faults and volumes that make it fail.
+
+    Prints the script on standard output. Exit status 2: the simulation does not fail.
+    """
+    settings, planted = read_site_or_exit(site), _mutant(mutant, web, kept)
     console = Console(stderr=True)
     try:
         small = shrink(
-            known,
-            _script(known, what, web, kept),
+            settings,
+            _script(settings, what, web, kept),
             planted,
             lambda line: console.print(line, markup=False, highlight=False),
             web,
@@ -229,28 +242,28 @@
     sys.stdout.write(str(small))
     if out:
         Path(out).write_text(str(small))
-    outcome = play(known, small, planted, web, kept)
+    outcome = play(settings, small, planted, web, kept)
     for line in timeline(outcome, zero_of(outcome), 1):
         console.print(line, markup=False, highlight=False, soft_wrap=True)
 
 
 @app.command()
-def compare(what: What, site: SitePath = DEFAULT_SITE, json_path: JsonPath = "") -> None:
-    """Plays one script on real sockets, every process on its own, and on the virtual clock, side by side."""
-    known = read_site_or_exit(site)
-    script = _script(known, what)
-    if no := unplayable(script, PLAYED, PARTIES):
-        typer.echo(f"{what}: real processes are not put through: {'; '.join(no)}", err=True)
+def compare(what: SeedOrScript, site: SitePath = DEFAULT_SITE, json_path: JsonPath = "") -> None:
+    """Run one script with real processes and sockets and on the virtual clock, and compare the results."""
+    settings = read_site_or_exit(site)
+    script = _script(settings, what)
+    if unsupported := unplayable(script, PLAYED, PARTIES):
+        typer.echo(f"{what}: not supported with real processes: {'; '.join(unsupported)}", err=True)
         raise typer.Exit(2)
-    found = beside(known, script)
+    found = beside(settings, script)
     console = Console(stderr=json_path == "-")
     table = Table("figure", "real sockets", "virtual clock")
     for figure in ("taken", "rules"):
         table.add_row(figure, str(found["real"][figure]), str(found["virtual"][figure]))
     for group in ("parts", "volumes"):
         for name, value in found["real"][group].items():
-            told = f"volume {name} in time" if group == "volumes" else name
-            table.add_row(told, str(value), str(found["virtual"][group].get(name)))
+            label = f"volume {name} in time" if group == "volumes" else name
+            table.add_row(label, str(value), str(found["virtual"][group].get(name)))
     console.print(table)
     write_json(found, json_path)
 
@@ -258,29 +271,31 @@
 @app.command()
 def mutants(
     site: SitePath = DEFAULT_SITE,
-    most: Annotated[int, typer.Option(help="Seeds to try for each.")] = 0,
+    most: Annotated[int, typer.Option(help="Seeds to try for each mutant; 0: only list them.")] = 0,
     at_once: AtOnce = 0,
-    only: Annotated[str, typer.Option(help="Those with this in their name.")] = "",
+    only: Annotated[str, typer.Option(help="Only mutants whose name contains this.")] = "",
     web: Web = False,
-    kept: Kept = False,
+    kept: WithRecords = False,
     json_path: JsonPath = "",
 ) -> None:
-    """Lists the defects that can be planted; with --most, says how many seeds each takes to be caught.
-    Status 1: one was not."""
+    """List the mutants; with --most, show the first seed that detects each.
+
+    Exit status 1: a mutant was not detected.
+    """
     chosen = [name for name in _mutants_of(web, kept) if only in name]
     if not most:
         for name in chosen:
             typer.echo(name)
         return
-    known, console = read_site_or_exit(site), Console(stderr=json_path == "-")
-    table = Table("planted defect", "first seed that shows it", "as")
+    settings, console = read_site_or_exit(site), Console(stderr=json_path == "-")
+    table = Table("mutant", "first seed that detects it", "by")
     caught: dict[str, Any] = {}
     for name in chosen:
-        played = until_caught(known, name, most, at_once, web, kept)
+        played = until_caught(settings, name, most, at_once, web, kept)
         caught[name] = None if played is None else {"seed": played.seed, "reasons": played.reasons}
-        told = ("NONE", "") if played is None else (str(played.seed), ", ".join(played.reasons))
-        console.print(f"{name}: {told[0]} {told[1]}", markup=False, highlight=False)
-        table.add_row(name, *told)
+        cells = ("NONE", "") if played is None else (str(played.seed), ", ".join(played.reasons))
+        console.print(f"{name}: {cells[0]} {cells[1]}", markup=False, highlight=False)
+        table.add_row(name, *cells)
     console.print(table)
     write_json(caught, json_path)
     raise typer.Exit(1 if None in caught.values() else 0)
--- a/gorsethread/cli/lab.py
+++ b/gorsethread/cli/lab.py
@@ -1,4 +1,4 @@
-"""gorsethread lab: experiments."""
+"""gorsethread lab: experiments, in simulation or with real processes on the loopback interface."""
 
 import asyncio
 import json
@@ -33,43 +33,58 @@
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.real import RealTransport, run
 
-app = typer.Typer(name="lab", no_args_is_help=True, help="Experiments on loopback, with figures.")
+app = typer.Typer(name="lab", no_args_is_help=True, help="Run experiments that measure the gateway.")
+
+JsonPath = Annotated[
+    str, typer.Option("--json", help="Write the result as JSON here; - for standard output.")
+]
+AtOnce = Annotated[int, typer.Option(help="Simulations to run in parallel; 0: as many as there are cores.")]
+CostSeconds = Annotated[
+    float,
+    typer.Option(
+        "--cost",
+        help="Instead, compare a gateway with records and copies with one without, in normal operation, for "
+        "this many seconds.",
+    ),
+]
+Factor = Annotated[float, typer.Option(help="Traffic, as a multiple of the usual rates.")]
 
 
 @app.callback()
 def lab() -> None:
-    """Experiments on loopback, with figures."""
+    """Run experiments that measure the gateway."""
 
 
 @app.command()
 def accounts(
     site: SitePath = Path("deploy/site.txtpb"),
-    seeds: Annotated[str, typer.Option(help="First and last, as 1..20.")] = "1..20",
+    seeds: Annotated[str, typer.Option(help="First and last seed, as 1..20.")] = "1..20",
     seconds: float = 8.0,
     heads: int = 2,
     shelves: int = 4,
-    at_once: Annotated[int, typer.Option(help="Days played side by side.")] = 3,
-    folder: Annotated[str, typer.Option(help="Keep every day's records and snapshots here.")] = "",
+    at_once: Annotated[int, typer.Option(help="Runs in parallel.")] = 3,
+    folder: Annotated[str, typer.Option(help="Keep every run's records and snapshots in this folder.")] = "",
     as_json: Annotated[bool, typer.Option("--json", help="Print every run and the figures.")] = False,
 ) -> None:
-    """Do the accounts name the right cause? A slow shelf, a flooding volume, both, neither, for each seed.
+    """Measure how often latency attribution names the right cause.
 
-    Exit status 0: at least 95% right, under 2% accused on quiet days, nothing left over, every rule held.
+    Runs each seed with a slow backend, a volume that floods, both, and neither. Exit status 0: at least 95%
+    of the answers are right, under 2% of the quiet runs name a cause, the figures add up, every rule held.
     """
-    known = read_site_or_exit(site)
+    settings = read_site_or_exit(site)
     first, _, last = seeds.partition("..")
     try:
         wanted = list(range(int(first), int(last or first) + 1))
     except ValueError:
         wanted = []
     if not wanted or seconds < 2 or min(heads, shelves, at_once) < 1:
-        typer.echo("--seeds is like 1..20, --seconds 2 or more, the others 1 or more", err=True)
+        typer.echo("--seeds must be like 1..20, --seconds 2 or more, the others 1 or more", err=True)
         raise typer.Exit(2)
     console = Console(stderr=True)
 
     async def whole() -> dict[str, Any]:
         return await experiment(
-            known,
+            settings,
             wanted,
             seconds,
             heads,
@@ -82,31 +97,31 @@
     result = asyncio.run(whole())
     shown = result if as_json else result["figures"]
     sys.stdout.write(json.dumps(shown, indent=1) + "\n")
-    f = result["figures"]
+    figures = result["figures"]
     good = (
-        f["right_of_all"] >= 0.95
-        and f["accused_on_quiet_days"] < 0.02
-        and not f["remainders"]
-        and not f["days_not_good"]
+        figures["right_of_all"] >= 0.95
+        and figures["accused_on_quiet_days"] < 0.02
+        and not figures["remainders"]
+        and not figures["days_not_good"]
     )
     raise typer.Exit(0 if good else 1)
 
 
 @app.command()
 def sockets(
-    logs: Annotated[Path, typer.Argument(help="Folder with a log of each head.")],
-    report: Annotated[Path, typer.Argument(help="The bench's report of that day, as JSON.")],
+    logs: Annotated[Path, typer.Argument(help="Folder with a log file of each gateway.")],
+    report: Annotated[Path, typer.Argument(help="The benchmark's report of the same run, as JSON.")],
 ) -> None:
-    """What heads in service believe beside what the bench saw on the sockets, figure by figure."""
+    """Compare the counts in the gateways' logs with what the benchmark saw on the sockets."""
     try:
         heads = [path.read_text().splitlines() for path in sorted(logs.glob("*.log"))]
         rows = compare(heads, json.loads(report.read_text()))
     except (OSError, ValueError, KeyError, TypeError) as error:
-        typer.echo(f"lab sockets: can't be compared: {error!r}", err=True)
+        typer.echo(f"lab sockets: can't compare: {error!r}", err=True)
         raise typer.Exit(2) from None
-    table = Table("figure", "heads", "sockets", "heads less sockets")
-    for name, told, seen in rows:
-        table.add_row(name, str(told), str(seen), f"{told - seen:+d}")
+    table = Table("figure", "gateways", "sockets", "difference")
+    for name, counted, seen in rows:
+        table.add_row(name, str(counted), str(seen), f"{counted - seen:+d}")
     Console().print(table)
 
 
@@ -124,26 +139,37 @@
 
 @app.command()
 def crowd(
-    heads: Annotated[str, typer.Option(help="Sizes of the fleet, as 4,60,130.")] = "4,60,130",
+    heads: Annotated[str, typer.Option(help="Numbers of gateways, as 4,60,130.")] = "4,60,130",
     shelves: int = 40,
     seconds: float = 24.0,
     load: float = 0.45,
     surges: float = 0.45,
-    seeds: Annotated[str, typer.Option(help="First and last, as 1..4.")] = "1..4",
-    variants: Annotated[str, typer.Option(help="Some of: " + ", ".join(VARIANTS))] = ",".join(VARIANTS),
-    renewed: Annotated[float, typer.Option(help="Part of the shelves replaced by cold ones.")] = 0.0,
-    restarted: Annotated[float, typer.Option(help="Part of the heads restarted meanwhile.")] = 0.0,
-    lost: Annotated[float, typer.Option(help="Part of the messages; as many come twice.")] = 0.0,
-    at_once: Annotated[int, typer.Option(help="Plays side by side; 0: as many as cores.")] = 0,
-    json_path: Annotated[str, typer.Option("--json", help="Write each play here; - for output.")] = "",
+    seeds: Annotated[str, typer.Option(help="First and last seed, as 1..4.")] = "1..4",
+    variants: Annotated[str, typer.Option(help="Comma-separated, of: " + ", ".join(VARIANTS))] = ",".join(
+        VARIANTS
+    ),
+    renewed: Annotated[
+        float, typer.Option(help="Share of the backends that is replaced by cold ones.")
+    ] = 0.0,
+    restarted: Annotated[
+        float, typer.Option(help="Share of the gateways that is restarted meanwhile.")
+    ] = 0.0,
+    lost: Annotated[
+        float, typer.Option(help="Share of the messages that is lost; as many are duplicated.")
+    ] = 0.0,
+    at_once: AtOnce = 0,
+    json_path: JsonPath = "",
 ) -> None:
-    """Many heads of thin, uneven traffic on few shelves: what the decisions alone make of it, and what of the
-    loss would go if heads knew more. Simulated; the same days for each variant, like ones for each size."""
+    """Simulate many gateways with thin, uneven traffic on few backends.
+
+    Shows what their decisions alone lose, and how much of that would be avoided if gateways knew more. Each
+    variant gets the same traffic, and each fleet size similar traffic.
+    """
     names = variants.split(",")
     if shelves < 1 or seconds < 2 or load <= 0 or surges < 0 or [n for n in names if n not in VARIANTS]:
         typer.echo(
-            "--shelves is 1 or more, --seconds 2 or more, --load over 0, --surges 0 or more, "
-            f"--variants some of {', '.join(VARIANTS)}",
+            "--shelves must be 1 or more, --seconds 2 or more, --load above 0, --surges 0 or more, "
+            f"--variants of: {', '.join(VARIANTS)}",
             err=True,
         )
         raise typer.Exit(2)
@@ -151,8 +177,8 @@
         renewed and set(names) & {"lines", "demand"}
     ):
         typer.echo(
-            "--renewed, --restarted and --lost are parts from 0 to 1; 'lines' and 'demand' tell of "
-            "shelves that stay",
+            "--renewed, --restarted and --lost must be 0 to 1; the variants 'lines' and 'demand' assume that "
+            "no backend is replaced",
             err=True,
         )
         raise typer.Exit(2)
@@ -174,35 +200,35 @@
     table = Table(
         "variant",
         "heads",
-        "worth served",
+        "weight served",
         "least, most",
         "worst plan",
-        "pushed back",
+        "rejected",
         "late",
-        "forwards",
+        "attempts",
         "demand",
         "messages",
-        "beyond part",
-        "fallen",
+        "over cold limit",
+        "failed",
     )
     for name in names:
         for h in _numbers(heads, "heads"):
-            got = [s for n, scene, s in found if n == name and scene["heads"] == h]
+            summaries = [s for n, scene, s in found if n == name and scene["heads"] == h]
             mean = {
-                f: sum(getattr(s, f) for s in got) / len(got)
+                f: sum(getattr(s, f) for s in summaries) / len(summaries)
                 for f in ("served", "worst_plan", "rejected", "late", "forwards", "demand", "messages")
             }
             table.add_row(
                 name,
                 str(h),
                 f"{mean['served']:.3f}",
-                f"{min(s.served for s in got):.3f}, {max(s.served for s in got):.3f}",
+                f"{min(s.served for s in summaries):.3f}, {max(s.served for s in summaries):.3f}",
                 *(f"{mean[f]:.3f}" for f in ("worst_plan", "rejected", "late")),
                 f"{mean['forwards']:.0f}",
                 f"{mean['demand']:.2f}",
                 f"{mean['messages']:.2f}",
-                str(sum(s.over_part for s in got)),
-                str(sum(s.fallen for s in got)),
+                str(sum(s.over_part for s in summaries)),
+                str(sum(s.fallen for s in summaries)),
             )
     Console(stderr=json_path == "-").print(table)
     write_json({"plays": [{"variant": n, **scene, **vars(s)} for n, scene, s in found]}, json_path)
@@ -210,29 +236,36 @@
 
 @app.command()
 def views(
-    heads: Annotated[str, typer.Option(help="Sizes of the fleet.")] = "4,12,50,200",
-    seeds: Annotated[str, typer.Option(help="Drawn worlds to play, as 1..1000; none: 0.")] = "0",
-    at_once: Annotated[int, typer.Option(help="Worlds side by side; 0: as many as cores.")] = 0,
-    page_path: Annotated[str, typer.Option("--page", help="Write plots here, one HTML page.")] = "",
-    json_path: Annotated[str, typer.Option("--json", help="Write each world here; - for output.")] = "",
+    heads: Annotated[str, typer.Option(help="Numbers of gateways.")] = "4,12,50,200",
+    seeds: Annotated[
+        str, typer.Option(help="Seeds of simulations with random faults, as 1..1000; 0: none.")
+    ] = "0",
+    at_once: AtOnce = 0,
+    page_path: Annotated[
+        str, typer.Option("--page", help="Write plots to this file, as one HTML page.")
+    ] = "",
+    json_path: JsonPath = "",
 ) -> None:
-    """The fleet's view by size, beside heartbeats from all to all, and in drawn worlds. Simulated. Status 0:
-    in every drawn world all views were the truth in time, and nobody was held dead in error."""
+    """Simulate the membership protocol by fleet size, beside all-to-all heartbeats, and with random faults.
+
+    Exit status 0: in every simulation with random faults all views became correct in time, and no member was
+    declared dead in error.
+    """
     sizes = _numbers(heads, "heads")
     jobs = jobs_for(sizes, [] if seeds == "0" else _numbers(seeds, "seeds"))
     if min(sizes) < 2:
-        typer.echo("--heads are 2 or more", err=True)
+        typer.echo("--heads must be 2 or more", err=True)
         raise typer.Exit(2)
     console = Console(stderr=True)
     rows: list[dict[str, Any]] = []
     worlds: list[dict[str, Any]] = []
-    for n, one in enumerate(pooled(jobs, at_once), 1):
-        (worlds if "seed" in one else rows).append(one)
-        if one.get("reasons"):
-            console.print(f"seed {one['seed']}: {', '.join(one['reasons'])}", highlight=False)
+    for n, row in enumerate(pooled(jobs, at_once), 1):
+        (worlds if "seed" in row else rows).append(row)
+        if row.get("reasons"):
+            console.print(f"seed {row['seed']}: {', '.join(row['reasons'])}", highlight=False)
         elif n % 100 == 0:
             console.print(f"{n} of {len(jobs)}", highlight=False)
-    table = Table("kind", "heads", "lost", "noticed, s", "known to all, s", "bytes at rest", "in error")
+    table = Table("kind", "gateways", "lost", "noticed, s", "known to all, s", "idle bytes", "in error")
     for r in sorted(rows, key=lambda r: (r["kind"], r["lossy"], r["heads"])):
         table.add_row(
             r["kind"],
@@ -247,7 +280,7 @@
     failed = [w for w in worlds if w["reasons"]]
     if worlds:
         console.print(
-            f"{len(worlds)} worlds: {len(failed)} failed; the longest settled "
+            f"{len(worlds)} simulations: {len(failed)} failed; the slowest settled "
             f"{max(w['settled'] for w in worlds):.1f} s after its last fault",
             highlight=False,
         )
@@ -257,14 +290,14 @@
     raise typer.Exit(1 if failed else 0)
 
 
-def _played(kind: Callable[..., Any], known: pb.Site, script: Script, json_path: str) -> None:
-    """Plays a script on real processes and tells what came of it; status 0: it was good."""
+def _played(kind: Callable[..., Any], settings: pb.Site, script: Script, json_path: str) -> None:
+    """Runs a script with real processes and prints the result; exits with status 0 if it is good."""
     console = Console(stderr=True)
     found: dict[str, Any] = {}
 
     async def work(transport: RealTransport) -> None:
         with tempfile.TemporaryDirectory(prefix="gorsethread-lab-") as folder:
-            trial = kind(transport, Processes(Path(folder), known), known, log_for(), script)
+            trial = kind(transport, Processes(Path(folder), settings), settings, log_for(), script)
             trial.say = lambda line: console.print(line, markup=False, highlight=False)
             found["result"] = await trial.play()
 
@@ -282,54 +315,62 @@
 @app.command()
 def lending(
     site: SitePath = Path("deploy/site.txtpb"),
-    processes: Annotated[int, typer.Option(help="Heads, 6 or more.")] = 6,
+    processes: Annotated[int, typer.Option(help="Number of gateways, 6 or more.")] = 6,
     seed: int = 1,
-    seconds: Annotated[float, typer.Option(help="That clients send for, 10 or more.")] = 10.0,
-    factor: Annotated[float, typer.Option(help="Times the usual traffic.")] = 3.0,
-    json_path: Annotated[str, typer.Option("--json", help="Write it here; - for output.")] = "",
+    seconds: Annotated[float, typer.Option(help="Seconds for which clients send, 10 or more.")] = 10.0,
+    factor: Factor = 3.0,
+    json_path: JsonPath = "",
 ) -> None:
-    """Real heads in service that lend cold shelves' parts, killed, stopped and cut off with parts in hand,
-    and a fifth of their messages lost. Status 0: every rule held, no cold shelf got more than it bears."""
+    """Run real gateways that hold slow-start leases of cold backends, under faults.
+
+    Gateways that hold leases are killed, stopped and cut off, and a fifth of their messages is lost. Exit
+    status 0: every rule held, and no cold backend got more load than it can serve.
+    """
     if processes < 6 or seconds < 10 or factor <= 0:
-        typer.echo("--processes is 6 or more, --seconds 10 or more, --factor over 0", err=True)
+        typer.echo("--processes must be 6 or more, --seconds 10 or more, --factor above 0", err=True)
         raise typer.Exit(2)
-    known = read_site_or_exit(site)
-    _played(Trial, known, script_of(seed, processes, seconds, factor), json_path)
+    settings = read_site_or_exit(site)
+    _played(Trial, settings, script_of(seed, processes, seconds, factor), json_path)
 
 
 @app.command("return")
 def returns(
     site: SitePath = Path("deploy/site.txtpb"),
-    processes: Annotated[int, typer.Option(help="Heads, 2 or more.")] = 6,
+    processes: Annotated[int, typer.Option(help="Number of gateways, 2 or more.")] = 6,
     seed: int = 1,
     shelves: int = 6,
-    factor: Annotated[float, typer.Option(help="Times the usual traffic.")] = 2.0,
-    acts: Annotated[str, typer.Option(help=f"Of: {'; '.join(KINDS)}. Separated by ';'.")] = "all",
+    factor: Factor = 2.0,
+    acts: Annotated[str, typer.Option(help=f"Faults, separated by ';', of: {'; '.join(KINDS)}.")] = "all",
     virtual: Annotated[bool, typer.Option("--virtual", help="On the virtual clock.")] = False,
-    json_path: Annotated[str, typer.Option("--json", help="Write it here; - for output.")] = "",
+    json_path: JsonPath = "",
 ) -> None:
-    """How long until full service after many heads go at once, beside heads that each come back alone. Status
-    0: never slower, new connections within their bound, nothing stale, lost, twice, every rule held."""
+    """Measure the time to full service after many gateways fail at once, beside gateways that return alone.
+
+    Exit status 0: it is never slower, new connections stay within their bound, there are no stale decisions,
+    no request is lost or run twice, and every rule held.
+    """
     kinds = tuple(kind.strip() for kind in acts.split(";"))
     if processes < 2 or shelves < 2 or factor <= 0 or not set(kinds) <= set(KINDS):
         typer.echo(
-            f"--processes and --shelves are 2 or more, --factor over 0, --acts of: {'; '.join(KINDS)}",
+            f"--processes and --shelves must be 2 or more, --factor above 0, --acts of: {'; '.join(KINDS)}",
             err=True,
         )
         raise typer.Exit(2)
-    known, console = read_site_or_exit(site), Console(stderr=True)
+    settings, console = read_site_or_exit(site), Console(stderr=True)
     start_logs(True, "critical")
     if virtual:
-        both = [in_world(known, processes, shelves, seed, factor, kinds, alone) for alone in (False, True)]
+        results = [
+            in_world(settings, processes, shelves, seed, factor, kinds, alone) for alone in (False, True)
+        ]
     else:
-        both = []
+        results = []
 
         async def work(transport: RealTransport) -> None:
             for alone in (False, True):
-                both.append(
+                results.append(
                     await on_processes(
                         transport,
-                        known,
+                        settings,
                         processes,
                         shelves,
                         seed,
@@ -342,10 +383,10 @@
                 )
 
         run(work, seed)
-    result = shown(*both)
+    result = shown(*results)
     for reason in result["reasons"]:
         console.print(reason, markup=False, highlight=False)
-    table = Table("act", "full service after, s", "each alone")
+    table = Table("fault", "full service after, s", "each alone")
     for n, kind in enumerate(kinds):
         table.add_row(
             kind, str(result["full_service_seconds"][n]), str(result["full_service_seconds_alone"][n])
@@ -366,53 +407,53 @@
 @app.command("branch")
 def branches(
     site: SitePath = Path("deploy/branch.txtpb"),
-    processes: Annotated[int, typer.Option(help="Heads: as many as the site file has.")] = 5,
+    processes: Annotated[int, typer.Option(help="Number of gateways: as many as the site file has.")] = 5,
     seed: int = 1,
-    cycles: Annotated[int, typer.Option(help="Cuts of the link, 20 s apart.")] = 3,
-    factor: Annotated[float, typer.Option(help="Times the usual traffic.")] = 1.0,
-    json_path: Annotated[str, typer.Option("--json", help="Write it here; - for output.")] = "",
+    cycles: Annotated[int, typer.Option(help="Number of link failures, 20 s apart.")] = 3,
+    factor: Factor = 1.0,
+    json_path: JsonPath = "",
 ) -> None:
-    """Real heads of a branch whose link goes, that die and lose disks meanwhile and in replay. Status 0:
-    all that was accepted is in effect, once and in causal order, or waits for a person; every rule held."""
-    known = read_site_or_exit(site)
-    if not known.branch or processes != len(known.head) or cycles < 1 or factor <= 0:
+    """Run real gateways of a branch that loses its link, with crashes and disk losses then and in replay.
+
+    Exit status 0: every accepted write took effect, once and in causal order, or is parked for a decision;
+    and every rule held.
+    """
+    settings = read_site_or_exit(site)
+    if not settings.branch or processes != len(settings.head) or cycles < 1 or factor <= 0:
         typer.echo(
-            f"--site needs a branch, --processes is its heads' number ({len(known.head)}), --cycles "
-            "is 1 or more, --factor over 0",
+            f"--site must have a branch, --processes must be its number of gateways ({len(settings.head)}), "
+            "--cycles 1 or more, --factor above 0",
             err=True,
         )
         raise typer.Exit(2)
-    script = branch_script(seed, cycles, processes, list(known.branch[0].head), len(known.shelf), factor)
-    _played(BranchTrial, known, script, json_path)
+    script = branch_script(
+        seed, cycles, processes, list(settings.branch[0].head), len(settings.shelf), factor
+    )
+    _played(BranchTrial, settings, script, json_path)
 
 
 @app.command()
 def records(
-    depths: Annotated[str, typer.Option(help="Promises that wait at once.")] = "1,16,128",
-    pairs: Annotated[int, typer.Option(help="Stretches of each, in turn, 4 or more.")] = 8,
-    folder: Annotated[str, typer.Option(help="On the disk to measure.")] = "",
-    beside: Annotated[
-        float,
-        typer.Option(
-            "--cost",
-            help="Instead, for so many seconds: a head with records and copies over one "
-            "without, on the ordinary path.",
-        ),
-    ] = 0.0,
-    json_path: Annotated[str, typer.Option("--json", help="Write it here; - for output.")] = "",
+    depths: Annotated[
+        str, typer.Option(help="Numbers of records that wait for the disk at once.")
+    ] = "1,16,128",
+    pairs: Annotated[int, typer.Option(help="Measurements of each, alternating, 4 or more.")] = 8,
+    folder: Annotated[str, typer.Option(help="A folder on the disk to measure.")] = "",
+    cost_seconds: CostSeconds = 0.0,
+    json_path: JsonPath = "",
 ) -> None:
-    """The log of records beside an embedded store on this disk, in turn under one load; ratios."""
+    """Compare the record log with an embedded store on this disk, alternating under the same load."""
     wanted = _numbers(depths, "depths")
     if pairs < 4 or min(wanted) < 1 or max(wanted) > 4096:
-        typer.echo("--pairs is 4 or more, --depths are 1 to 4096", err=True)
+        typer.echo("--pairs must be 4 or more, --depths 1 to 4096", err=True)
         raise typer.Exit(2)
     found: list[dict[str, Any]] = []
-    if beside > 0.0:
+    if cost_seconds > 0.0:
         costs: dict[str, Any] = {}
 
         async def pair(transport: RealTransport) -> None:
             with tempfile.TemporaryDirectory(dir=folder or None) as inside:
-                costs.update(await cost_of_records(transport, Path(inside), beside))
+                costs.update(await cost_of_records(transport, Path(inside), cost_seconds))
 
         run(pair, 1)
         sys.stdout.write(json.dumps(costs, indent=1) + "\n")
@@ -425,11 +466,14 @@
 
     try:
         run(work, 1)
-    except NotThere as trouble:
-        print_error(trouble)
+    except NotThere as error:
+        print_error(error)
         raise typer.Exit(2) from None
     table = Table(
-        "waiting at once", "kept a second, log over store (quartiles)", "1 in 100 takes", "flushes a record"
+        "waiting at once",
+        "records per second, log to store (quartiles)",
+        "99th percentile, log to store",
+        "flushes per record",
     )
     for row in found:
         table.add_row(
@@ -443,26 +487,31 @@
 
 @app.command()
 def fleet(
-    processes: Annotated[int, typer.Option(help="How many; a script's own number is not taken.")] = 12,
+    processes: Annotated[
+        int, typer.Option(help="Number of processes; overrides the number in a script.")
+    ] = 12,
     seed: int = 1,
-    script: Annotated[str, typer.Option(help="Its path; else one that fits the short form.")] = "",
-    json_path: Annotated[str, typer.Option("--json", help="Write the result here; - for output.")] = "",
+    script: Annotated[str, typer.Option(help="Path of a script; by default a short built-in one.")] = "",
+    json_path: JsonPath = "",
 ) -> None:
-    """Real processes that keep a view of the fleet, through a relay that loses, delays, doubles and cuts,
-    killed and stopped by a script, and judged from outside. Status 0: all views were the truth in time."""
+    """Run real processes of the membership protocol under faults, and check their views from outside.
+
+    A relay loses, delays, duplicates and cuts off their messages, and a script kills and stops them. Exit
+    status 0: all views became correct in time.
+    """
     if processes < 2:
-        typer.echo("--processes is 2 or more", err=True)
+        typer.echo("--processes must be 2 or more", err=True)
         raise typer.Exit(2)
     try:
-        text = Path(script).read_text() if script else SHORT
-        known = replace(read_script(f"heads {processes}\n{text}"), heads=processes, seed=seed)
-        if no := unplayable(known, PLAYED, PARTIES):
-            raise BadScript(no)
+        text = Path(script).read_text() if script else BUILT_IN_SCRIPT
+        played_script = replace(read_script(f"heads {processes}\n{text}"), heads=processes, seed=seed)
+        if unsupported := unplayable(played_script, PLAYED, PARTIES):
+            raise BadScript(unsupported)
     except OSError as error:
         typer.echo(f"{script}: {error.strerror}", err=True)
         raise typer.Exit(2) from None
-    except BadScript as bad:
-        print_error(bad, script or "the short form")
+    except BadScript as error:
+        print_error(error, script or "the built-in script")
         raise typer.Exit(2) from None
     console = Console(stderr=True)
     found: dict[str, Any] = {}
@@ -471,7 +520,7 @@
         with tempfile.TemporaryDirectory() as folder:
             children = Processes(Path(folder), pb.Site())
             say = lambda line: console.print(line, markup=False, highlight=False)  # noqa: E731
-            found.update(vars(await RealFleet(transport, children, known, say).play()))
+            found.update(vars(await RealFleet(transport, children, played_script, say).play()))
 
     run(work, seed)
     sys.stdout.write("" if json_path == "-" else json.dumps(found, indent=1) + "\n")
@@ -479,7 +528,7 @@
     raise typer.Exit(0 if found["settled"] else 1)
 
 
-SHORT = """
+BUILT_IN_SCRIPT = """
 1 kill head-0 for 1
 1.1 kill head-1 for 1
 20 cut room-0 <-> room-1 for 6
--- a/gorsethread/cli/main.py
+++ b/gorsethread/cli/main.py
@@ -62,6 +62,10 @@
 Seed = Annotated[int, typer.Option(help="Seed of all random numbers in this process.")]
 LogOption = Annotated[LogFormat, typer.Option("--log", help="Format of the log on standard error.")]
 RecordPath = Annotated[str, typer.Option("--record", help="Write what the sockets carried to this file.")]
+JsonPath = Annotated[
+    str, typer.Option("--json", help="Write the result as JSON here; - for standard output.")
+]
+Factor = Annotated[float, typer.Option(help="Traffic, as a multiple of the plans' usual rates.")]
 ScriptPath = Annotated[str, typer.Option("--script", help="JSON file of faults to inject.")]
 
 
@@ -233,7 +237,7 @@
     tenant: Annotated[str, typer.Option(help="The tenant whose applications to play.")],
     seed: Seed = 0,
     seconds: float = 10.0,
-    factor: Annotated[float, typer.Option(help="Traffic, as a multiple of the plans' usual rates.")] = 1.0,
+    factor: Factor = 1.0,
     start_at: Annotated[float, typer.Option(help="Start time on the monotonic clock; 0: now.")] = 0.0,
     surges: Annotated[str, typer.Option(help="JSON file of surges to play.")] = "",
     record: RecordPath = "",
@@ -328,13 +332,11 @@
     heads: int = 3,
     shelves: int = 6,
     seconds: float = 40.0,
-    factor: Annotated[float, typer.Option(help="Traffic, as a multiple of the plans' usual rates.")] = 1.0,
+    factor: Factor = 1.0,
     troubles: Annotated[
         str, typer.Option(help="Faults to inject, comma-separated; 'none' for no faults.")
     ] = ",".join(TROUBLES),
-    json_path: Annotated[
-        str, typer.Option("--json", help="Write the result here; - for standard output.")
-    ] = "",
+    json_path: JsonPath = "",
     folder: Annotated[str, typer.Option(help="Keep logs and records in this folder.")] = "",
     plant: Annotated[
         int, typer.Option(help="Make every gateway break this rule, to test the invariant checker.")
@@ -343,10 +345,7 @@
         float, typer.Option(help="Seconds per window of latency accounts, kept under --folder; 0: none.")
     ] = 1.0,
 ) -> None:
-    """Run a site of real processes under injected faults, and check the seven rules.
-
-    Exit status 0: every rule held.
-    """
+    """Run real processes under faults, and check the seven rules. Exit status 0: every rule held."""
     settings = read_site_or_exit(site)
     fault_kinds = () if troubles == "none" else tuple(t.strip() for t in troubles.split(","))
     if unknown := [t for t in fault_kinds if t not in TROUBLES]:
@@ -383,9 +382,7 @@
 def bench(
     seconds: Annotated[float, typer.Option(help="Seconds of each measurement.")] = 5.0,
     rounds: Annotated[int, typer.Option(help="Pairs of measurements of the relay and the gateway.")] = 3,
-    json_path: Annotated[
-        str, typer.Option("--json", help="Write the result here; - for standard output.")
-    ] = "",
+    json_path: JsonPath = "",
     seed: Seed = 1,
 ) -> None:
     """Compare the gateway with a plain relay, in pairs: requests per second, latency and CPU time."""
--- a/gorsethread/latency_attribution/request_attribution.py
+++ b/gorsethread/latency_attribution/request_attribution.py
@@ -639,28 +639,28 @@
         self,
         request: _Request,
         attempt: _Attempt,
-        attempt_outcome: AttemptOutcome,
+        outcome: AttemptOutcome,
         service: int,
         now: int,
         row: BackendRow,
     ) -> None:
         """Divides an attempt's time, from its sending or the end of what is already attributed, if later."""
-        stages, queue = request.stages, attempt.backend
-        passed = now - request.since
-        if attempt_outcome is not AttemptOutcome.SUCCEEDED:
+        stages, volume, number = request.stages, request.volume, attempt.backend.number
+        queue, passed = attempt.backend, now - request.since
+        if outcome is not AttemptOutcome.SUCCEEDED:
             stages[Stage.FAILED_ATTEMPT] += passed
-            if attempt_outcome in BACKEND_FAILURES:
-                self.window.add_blame(request.volume, BACKEND, queue.number, Stage.FAILED_ATTEMPT, passed)
-            elif attempt_outcome is AttemptOutcome.REJECTED:
+            if outcome in BACKEND_FAILURES:
+                self.window.add_blame(volume, BACKEND, number, Stage.FAILED_ATTEMPT, passed)
+            elif outcome is AttemptOutcome.REJECTED:
                 self.window.add_shared_blame(
-                    request.volume, attempt.units_ahead(), queue.number, Stage.FAILED_ATTEMPT, passed
+                    volume, attempt.units_ahead(), number, Stage.FAILED_ATTEMPT, passed
                 )
             else:
-                self.window.add_blame(request.volume, GATEWAY, queue.number, Stage.FAILED_ATTEMPT, passed)
+                self.window.add_blame(volume, GATEWAY, number, Stage.FAILED_ATTEMPT, passed)
             return
         if service <= 0:
             stages[Stage.UNDIVIDED] += passed
-            self.window.add_blame(request.volume, UNKNOWN, queue.number, Stage.UNDIVIDED, passed)
+            self.window.add_blame(volume, UNKNOWN, number, Stage.UNDIVIDED, passed)
             return
         service_us = min(service, passed)
         rest = passed - service_us
@@ -670,19 +670,17 @@
         stages[Stage.SERVICE] += service_us
         stages[Stage.OUTBOUND] += transit // 2
         stages[Stage.RETURN] += transit - transit // 2
-        row.add_work(request.volume, request.units.bit_length(), 1, request.units, service_us)
+        row.add_work(volume, request.units.bit_length(), 1, request.units, service_us)
         queue.add_service_sample(service_us // max(1, request.units))
         if wait:
             stages[Stage.BACKEND_QUEUE] += wait
             row.wait_us += wait
             stalled = min(wait, max(0, _us(queue.stall[1]) - _us(max(attempt.sent_at, queue.stall[0]))))
             if stalled:
-                self.window.add_blame(request.volume, BACKEND, queue.number, Stage.BACKEND_QUEUE, stalled)
+                self.window.add_blame(volume, BACKEND, number, Stage.BACKEND_QUEUE, stalled)
                 wait -= stalled
             if 0 < wait < SHORT_WAIT_US:
                 holder = queue.sampled_holder(attempt.sequence, attempt.ahead_count)
-                self.window.add_blame(request.volume, holder, queue.number, Stage.BACKEND_QUEUE, wait)
+                self.window.add_blame(volume, holder, number, Stage.BACKEND_QUEUE, wait)
             elif wait:
-                self.window.add_shared_blame(
-                    request.volume, attempt.units_ahead(), queue.number, Stage.BACKEND_QUEUE, wait
-                )
+                self.window.add_shared_blame(volume, attempt.units_ahead(), number, Stage.BACKEND_QUEUE, wait)
--- a/tests/test_latency_attribution.py
+++ b/tests/test_latency_attribution.py
@@ -62,48 +62,44 @@
     accounts, now, windows, answered = LatencyAccounts([0.1, 0.2], 100.0, batch_size), 100.0, [], 0
     open_requests: set[int] = set()
     in_flight: set[tuple[int, int]] = set()
-    for what, request_id, number, attempt_outcome, reason, step in events:
+    for what, id, number, attempt_outcome, reason, step in events:
         now += step
         # As in the driver, an id is reused only once all attempts of the previous request have ended.
-        if (
-            what == "taken"
-            and request_id not in open_requests
-            and not any(owner == request_id for owner, _ in in_flight)
-        ):
-            open_requests.add(request_id)
+        if what == "taken" and id not in open_requests and not any(owner == id for owner, _ in in_flight):
+            open_requests.add(id)
             accounts.admitted(
-                request_id,
-                1 + request_id % 3,
+                id,
+                1 + id % 3,
                 number % 2,
                 number,
                 number == 2,
-                1 + request_id,
+                1 + id,
                 now - step / 2,
                 now,
             )
         elif what == "held":
-            accounts.held(request_id, reason, number if reason is not HoldReason.NO_BACKEND else -1, now)
+            accounts.held(id, reason, number if reason is not HoldReason.NO_BACKEND else -1, now)
         elif what == "sent":
-            accounts.sent(request_id, number, 5 + number, now)
-            if request_id in open_requests:
-                in_flight.add((request_id, number))
+            accounts.sent(id, number, 5 + number, now)
+            if id in open_requests:
+                in_flight.add((id, number))
         elif what == "ended":
-            accounts.ended(request_id, number, attempt_outcome, abs(step) / 3, now)
-            in_flight.discard((request_id, number))
+            accounts.ended(id, number, attempt_outcome, abs(step) / 3, now)
+            in_flight.discard((id, number))
         elif what == "answered":
-            answered += request_id in open_requests
-            open_requests.discard(request_id)
-            accounts.answered(request_id, list(RequestOutcome)[number], now)
+            answered += id in open_requests
+            open_requests.discard(id)
+            accounts.answered(id, list(RequestOutcome)[number], now)
         elif what == "look":
             for held_id in accounts.requests_to_recheck():
                 accounts.held(held_id, reason, number, now)
         elif what == "close":
             windows.append(accounts.close_window(now))
     answered += len(open_requests)
-    for request_id in range(1, 5):
-        accounts.answered(request_id, RequestOutcome.CLIENT_LEFT, now)
+    for id in range(1, 5):
+        accounts.answered(id, RequestOutcome.CLIENT_LEFT, now)
         for attempt in range(3):
-            accounts.ended(request_id, attempt, AttemptOutcome.CANCELLED, 0.0, now)
+            accounts.ended(id, attempt, AttemptOutcome.CANCELLED, 0.0, now)
     windows.append(accounts.close_window(now))
     assert not accounts.open_count and not accounts.groups
     for queue in accounts.backends.values():
@@ -131,24 +127,22 @@
         )
         batches_of_seven = LatencyAccounts([0.05, 0.01], 0.0, batch_size=7)
         events = []
-        for request_id, (_, _, _, at, duration, _) in enumerate(requests):
+        for id, (_, _, _, at, duration, _) in enumerate(requests):
             events += [
-                (at, 0, request_id),
-                (at + duration / 10, 1, request_id),
-                (at + duration, 2, request_id),
+                (at, 0, id),
+                (at + duration / 10, 1, id),
+                (at + duration, 2, id),
             ]
-        for when, what, request_id in sorted(events):
-            volume, backend, units, at, duration, service = requests[request_id]
+        for when, what, id in sorted(events):
+            volume, backend, units, at, duration, service = requests[id]
             for accounts in (batches_of_one, unbatched, batches_of_seven):
                 if what == 0:
-                    accounts.admitted(
-                        request_id, volume, request_id % 2, backend, False, units, at - 0.001, when
-                    )
+                    accounts.admitted(id, volume, id % 2, backend, False, units, at - 0.001, when)
                 elif what == 1:
-                    accounts.sent(request_id, 0, backend, when)
+                    accounts.sent(id, 0, backend, when)
                 else:
                     accounts.ended(
-                        request_id,
+                        id,
                         0,
                         AttemptOutcome.SUCCEEDED,
                         service * duration,
@@ -162,16 +156,8 @@
         self.assertEqual(one, none)
         # A larger batch knows the least transit time better; all else is the same.
         counts = [
-            (
-                k,
-                r.requests,
-                r.late,
-                r.units,
-                r.duration_us,
-                r.outcomes,
-                r.stages[Stage.SERVICE],
-                r.stages[Stage.GATEWAY],
-            )
+            (k, r.requests, r.late, r.units, r.duration_us, r.outcomes, r.stages[Stage.SERVICE])
+            + (r.stages[Stage.GATEWAY],)
             for w in (none, seven)
             for k, r in sorted(w.rows.items())
         ]
