--- a/gorsethread/latency_attribution/snapshots.py
+++ b/gorsethread/latency_attribution/snapshots.py
@@ -43,13 +43,15 @@
     _put_sketch(message.waited, window.rest_waits)
     for (waiter, holder, backend, stage), us in sorted(window.blame.items()):
         message.blame.add(waiter=waiter, holder=holder, shelf=backend, stage=stage, us=us)
-    for number, row in sorted(window.backends.items()):
-        entry = message.shelf.add(number=number, wait_us=row.wait_us, stalled_us=row.stalled_us)
-        for order, (count, units, work_us) in sorted(row.classes.items()):
+    for number, backend_row in sorted(window.backends.items()):
+        entry = message.shelf.add(
+            number=number, wait_us=backend_row.wait_us, stalled_us=backend_row.stalled_us
+        )
+        for order, (count, units, work_us) in sorted(backend_row.classes.items()):
             getattr(entry, "class").add(order=order, count=count, units=units, work_us=work_us)
-        for volume, units in sorted(row.units.items()):
+        for volume, units in sorted(backend_row.units.items()):
             entry.units.add(volume=volume, units=units)
-        for how, count in sorted(row.endings.items()):
+        for how, count in sorted(backend_row.endings.items()):
             entry.ended.add(how=how, count=count)
     payload = message.SerializeToString(deterministic=True)
     return FRAME.pack(MAGIC, VERSION, len(payload), google_crc32c.value(payload)) + payload
