--- a/gorsethread/cli/faults.py
+++ b/gorsethread/cli/faults.py
@@ -65,12 +65,12 @@
     return range(int(first), int(last or first) + 1)
 
 
-def _script(site: pb.Site, what: str, web: bool = False, kept: bool = False) -> Script:
+def _script(site: pb.Site, what: str, web: bool = False, with_records: bool = False) -> Script:
     if what.isdigit():
-        return drawn(site, int(what), web, kept)
+        return drawn(site, int(what), web, with_records)
     try:
         script = read_script(Path(what).read_text())
-        if mismatches := misfits(site, script, web, kept):
+        if mismatches := misfits(site, script, web, with_records):
             raise BadScript(mismatches)
         return script
     except OSError as error:
@@ -80,13 +80,13 @@
     raise typer.Exit(2)
 
 
-def _mutants_of(web: bool, kept: bool) -> list[str]:
-    return [*KEPT_MUTANTS] if kept else [*WEB_MUTANTS] if web else [*MUTANTS]
+def _mutants_of(web: bool, with_records: bool) -> list[str]:
+    return [*KEPT_MUTANTS] if with_records else [*WEB_MUTANTS] if web else [*MUTANTS]
 
 
-def _mutant(name: str, web: bool = False, kept: bool = False) -> str:
+def _mutant(name: str, web: bool = False, with_records: bool = False) -> str:
     """Returns the only mutant whose name contains this text; exits with status 2 if there is not just one."""
-    found = [m for m in _mutants_of(web, kept) if name in m] if name else [""]
+    found = [m for m in _mutants_of(web, with_records) if name in m] if name else [""]
     if len(found) != 1:
         typer.echo(
             f"--mutant: {name!r} is in the names of {len(found)} mutants; see 'faults mutants'", err=True
@@ -102,17 +102,17 @@
     at_once: AtOnce = 0,
     mutant: MutantOption = "",
     web: Web = False,
-    kept: WithRecords = False,
+    with_records: WithRecords = False,
     json_path: JsonPath = "",
 ) -> None:
     """Run the simulations of many seeds.
 
     Exit status 0: in each, every rule held and nothing was left over.
     """
-    settings, wanted, planted = read_site_or_exit(site), _seeds(seeds), _mutant(mutant, web, kept)
+    settings, wanted, mutant_name = read_site_or_exit(site), _seeds(seeds), _mutant(mutant, web, with_records)
     console = Console(stderr=json_path == "-")
     summary, began = Summary(), wall_seconds()
-    for played in play_many(settings, wanted, at_once, planted, web, kept):
+    for played in play_many(settings, wanted, at_once, mutant_name, web, with_records):
         summary.add(played)
         if played.reasons and len(summary.failed) <= MAX_SHOWN_FAILURES:
             console.print(f"seed {played.seed}: {', '.join(played.reasons)}", markup=False)
@@ -166,7 +166,7 @@
     site: SitePath = DEFAULT_SITE,
     mutant: MutantOption = "",
     web: Web = False,
-    kept: WithRecords = False,
+    with_records: WithRecords = False,
     json_path: JsonPath = "",
     every: AllEvents = False,
 ) -> None:
@@ -175,10 +175,10 @@
     Exit status 0: every rule held, and the histories are the same.
     """
     settings = read_site_or_exit(site)
-    script, planted = _script(settings, what, web, kept), _mutant(mutant, web, kept)
+    script, mutant_name = _script(settings, what, web, with_records), _mutant(mutant, web, with_records)
     console = Console(stderr=json_path == "-")
     console.print(str(script), markup=False, highlight=False)
-    outcome, again = (play(settings, script, planted, web, kept) for _ in range(2))
+    outcome, again = (play(settings, script, mutant_name, web, with_records) for _ in range(2))
     start = zero_of(outcome)
     if every:
         hidden = ("t", "who", "e", "start")
@@ -218,23 +218,23 @@
     site: SitePath = DEFAULT_SITE,
     mutant: MutantOption = "",
     web: Web = False,
-    kept: WithRecords = False,
+    with_records: WithRecords = False,
     out: Annotated[str, typer.Option(help="Also write the script to this file.")] = "",
 ) -> None:
     """Reduce a failing simulation to the few faults and volumes that make it fail.
 
     Prints the script on standard output. Exit status 2: the simulation does not fail.
     """
-    settings, planted = read_site_or_exit(site), _mutant(mutant, web, kept)
+    settings, mutant_name = read_site_or_exit(site), _mutant(mutant, web, with_records)
     console = Console(stderr=True)
     try:
         small = shrink(
             settings,
-            _script(settings, what, web, kept),
-            planted,
+            _script(settings, what, web, with_records),
+            mutant_name,
             lambda line: console.print(line, markup=False, highlight=False),
             web,
-            kept,
+            with_records,
         )
     except ValueError as error:
         typer.echo(f"{what}: {error}", err=True)
@@ -242,7 +242,7 @@
     sys.stdout.write(str(small))
     if out:
         Path(out).write_text(str(small))
-    outcome = play(settings, small, planted, web, kept)
+    outcome = play(settings, small, mutant_name, web, with_records)
     for line in timeline(outcome, zero_of(outcome), 1):
         console.print(line, markup=False, highlight=False, soft_wrap=True)
 
@@ -275,14 +275,14 @@
     at_once: AtOnce = 0,
     only: Annotated[str, typer.Option(help="Only mutants whose name contains this.")] = "",
     web: Web = False,
-    kept: WithRecords = False,
+    with_records: WithRecords = False,
     json_path: JsonPath = "",
 ) -> None:
     """List the mutants; with --most, show the first seed that detects each.
 
     Exit status 1: a mutant was not detected.
     """
-    chosen = [name for name in _mutants_of(web, kept) if only in name]
+    chosen = [name for name in _mutants_of(web, with_records) if only in name]
     if not most:
         for name in chosen:
             typer.echo(name)
@@ -291,7 +291,7 @@
     table = Table("mutant", "first seed that detects it", "by")
     caught: dict[str, Any] = {}
     for name in chosen:
-        played = until_caught(settings, name, most, at_once, web, kept)
+        played = until_caught(settings, name, most, at_once, web, with_records)
         caught[name] = None if played is None else {"seed": played.seed, "reasons": played.reasons}
         cells = ("NONE", "") if played is None else (str(played.seed), ", ".join(played.reasons))
         console.print(f"{name}: {cells[0]} {cells[1]}", markup=False, highlight=False)
--- a/gorsethread/cli/fleet.py
+++ b/gorsethread/cli/fleet.py
@@ -182,17 +182,17 @@
 
     async def poll(transport: RealTransport) -> None:
         previous: Shown | None = None
-        answered, begun = True, transport.now()
-        while not seconds or transport.now() < begun + seconds:
+        answered, started = True, transport.now()
+        while not seconds or transport.now() < started + seconds:
             try:
                 shown = await ask(transport, address, which, max(every, 1.0))
             except NoAnswer as error:
                 if answered:
-                    typer.echo(f"{transport.now() - begun:8.1f}  {error}")
+                    typer.echo(f"{transport.now() - started:8.1f}  {error}")
                 answered = False
             else:
                 for line in _differences(previous, shown, not answered):
-                    typer.echo(f"{transport.now() - begun:8.1f}  {line}")
+                    typer.echo(f"{transport.now() - started:8.1f}  {line}")
                 previous, answered = shown, True
             await transport.sleep(every)
 
--- a/gorsethread/cli/lab.py
+++ b/gorsethread/cli/lab.py
@@ -82,7 +82,7 @@
         raise typer.Exit(2)
     console = Console(stderr=True)
 
-    async def whole() -> dict[str, Any]:
+    async def run_experiment() -> dict[str, Any]:
         return await experiment(
             settings,
             wanted,
@@ -94,7 +94,7 @@
             Path(folder) if folder else None,
         )
 
-    result = asyncio.run(whole())
+    result = asyncio.run(run_experiment())
     shown = result if as_json else result["figures"]
     sys.stdout.write(json.dumps(shown, indent=1) + "\n")
     figures = result["figures"]
@@ -199,7 +199,7 @@
     found = list(compared(scenes, names, at_once))
     table = Table(
         "variant",
-        "heads",
+        "gateways",
         "weight served",
         "least, most",
         "worst plan",
