--- a/gorsethread/cli/faults.py
+++ b/gorsethread/cli/faults.py
@@ -10,20 +10,20 @@
 
 from gorsethread.cli.options import SitePath, print_error, read_site_or_exit, write_json
 from gorsethread.experiments.script_comparison import beside
-from gorsethread.harness.process_faults import unplayable
-from gorsethread.harness.site import PARTIES, PLAYED
-from gorsethread.simulation.durable_log_mutants import KEPT_MUTANTS
-from gorsethread.simulation.http_mutants import WEB_MUTANTS
+from gorsethread.harness.process_faults import unsupported_acts
+from gorsethread.harness.site import SUPPORTED_ACTS, SUPPORTED_PARTIES
+from gorsethread.simulation.durable_log_mutants import DURABLE_LOG_MUTANTS
+from gorsethread.simulation.http_mutants import HTTP_MUTANTS
 from gorsethread.simulation.mutants import MUTANTS
 from gorsethread.simulation.runs import (
     Summary,
-    drawn,
+    client_start_time,
+    find_first_failing_seed,
+    generate_script,
     play,
     play_many,
     shrink,
     timeline,
-    until_caught,
-    zero_of,
 )
 from gorsethread.simulation.script import KINDS, BadScript, Script, read_script
 from gorsethread.simulation.site_simulation import misfits
@@ -67,7 +67,7 @@
 
 def _script(site: pb.Site, what: str, web: bool = False, with_records: bool = False) -> Script:
     if what.isdigit():
-        return drawn(site, int(what), web, with_records)
+        return generate_script(site, int(what), web, with_records)
     try:
         script = read_script(Path(what).read_text())
         if mismatches := misfits(site, script, web, with_records):
@@ -81,7 +81,7 @@
 
 
 def _mutants_of(web: bool, with_records: bool) -> list[str]:
-    return [*KEPT_MUTANTS] if with_records else [*WEB_MUTANTS] if web else [*MUTANTS]
+    return [*DURABLE_LOG_MUTANTS] if with_records else [*HTTP_MUTANTS] if web else [*MUTANTS]
 
 
 def _mutant(name: str, web: bool = False, with_records: bool = False) -> str:
@@ -179,7 +179,7 @@
     console = Console(stderr=json_path == "-")
     console.print(str(script), markup=False, highlight=False)
     outcome, again = (play(settings, script, mutant_name, web, with_records) for _ in range(2))
-    start = zero_of(outcome)
+    start = client_start_time(outcome)
     if every:
         hidden = ("t", "who", "e", "start")
         for r in outcome.records:
@@ -243,7 +243,7 @@
     if out:
         Path(out).write_text(str(small))
     outcome = play(settings, small, mutant_name, web, with_records)
-    for line in timeline(outcome, zero_of(outcome), 1):
+    for line in timeline(outcome, client_start_time(outcome), 1):
         console.print(line, markup=False, highlight=False, soft_wrap=True)
 
 
@@ -252,7 +252,7 @@
     """Run one script with real processes and sockets and on the virtual clock, and compare the results."""
     settings = read_site_or_exit(site)
     script = _script(settings, what)
-    if unsupported := unplayable(script, PLAYED, PARTIES):
+    if unsupported := unsupported_acts(script, SUPPORTED_ACTS, SUPPORTED_PARTIES):
         typer.echo(f"{what}: not supported with real processes: {'; '.join(unsupported)}", err=True)
         raise typer.Exit(2)
     found = beside(settings, script)
@@ -291,7 +291,7 @@
     table = Table("mutant", "first seed that detects it", "by")
     caught: dict[str, Any] = {}
     for name in chosen:
-        played = until_caught(settings, name, most, at_once, web, with_records)
+        played = find_first_failing_seed(settings, name, most, at_once, web, with_records)
         caught[name] = None if played is None else {"seed": played.seed, "reasons": played.reasons}
         cells = ("NONE", "") if played is None else (str(played.seed), ", ".join(played.reasons))
         console.print(f"{name}: {cells[0]} {cells[1]}", markup=False, highlight=False)
--- a/gorsethread/cli/main.py
+++ b/gorsethread/cli/main.py
@@ -22,13 +22,13 @@
 from gorsethread.experiments.alternating_load import TurnLoad
 from gorsethread.experiments.bench_peers import Load, Relay, Sink
 from gorsethread.experiments.day import TROUBLES, Day, DayPlan, DayResult
-from gorsethread.fakes.backend import Shelf
+from gorsethread.fakes.backend import FakeBackend
 from gorsethread.fakes.client import LoadClient, Surge
-from gorsethread.fakes.discovery import NodeList
+from gorsethread.fakes.discovery import FakeDiscovery
 from gorsethread.fakes.record import Recorder, read_script
 from gorsethread.logs import log_for, start_logs
 from gorsethread.nvme_gateway.gateway import Head
-from gorsethread.simulation.rule_mutants import plant as plant_break
+from gorsethread.simulation.rule_mutants import break_rule
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.real import RealTransport, run
 from gorsethread.transport.sampling import Sampler
@@ -163,7 +163,7 @@
             peers_listen=peers_listen,
         )
         if plant:
-            plant_break(made, plant)
+            break_rule(made, plant)
         if alternate:
             alternating.append(Alternating(made))
         return made
@@ -196,18 +196,18 @@
         typer.echo(f"{site}: shelf: there is no backend {shelf}", err=True)
         raise typer.Exit(2)
     logger = log_for(shelf=shelf)
-    made: list[Shelf] = []
+    made: list[FakeBackend] = []
 
-    def make(transport: RealTransport) -> Shelf:
+    def make(transport: RealTransport) -> FakeBackend:
         recorder = Recorder(transport, f"shelf {shelf}", record)
         faults = read_script(transport.load(script) if script else None)
         made.append(
-            Shelf(transport, settings, shelf, recorder, folder, faults, warm, logger, transport.finish)
+            FakeBackend(transport, settings, shelf, recorder, folder, faults, warm, logger, transport.finish)
         )
         return made[0]
 
     _serve(make, seed, logger)
-    if made[0].machine.fallen:
+    if made[0].machine.overloaded:
         raise typer.Exit(BACKEND_OVERLOADED)
 
 
@@ -224,9 +224,9 @@
     settings = read_site_or_exit(site)
     logger = log_for(list=settings.name)
 
-    def make(transport: RealTransport) -> NodeList:
+    def make(transport: RealTransport) -> FakeDiscovery:
         faults = read_script(transport.load(script) if script else None)
-        return NodeList(transport, settings, Recorder(transport, "list", record), faults, logger)
+        return FakeDiscovery(transport, settings, Recorder(transport, "list", record), faults, logger)
 
     _serve(make, seed, logger)
 
@@ -311,7 +311,7 @@
     )
     if result.accounts:
         console.print(f"latency: {result.accounts}", markup=False, highlight=False)
-    for violation in verdict.breaks[:10]:
+    for violation in verdict.violations[:10]:
         console.print(str(violation), markup=False, highlight=False)
     for defect in result.defects:
         console.print(f"defect: {defect}", markup=False)
--- a/gorsethread/simulation/branch_checks.py
+++ b/gorsethread/simulation/branch_checks.py
@@ -31,24 +31,24 @@
             here, there = [n for n in v.head if n in away], [n for n in v.head if n not in away]
             self.near[v.number] = here or there
 
-    def _head_for(self, volume: pb.Volume) -> Any:
+    def _choose_gateway(self, volume: pb.Volume) -> Any:
         far = [n for n in volume.head if n not in self.near[volume.number]]
         if far and self.chance.random() < self.roams:
             return self.links[far[self.chance.randrange(len(far))]]
         near = pb.Volume(number=volume.number, head=self.near[volume.number])
-        return super()._head_for(near)
+        return super()._choose_gateway(near)
 
-    def _one_try(self, t: Any, attempt: int, link: Any) -> Any:
-        one: Any = super()._one_try(t, attempt, link)
+    def _new_attempt(self, t: Any, attempt: int, link: Any) -> Any:
+        one: Any = super()._new_attempt(t, attempt, link)
         one.begun = self.transport.now()
         return one
 
     def answered(self, one: Any, how: str, completion: Any, data: bytes) -> None:
-        t, now = one.t, self.transport.now()
+        t, now = one.request, self.transport.now()
         blocks = [(t.volume.number, t.first_block + n) for n in range(t.blocks)]
         accepted = how == "honoured" and t.operation == Opcode.WRITE and completion.dw0 == 0
         if accepted:
-            self.recorder.saw("accepted", label=t.label, attempt=one.attempt, head=one.link.number)
+            self.recorder.record("accepted", label=t.label, attempt=one.attempt, head=one.link.number)
             self.promised.update(dict.fromkeys(blocks, (t.label, now)))
         elif (
             how == "honoured" and t.operation == Opcode.READ and one.link.number in self.near[t.volume.number]
@@ -56,7 +56,7 @@
             for n, block in enumerate(blocks):
                 label, at = self.promised.get(block, (0, now))
                 if at < one.begun and not any(data[n * BLOCK : n * BLOCK + 16]):
-                    self.recorder.saw("unseen", label=label)
+                    self.recorder.record("unseen", label=label)
         super().answered(one, how, completion, data)
         if accepted:
             # Known to be there only where it is not parked: the judge looks at it by itself.
