--- a/gorsethread/cli/branch.py
+++ b/gorsethread/cli/branch.py
@@ -110,7 +110,7 @@
 
 @app.command()
 def parked(site: SitePath, head: Head, json_path: Json = "") -> None:
-    """Show the parked writes, which wait for a decision, with their reasons. Exit status 0: none, 1: some."""
+    """Show the dead-lettered writes, which wait for a decision, and why. Exit status 0: none, 1: some."""
     answer = _ask_gateway(site, head, "parked")
     table = Table("write", "volume", "block", "bytes", "age, s", "reason")
     for write in answer["parked"]:
@@ -129,9 +129,9 @@
 
 @app.command()
 def release(site: SitePath, head: Head, number: Number, json_path: Json = "") -> None:
-    """Replay a parked write after all, whatever its blocks hold now and though it may already have run.
+    """Replay a dead-lettered write after all, whatever its blocks hold now and though it may have run.
 
-    The writes that were parked only because of it are released with it.
+    The writes that were dead-lettered only because of it are released with it.
     """
     answer = _ask_gateway(site, head, "release", _parse_number(number))
     typer.echo("released: " + ", ".join(_number_text(n) for n in answer["released"]))
@@ -149,7 +149,7 @@
     ] = "",
     json_path: Json = "",
 ) -> None:
-    """Discard a parked write for good; a record of that stays on the disk."""
+    """Discard a dead-lettered write for good; a record of that stays on the disk."""
     if again != number:
         typer.echo(f"a discarded write is lost for good; to confirm, add --yes {number}", err=True)
         raise typer.Exit(2)
--- a/gorsethread/cli/lab.py
+++ b/gorsethread/cli/lab.py
@@ -415,7 +415,7 @@
 ) -> None:
     """Run real gateways of a branch that loses its link, with crashes and disk losses then and in replay.
 
-    Exit status 0: every accepted write took effect, once and in causal order, or is parked for a decision;
+    Exit status 0: every accepted write took effect, once and in causal order, or is dead-lettered;
     and every rule held.
     """
     settings = read_site_or_exit(site)
--- a/gorsethread/latency_attribution/batch_counting.py
+++ b/gorsethread/latency_attribution/batch_counting.py
@@ -1,4 +1,4 @@
-"""Counts requests in batches: those sent by the next search that succeeded at once after a short wait.
+"""Counts requests in batches: those that the first search sent and whose first attempt soon succeeded.
 
 Nearly all requests are such, and counting them one by one would cost several times as much.
 """
--- a/gorsethread/latency_attribution/request_attribution.py
+++ b/gorsethread/latency_attribution/request_attribution.py
@@ -168,7 +168,7 @@
 
 
 class _HeldGroup:
-    """Requests held for the same reason. elapsed: microseconds by stage since the group was created."""
+    """Held requests of one volume and shard. elapsed: microseconds by stage since the group was created."""
 
     __slots__ = ("key", "stage", "backend", "holders", "since", "members", "elapsed")
 
