--- a/gorsethread/cli/branch.py
+++ b/gorsethread/cli/branch.py
@@ -9,7 +9,7 @@
 from gorsethread.cli.options import SitePath, print_error, read_site_or_exit, write_json
 from gorsethread.errors import GorsethreadError
 from gorsethread.experiments.operator_queries import NoAnswer, ask_branch
-from gorsethread.nvme_gateway.peers import fleet_of
+from gorsethread.nvme_gateway.peers import fleet_id
 from gorsethread.site_config.reading import split_address
 from gorsethread.transport.real import RealTransport, run
 
@@ -55,7 +55,7 @@
             if not any(head in b.head for b in site_settings.branch):
                 raise NotInBranchError(f"gateway {head} is in no branch of {site_settings.name}")
             found["answer"] = await ask_branch(
-                transport, split_address(address), fleet_of(site_settings), what, number
+                transport, split_address(address), fleet_id(site_settings), what, number
             )
         except (NotInBranchError, NoAnswer) as error:
             found["error"] = error
--- a/gorsethread/cli/main.py
+++ b/gorsethread/cli/main.py
@@ -27,7 +27,7 @@
 from gorsethread.fakes.discovery import FakeDiscovery
 from gorsethread.fakes.record import Recorder, read_script
 from gorsethread.logs import log_for, start_logs
-from gorsethread.nvme_gateway.gateway import Head
+from gorsethread.nvme_gateway.gateway import NvmeGateway
 from gorsethread.simulation.rule_mutants import break_rule
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.real import RealTransport, run
@@ -149,8 +149,8 @@
 
     alternating: list[Alternating] = []
 
-    def make(transport: RealTransport) -> Head:
-        made = Head(
+    def make(transport: RealTransport) -> NvmeGateway:
+        made = NvmeGateway(
             transport,
             settings,
             head,
--- a/gorsethread/cli/options.py
+++ b/gorsethread/cli/options.py
@@ -9,7 +9,7 @@
 
 from gorsethread.errors import GorsethreadError
 from gorsethread.site_config import site_pb2 as pb
-from gorsethread.site_config.reading import BadSite, read_site
+from gorsethread.site_config.reading import SiteFileError, read_site
 
 SitePath = Annotated[Path, typer.Option("--site", help="The site file (protobuf text format).")]
 
@@ -24,7 +24,7 @@
     """Returns the site file's contents; if it is invalid, prints its faults and exits with status 2."""
     try:
         return read_site(path)
-    except BadSite as error:
+    except SiteFileError as error:
         print_error(error)
         raise typer.Exit(2) from None
 
--- a/gorsethread/fakes/backend.py
+++ b/gorsethread/fakes/backend.py
@@ -9,9 +9,9 @@
 from gorsethread.fakes.backend_model import BackendModel, Job
 from gorsethread.fakes.discovery import Registration
 from gorsethread.fakes.record import Fault, Recorder
-from gorsethread.nvme.command import Completion, Opcode, Status, tell_service
+from gorsethread.nvme.command import Completion, Opcode, Status, pack_service_report
 from gorsethread.nvme.subsystem import BLOCK, Namespace, Subsystem
-from gorsethread.nvme_gateway.scheduler_settings import Sorter, units_of
+from gorsethread.nvme_gateway.scheduler_settings import RequestClassifier, request_units
 from gorsethread.nvme_transport.controller_server import IoCommand, QueueServer
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.reading import split_address
@@ -58,7 +58,7 @@
         self.warm = warm
         self.error_fraction, self.errors_until = 0.0, 0.0
         self.script = script
-        self.sorter = Sorter(site)
+        self.sorter = RequestClassifier(site)
         self.volumes = {v.number: v for v in site.volume}
         self.namespaces = [Namespace(v.number, v.blocks, v.extent_blocks) for v in site.volume]
         self.subsystem = Subsystem(
@@ -140,11 +140,11 @@
         _, mark, number = host.rpartition(GATEWAY_MARK)
         return self.namespaces if mark and number.isdigit() else None
 
-    def announced(self, io: IoCommand) -> None:
+    def command_announced(self, io: IoCommand) -> None:
         """Records the command's arrival when its capsule is read, before its data."""
         c = io.command
-        units = units_of(c.blocks * BLOCK, self.site.links.unit_bytes)
-        io.owned = ReceivedCommand(units)
+        units = request_units(c.blocks * BLOCK, self.site.links.unit_bytes)
+        io.owner_state = ReceivedCommand(units)
         self.recorder.record(
             "arrived",
             shelf=self.number,
@@ -163,22 +163,22 @@
             self.stop()
             self.on_overload()
 
-    def taken(self, io: IoCommand, data: bytes) -> None:
+    def command_received(self, io: IoCommand, data: bytes) -> None:
         if self.machine.overloaded:
             return
-        io.owned.data = data
+        io.owner_state.data = data
         if self.machine.is_stalled(self.transport.now()):
             self.stalled_commands.append(io)
             return
         self._queue(io)
         self._advance()
 
-    def left(self, io: IoCommand) -> None:
+    def command_abandoned(self, io: IoCommand) -> None:
         """Drops an aborted command if it has not started.
 
         After a lost connection the command runs nevertheless, as it would on a disk.
         """
-        if not io.connection.queue.over:
+        if not io.connection.queue.closed:
             self._withdraw(io)
 
     def _withdraw(self, io: IoCommand) -> None:
@@ -195,7 +195,7 @@
 
     def _profile(self, io: IoCommand) -> pb.Profile:
         c, volume = io.command, self.volumes[io.command.nsid]
-        return self.site.profile[self.sorter.profile(volume.plan, c.opcode, c.blocks * BLOCK, c.hints)]
+        return self.site.profile[self.sorter.classify(volume.plan, c.opcode, c.blocks * BLOCK, c.hints)]
 
     def _queue(self, io: IoCommand) -> None:
         c, now = io.command, self.transport.now()
@@ -205,7 +205,7 @@
             if ran:
                 self._apply(io)
             self._record_end(io, "error", ran)
-            io.answer(Completion(0, Status.INTERNAL_ERROR, final=True))
+            io.answer(Completion(0, Status.INTERNAL_ERROR, do_not_retry=True))
             return
         if profile.effect == pb.LABELLED and c.label:
             if c.label in self.waiting_repeats:
@@ -216,7 +216,7 @@
                 io.answer(Completion(0))
                 return
         deferred_fraction = self.site.machine.put_off if c.opcode == Opcode.WRITE else 0.0
-        job = Job(io, io.owned.units * self.site.machine.unit_time, deferred_fraction)
+        job = Job(io, io.owner_state.units * self.site.machine.unit_time, deferred_fraction)
         if not self.machine.offer(now, job):
             self._record_end(io, "turned away", False)
             io.answer(Completion(0, Status.COMMAND_INTERRUPTED))
@@ -255,8 +255,8 @@
             self._apply(io)
         else:
             data = self._file(c.nsid).read(c.first_block * BLOCK, c.blocks * BLOCK)
-        elsewhere, usage = self._count(c.nsid, _gateway_of(io), io.owned.units, now)
-        dw0, dw1 = tell_service(elsewhere, usage, now - job.started_at)
+        elsewhere, usage = self._count(c.nsid, _gateway_of(io), io.owner_state.units, now)
+        dw0, dw1 = pack_service_report(elsewhere, usage, now - job.started_at)
         self._record_end(io, "honoured", c.opcode == Opcode.WRITE)
         io.answer(Completion(0, dw0=dw0, dw1=dw1), data)
         for repeat in self.waiting_repeats.pop(c.label, []):
@@ -264,7 +264,7 @@
             repeat.answer(Completion(0))
 
     def _apply(self, io: IoCommand) -> None:
-        self._file(io.command.nsid).write(io.command.first_block * BLOCK, io.owned.data)
+        self._file(io.command.nsid).write(io.command.first_block * BLOCK, io.owner_state.data)
         self.recorder.record("ran", shelf=self.number, label=io.command.label, attempt=io.command.attempt)
 
     def _file(self, volume: int) -> RandomAccessFile:
--- a/gorsethread/fakes/client.py
+++ b/gorsethread/fakes/client.py
@@ -13,8 +13,8 @@
 from gorsethread.fakes.record import Recorder
 from gorsethread.nvme.command import Completion, Opcode, Status, io_command
 from gorsethread.nvme.subsystem import BLOCK
-from gorsethread.nvme_gateway.scheduler_settings import Sorter, units_of
-from gorsethread.nvme_transport.host_connection import Association, Names, dial
+from gorsethread.nvme_gateway.scheduler_settings import RequestClassifier, request_units
+from gorsethread.nvme_transport.host_connection import Association, AssociationNames, connect_association
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import Timer, Transport, Unreachable
@@ -63,7 +63,9 @@
 class GatewayConnection:
     """Holds an association with one gateway and reconnects whenever it breaks."""
 
-    def __init__(self, transport: Transport, number: int, address: tuple[str, int], names: Names) -> None:
+    def __init__(
+        self, transport: Transport, number: int, address: tuple[str, int], names: AssociationNames
+    ) -> None:
         self.transport, self.number, self.address, self.names = transport, number, address, names
         self.association: Association | None = None
         # By command id; emptied by answers and when the connection ends.
@@ -72,8 +74,8 @@
     async def keep(self) -> None:
         while True:
             try:
-                association = await dial(
-                    self.transport, self.address, self.names, within=2.0, size=QUEUE_SIZE
+                association = await connect_association(
+                    self.transport, self.address, self.names, timeout=2.0, size=QUEUE_SIZE
                 )
             except Unreachable:
                 await self.transport.sleep(0.2)
@@ -144,7 +146,7 @@
     def send(self) -> bool:
         """Sends the command; returns False if there is no connection, no room on it or no time left."""
         association, request, client = self.link.association, self.request, self.client
-        if association is None or len(association.io.queue) >= QUEUE_SIZE or association.io.queue.over:
+        if association is None or len(association.io.queue) >= QUEUE_SIZE or association.io.queue.closed:
             return False
         now = client.transport.now()
         if now >= request.by:
@@ -158,7 +160,7 @@
             request.first_block,
             request.blocks,
             hints=request.hints,
-            patience=request.by - now,
+            client_timeout=request.by - now,
             attempt=self.attempt,
             shard=shard,
             label=request.label,
@@ -173,7 +175,7 @@
             head=self.link.number,
             volume=request.volume.number,
             profile=request.profile,
-            units=units_of(request.blocks * BLOCK, client.site.links.unit_bytes),
+            units=request_units(request.blocks * BLOCK, client.site.links.unit_bytes),
             key=request.key,
             by=request.by,
             due=request.due,
@@ -203,7 +205,7 @@
     def _abandon(self) -> None:
         if not self.over and self.link.association is not None:
             self.ended("left", None, b"")
-            self.link.association.abort(self.cid, missed=self._abort_missed)
+            self.link.association.abort(self.cid, not_found=self._abort_missed)
 
     def _abort(self) -> None:
         """Asks the gateway to abort the command after the deadline."""
@@ -229,9 +231,9 @@
             if completion.status != Status.ABORT_REQUESTED:
                 self.client.recorder.record("answered late", label=self.request.label, attempt=self.attempt)
             return
-        if completion.honoured:
+        if completion.succeeded:
             self.ended("honoured", completion, data)
-        elif completion.pushed_back:
+        elif completion.rejected:
             self.ended("pushed back", completion, data)
         else:
             self.ended("given up", completion, data)
@@ -271,7 +273,7 @@
         self.me = next(t for t in site.tenant if t.name == tenant)
         self.volumes = [v for v in site.volume if v.tenant == tenant]
         self.plans = {p.name: p for p in site.plan}
-        self.sorter = Sorter(site)
+        self.sorter = RequestClassifier(site)
         gateways = {h for v in self.volumes for h in v.head}
         self.links = {h.number: self._link(h) for h in site.head if h.number in gateways}
         # Shard by volume and extent, as gateways reported it; answered() drops the oldest beyond MAX_SHARDS.
@@ -287,7 +289,7 @@
         self.abandon_fraction = ABANDON_FRACTION
 
     def _link(self, head: pb.Head) -> Any:
-        names = Names(self.site.subsystem, self.me.host[0])
+        names = AssociationNames(self.site.subsystem, self.me.host[0])
         return GatewayConnection(self.transport, head.number, split_address(head.address), names)
 
     def _new_attempt(self, request: LoadRequest, attempt: int, link: Any) -> LoadAttempt:
@@ -315,7 +317,7 @@
                 if surge.volume == volume.number and surge.at <= due < surge.at + surge.seconds:
                     multiple *= surge.times
             request = self._next_request(volume, due)
-            units = units_of(request.blocks * BLOCK, self.site.links.unit_bytes)
+            units = request_units(request.blocks * BLOCK, self.site.links.unit_bytes)
             self._start_attempt(request, 0)
             due += self.chance.expovariate(self.plans[volume.plan].usual * multiple / units)
             if (wait := due - self.transport.now()) > 0:
@@ -345,7 +347,7 @@
             else:
                 operation, blocks = Opcode.READ, 8 + self.chance.randrange(8)
             first = extent * volume.extent_blocks + self.chance.randrange(volume.extent_blocks - blocks)
-        profile = self.sorter.profile(volume.plan, operation, blocks * BLOCK, hints)
+        profile = self.sorter.classify(volume.plan, operation, blocks * BLOCK, hints)
         if self.site.profile[profile].in_order:
             key = f"{volume.number}/{extent}"
         self.last_label += 1
--- a/gorsethread/fakes/discovery.py
+++ b/gorsethread/fakes/discovery.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from gorsethread.fakes.record import Fault, Recorder
-from gorsethread.nvme_gateway.discovery import Ask, Listed, Told
+from gorsethread.nvme_gateway.discovery import ListedBackend, ListMessage, WatchRequest
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import Stream, StreamClosed, Transport
@@ -93,8 +93,8 @@
                 if len(buffer) > MAX_LINE_BYTES:
                     raise StreamClosed("the line is too long")
             line, _, buffer = buffer.partition(b"\n")
-            message: Registration | DrainOrder | Ask = msgspec.json.decode(
-                line, type=Registration | DrainOrder | Ask
+            message: Registration | DrainOrder | WatchRequest = msgspec.json.decode(
+                line, type=Registration | DrainOrder | WatchRequest
             )
             if isinstance(message, Registration):
                 await self._serve_backend(message, stream)
@@ -139,9 +139,9 @@
         for watcher in list(self.watchers):
             self._send_later(watcher, [entry.number], "changes")
 
-    async def _serve_watcher(self, ask: Ask, stream: Stream) -> None:
+    async def _serve_watcher(self, ask: WatchRequest, stream: Stream) -> None:
         if self.transport.now() < self.refuse_until:
-            stream.write(msgspec.json.encode(Told("refused")) + b"\n")
+            stream.write(msgspec.json.encode(ListMessage("refused")) + b"\n")
             await stream.drained()
             return
         watcher = ListWatcher(ask.head, stream)
@@ -174,7 +174,7 @@
             return
         now = self.transport.now()
         listed = [
-            Listed(
+            ListedBackend(
                 s.number,
                 s.address,
                 s.shard,
@@ -185,11 +185,13 @@
             )
             for s, state, since in entries
         ]
-        watcher.stream.write(msgspec.json.encode(Told(kind, version, listed, self.incarnation)) + b"\n")
+        watcher.stream.write(
+            msgspec.json.encode(ListMessage(kind, version, listed, self.incarnation)) + b"\n"
+        )
         for s in listed:
             self.recorder.record("told", head=watcher.gateway, shelf=s.number, state=s.state, start=s.start)
 
     def _send_heartbeats(self) -> None:
         for watcher in self.watchers:
-            watcher.stream.write(msgspec.json.encode(Told("alive")) + b"\n")
+            watcher.stream.write(msgspec.json.encode(ListMessage("alive")) + b"\n")
         self.transport.call_at(self.transport.now() + 1.0, self._send_heartbeats)
--- a/gorsethread/fakes/web/backend.py
+++ b/gorsethread/fakes/web/backend.py
@@ -8,7 +8,7 @@
 from gorsethread.fakes.web.messages import ATTEMPTS, FIRST_GATEWAY_PORT, body_of, id_of
 from gorsethread.http1.framing import InvalidRequestError
 from gorsethread.http1.server_codec import Request, ServerCodec, closing_response
-from gorsethread.nvme.command import Command, Completion, Opcode, Status, io_command, told_service
+from gorsethread.nvme.command import Command, Completion, Opcode, Status, io_command, unpack_service_report
 from gorsethread.nvme.subsystem import BLOCK
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.base import Stream, StreamClosed
@@ -20,14 +20,14 @@
 class HttpCommand:
     """A request at a backend, with the attributes of an IoCommand that FakeBackend uses."""
 
-    __slots__ = ("command", "host", "owned", "target", "connection", "answered")
+    __slots__ = ("command", "host", "owner_state", "target", "connection", "answered")
 
     def __init__(
         self, connection: "BackendConnection", command: Command, gateway: int, target: bytes
     ) -> None:
         self.connection, self.command, self.target = connection, command, target
         self.host = f"{GATEWAY_MARK}{gateway}"
-        self.owned: Any = None
+        self.owner_state: Any = None
         self.answered = False
 
     def answer(self, completion: Completion, data: bytes = b"") -> None:
@@ -71,9 +71,9 @@
 
     def answer(self, io: HttpCommand, completion: Completion) -> None:
         self.io = None
-        if completion.pushed_back:
+        if completion.rejected:
             self.respond(503, [(b"srv-declined", b"1")], b"")
-        elif not completion.honoured:
+        elif not completion.succeeded:
             self.respond(500, [], b"")
         elif (noise := self.backend.noise()) is not None:
             if noise in self.backend.noises[FIRST_VALID_NOISE:]:
@@ -83,7 +83,7 @@
             if noise is self.backend.noises[CLOSING_NOISE]:
                 self.stream.close()
         else:
-            elsewhere, usage, _ = told_service(completion)
+            elsewhere, usage, _ = unpack_service_report(completion)
             headers = [(b"other-hosts", b"%d" % elsewhere), (b"volume-load", b"%d" % usage)]
             self.respond(200, headers, self.backend.body_for(io))
 
@@ -172,13 +172,13 @@
         if request.body != (body_of(id, units) if write else b""):
             self.recorder.record("bad request", shelf=self.number, reason="not the body that the client sent")
         io = connection.io = HttpCommand(connection, command, connection.gateway, request.target)
-        self.announced(io)  # type: ignore[arg-type]
-        io.owned = ReceivedCommand(units, request.body)
+        self.command_announced(io)  # type: ignore[arg-type]
+        io.owner_state = ReceivedCommand(units, request.body)
         if shard not in (-1, self.me.shard):
             self._record_end(io, "turned away", False)  # type: ignore[arg-type]
             io.answer(Completion(0, Status.COMMAND_INTERRUPTED))
             return
-        self.taken(io, request.body)  # type: ignore[arg-type]
+        self.command_received(io, request.body)  # type: ignore[arg-type]
 
     def connection_lost(self, io: HttpCommand) -> None:
         """Handles the end of the request's connection: drops it if it has not started, else lets it run."""
--- a/gorsethread/harness/processes.py
+++ b/gorsethread/harness/processes.py
@@ -11,14 +11,14 @@
 from google.protobuf import text_format
 
 from gorsethread.site_config import site_pb2 as pb
-from gorsethread.site_config.sizing import needed, sized
+from gorsethread.site_config.sizing import addresses_needed, resized_site
 from gorsethread.transport.real import free_ports
 
 
 def resize_site(site: pb.Site, gateways: int, backends: int) -> pb.Site:
     """Returns the site on free loopback ports with the given numbers of gateways and backends."""
-    ports = free_ports(needed(site, gateways, backends))
-    return sized(site, gateways, backends, [f"127.0.0.1:{port}" for port in ports])
+    ports = free_ports(addresses_needed(site, gateways, backends))
+    return resized_site(site, gateways, backends, [f"127.0.0.1:{port}" for port in ports])
 
 
 class Processes:
--- a/gorsethread/harness/service.py
+++ b/gorsethread/harness/service.py
@@ -32,7 +32,7 @@
 from gorsethread.invariants.history_checker import HistoryChecker, Verdict
 from gorsethread.simulation.script import Act, Script
 from gorsethread.site_config import site_pb2 as pb
-from gorsethread.site_config.sizing import sized
+from gorsethread.site_config.sizing import resized_site
 from gorsethread.transport.base import Transport, Unreachable
 from gorsethread.transport.real import RealTransport, free_ports
 
@@ -137,7 +137,7 @@
             *(f"{self.net}.{1 + n}:{ports[1 + gateways + n]}" for n in range(backends)),
             *(f"127.0.0.1:{p}" for p in ports[1 + gateways + backends : 1 + 2 * gateways + backends]),
         ]
-        self.site = sized(site, gateways, backends, addresses)
+        self.site = resized_site(site, gateways, backends, addresses)
         # The relay's address of the list, for gateways with a site file.
         self.relayed_list_address = f"{self.net}.251:{ports[-1]}"
         self.records: list[dict[str, Any]] = []
--- a/gorsethread/harness/site.py
+++ b/gorsethread/harness/site.py
@@ -17,7 +17,7 @@
 from gorsethread.harness.kill_points import kill_point_code
 from gorsethread.harness.processes import Processes
 from gorsethread.harness.service import ServiceTrial
-from gorsethread.nvme_gateway.discovery import Ask
+from gorsethread.nvme_gateway.discovery import WatchRequest
 from gorsethread.offline_writes import messages as offline_messages
 from gorsethread.simulation.script import Act, Script
 from gorsethread.site_config import site_pb2 as pb
@@ -56,7 +56,7 @@
             if isinstance(message, offline_messages.BranchHello):
                 return f"head {message.gateway}"
     with contextlib.suppress(msgspec.DecodeError):
-        ask: Ask = msgspec.json.decode(first.splitlines()[0], type=Ask)
+        ask: WatchRequest = msgspec.json.decode(first.splitlines()[0], type=WatchRequest)
         return f"head {ask.head}"
     return ""
 
--- a/gorsethread/simulation/durable_log_mutants.py
+++ b/gorsethread/simulation/durable_log_mutants.py
@@ -6,26 +6,26 @@
 
 from gorsethread.durable_log import replication_messages
 from gorsethread.durable_log.records import NO_SEQUENCE, Record, RecordTable
-from gorsethread.nvme_gateway.gateway import Head
+from gorsethread.nvme_gateway.gateway import NvmeGateway
 from gorsethread.nvme_gateway.replicated_log import ReplicatedLog
 from gorsethread.recovery.stages import RecoveryStages
 from gorsethread.simulation.mutant_registry import registered_in
 
-DURABLE_LOG_MUTANTS: dict[str, Callable[[Head], None]] = {}
+DURABLE_LOG_MUTANTS: dict[str, Callable[[NvmeGateway], None]] = {}
 mutant = registered_in(DURABLE_LOG_MUTANTS)
 
 
-def _log_of(gateway: Head) -> ReplicatedLog:
-    assert gateway.promises is not None
-    return gateway.promises
+def _log_of(gateway: NvmeGateway) -> ReplicatedLog:
+    assert gateway.replicated_log is not None
+    return gateway.replicated_log
 
 
-def _replica_server_of(gateway: Head) -> Any:
-    assert gateway.holding is not None
-    return gateway.holding
+def _replica_server_of(gateway: NvmeGateway) -> Any:
+    assert gateway.replica_server is not None
+    return gateway.replica_server
 
 
-def _on_recovery_stages(gateway: Head, change: Callable[[RecoveryStages], None]) -> None:
+def _on_recovery_stages(gateway: NvmeGateway, change: Callable[[RecoveryStages], None]) -> None:
     """Calls change with the recovery stages once the log is open."""
     log = _log_of(gateway)
     original = log.open
@@ -38,7 +38,7 @@
 
 
 @mutant("records: nothing is kept of what is placed")
-def _keeps_no_placements(gateway: Head) -> None:
+def _keeps_no_placements(gateway: NvmeGateway) -> None:
     log = _log_of(gateway)
     log.placed = lambda extent, shard, on_durable: log.transport.call_soon(  # type: ignore[method-assign]
         lambda: on_durable(True)
@@ -46,7 +46,7 @@
 
 
 @mutant("records: what a disk does not take is told as kept")
-def _reports_failed_writes_as_durable(gateway: Head) -> None:
+def _reports_failed_writes_as_durable(gateway: NvmeGateway) -> None:
     store = _log_of(gateway).store
     original = store.add
 
@@ -57,7 +57,7 @@
 
 
 @mutant("records: half of a folder is read")
-def _reads_half_of_log(gateway: Head) -> None:
+def _reads_half_of_log(gateway: NvmeGateway) -> None:
     store = _log_of(gateway).store
     original = store.open
 
@@ -72,7 +72,7 @@
 
 
 @mutant("records: rotten bytes are not noticed")
-def _ignores_corruption(gateway: Head) -> None:
+def _ignores_corruption(gateway: NvmeGateway) -> None:
     store = _log_of(gateway).store
     original = store.open
 
@@ -85,14 +85,14 @@
 
 
 @mutant("return: a life's numbers are given again")
-def _reuses_incarnation(gateway: Head) -> None:
+def _reuses_incarnation(gateway: NvmeGateway) -> None:
     _on_recovery_stages(
         gateway, lambda stages: setattr(stages, "next_incarnation", lambda wall: max(1, stages.own_last[0]))
     )
 
 
 @mutant("return: nobody is asked")
-def _queries_no_replicas(gateway: Head) -> None:
+def _queries_no_replicas(gateway: NvmeGateway) -> None:
     def change(stages: RecoveryStages) -> None:
         stages.has_no_replicas = stages.trusts_own_records = True
         stages.other_gateways = frozenset()
@@ -102,12 +102,12 @@
 
 
 @mutant("return: an empty disk is a first start")
-def _trusts_empty_disk(gateway: Head) -> None:
+def _trusts_empty_disk(gateway: NvmeGateway) -> None:
     _on_recovery_stages(gateway, lambda stages: setattr(stages, "trusts_own_records", True))
 
 
 @mutant("return: one answer is enough")
-def _accepts_one_replica_answer(gateway: Head) -> None:
+def _accepts_one_replica_answer(gateway: NvmeGateway) -> None:
     def change(stages: RecoveryStages) -> None:
         stages.required_replicas = len(stages.other_gateways)
 
@@ -115,7 +115,7 @@
 
 
 @mutant("return: later records of others are not fetched")
-def _skips_newer_records(gateway: Head) -> None:
+def _skips_newer_records(gateway: NvmeGateway) -> None:
     def change(stages: RecoveryStages) -> None:
         original = stages.on_answer
         stages.on_answer = lambda gateway, last, incarnation, now: original(  # type: ignore[method-assign]
@@ -126,12 +126,12 @@
 
 
 @mutant("return: what is not known is held for nowhere at once")
-def _never_delays_requests(gateway: Head) -> None:
+def _never_delays_requests(gateway: NvmeGateway) -> None:
     _log_of(gateway).retry_after = lambda: 0.0  # type: ignore[method-assign]
 
 
 @mutant("copies: a holder says so before its disk has it")
-def _confirms_before_flush(gateway: Head) -> None:
+def _confirms_before_flush(gateway: NvmeGateway) -> None:
     async def store_records(replica: Any, message: replication_messages.StoreRecords) -> bool:
         return True
 
@@ -139,7 +139,7 @@
 
 
 @mutant("copies: what is on its way counts as held")
-def _confirms_on_send(gateway: Head) -> None:
+def _confirms_on_send(gateway: NvmeGateway) -> None:
     sender = _log_of(gateway).sender
     original = sender.next_batch
 
@@ -153,7 +153,7 @@
 
 
 @mutant("copies: a holder keeps the first of each piece")
-def _stores_first_record_only(gateway: Head) -> None:
+def _stores_first_record_only(gateway: NvmeGateway) -> None:
     server = _replica_server_of(gateway)
     original = server._store_records
 
@@ -171,7 +171,7 @@
 
 
 @mutant("copies: given back without the last")
-def _drops_last_records(gateway: Head) -> None:
+def _drops_last_records(gateway: NvmeGateway) -> None:
     log = _log_of(gateway)
     original = log._on_records_fetched
 
@@ -185,7 +185,7 @@
 
 
 @mutant("driver: sends before it is kept")
-def _sends_before_durable(gateway: Head) -> None:
+def _sends_before_durable(gateway: NvmeGateway) -> None:
     log = _log_of(gateway)
     original = log.placed
 
--- a/gorsethread/simulation/mutants.py
+++ b/gorsethread/simulation/mutants.py
@@ -12,22 +12,22 @@
 from gorsethread.gateway.open_requests import EndpointEntry, OpenRequest
 from gorsethread.nvme.command import Completion, Status
 from gorsethread.nvme_gateway.backend_link import BackendLink
-from gorsethread.nvme_gateway.gateway import Head
+from gorsethread.nvme_gateway.gateway import NvmeGateway
 from gorsethread.scheduling.model import AttemptOutcome
 from gorsethread.scheduling.retries import MAX_ATTEMPTS
 from gorsethread.simulation.mutant_registry import every_nth_call, registered_in, replace_outcomes
 from gorsethread.simulation.rule_mutants import break_rule
 
-Mutation = Callable[[Head], None]
+Mutation = Callable[[NvmeGateway], None]
 MAX_ATTEMPTS_PER_REQUEST = 8  # where the retry budget is off; without a bound a simulation hardly progresses
 MUTANTS: dict[str, Mutation] = {}
 mutant = registered_in(MUTANTS)
 
 
-def _on_links(gateway: Head, change: Callable[[BackendLink], None]) -> None:
+def _on_links(gateway: NvmeGateway, change: Callable[[BackendLink], None]) -> None:
     """Calls change with each link right after it is created."""
-    follower: Any = gateway.follower
-    links = follower.links
+    discovery: Any = gateway.discovery
+    links = discovery.links
     original = links.update
 
     def update(backend: int, shard: int, address: tuple[str, int], state: str) -> None:
@@ -51,23 +51,23 @@
 
 
 @mutant("driver: a time-out at the cut-off is lost")
-def _ignores_deadlines(gateway: Head) -> None:
+def _ignores_deadlines(gateway: NvmeGateway) -> None:
     gateway.driver._time_is_up = lambda request: None  # type: ignore[method-assign]
 
 
 @mutant("driver: the cut-off comes a second late")
-def _delays_deadlines(gateway: Head) -> None:
+def _delays_deadlines(gateway: NvmeGateway) -> None:
     original = gateway.driver.admit
     gateway.driver.admit = lambda *a, deadline, **n: original(*a, deadline=deadline + 1.0, **n)  # type: ignore
 
 
 @mutant("driver: a client that left is not noticed")
-def _ignores_departed_clients(gateway: Head) -> None:
+def _ignores_departed_clients(gateway: NvmeGateway) -> None:
     gateway.driver.client_left = lambda request: None  # type: ignore[method-assign]
 
 
 @mutant("driver: one forward's end in fifty is not told")
-def _loses_attempt_results(gateway: Head) -> None:
+def _loses_attempt_results(gateway: NvmeGateway) -> None:
     original, should_break = gateway.driver.queue_event, every_nth_call(50)
 
     def queue_event(method: str, *facts: Any) -> None:
@@ -78,7 +78,7 @@
 
 
 @mutant("driver: a transaction given up stays open")
-def _keeps_failed_requests_open(gateway: Head) -> None:
+def _keeps_failed_requests_open(gateway: NvmeGateway) -> None:
     original = gateway.driver.fail
 
     def fail(request: int) -> None:
@@ -91,7 +91,7 @@
 
 
 @mutant("driver: what was honoured is not told as finished")
-def _reports_requests_unfinished(gateway: Head) -> None:
+def _reports_requests_unfinished(gateway: NvmeGateway) -> None:
     original = gateway.driver.queue_event
 
     def queue_event(method: str, *facts: Any) -> None:
@@ -103,17 +103,17 @@
 
 
 @mutant("driver: gives up by pushing back")
-def _rejects_instead_of_failing(gateway: Head) -> None:
+def _rejects_instead_of_failing(gateway: NvmeGateway) -> None:
     gateway.driver.fail = lambda request: gateway.driver.reject(request, 0.1)  # type: ignore[method-assign]
 
 
 @mutant("driver: a time-out is told as never sent")
-def _reports_timeouts_as_not_sent(gateway: Head) -> None:
+def _reports_timeouts_as_not_sent(gateway: NvmeGateway) -> None:
     replace_outcomes(gateway, {AttemptOutcome.TIMED_OUT: AttemptOutcome.NOT_SENT})
 
 
 @mutant("driver: one wake in five is lost")
-def _loses_timers(gateway: Head) -> None:
+def _loses_timers(gateway: NvmeGateway) -> None:
     original, should_break = gateway.driver.set_timer, every_nth_call(5)
     gateway.driver.set_timer = lambda delay, name: (  # type: ignore[method-assign]
         None if should_break() else original(delay, name)
@@ -121,7 +121,7 @@
 
 
 @mutant("driver: a push-back is not answered, one in five")
-def _loses_rejections(gateway: Head) -> None:
+def _loses_rejections(gateway: NvmeGateway) -> None:
     original, should_break = gateway.driver.reject, every_nth_call(5)
 
     def reject(request: int, retry_after: float) -> None:
@@ -136,7 +136,7 @@
 
 
 @mutant("driver: takes are counted twice, one in a hundred")
-def _counts_requests_twice(gateway: Head) -> None:
+def _counts_requests_twice(gateway: NvmeGateway) -> None:
     original, should_break = gateway.driver.admit, every_nth_call(100)
 
     def admit(*arguments: Any, **named: Any) -> OpenRequest:
@@ -148,7 +148,7 @@
 
 
 @mutant("driver: first writes of an extent may part it")
-def _splits_extents(gateway: Head) -> None:
+def _splits_extents(gateway: NvmeGateway) -> None:
     original = gateway.driver.first_writes.begin
 
     def begin(extent: Extent, shard: int) -> PlacementCheck:
@@ -162,22 +162,22 @@
 
 
 @mutant("links: a broken connection is told as not reached")
-def _reports_lost_connections_as_unreachable(gateway: Head) -> None:
+def _reports_lost_connections_as_unreachable(gateway: NvmeGateway) -> None:
     replace_outcomes(gateway, {AttemptOutcome.CONNECTION_LOST: AttemptOutcome.UNREACHABLE})
 
 
 @mutant("links: a failure is told as turned away")
-def _reports_errors_as_rejections(gateway: Head) -> None:
+def _reports_errors_as_rejections(gateway: NvmeGateway) -> None:
     replace_outcomes(gateway, {AttemptOutcome.ERROR: AttemptOutcome.REJECTED})
 
 
 @mutant("links: what is over is sent all the same once connected")
-def _sends_ended_attempts(gateway: Head) -> None:
+def _sends_ended_attempts(gateway: NvmeGateway) -> None:
     def change(link: BackendLink) -> None:
         original = link._connect
 
         async def connect() -> None:
-            ended = [attempt for attempt in link.waiting if attempt.ended]
+            ended = [attempt for attempt in link.awaiting_connection if attempt.ended]
             await original()
             for attempt in ended:
                 if link.association is not None:
@@ -189,29 +189,29 @@
 
 
 @mutant("links: sends again what was out as the connection broke")
-def _resends_after_connection_loss(gateway: Head) -> None:
+def _resends_after_connection_loss(gateway: NvmeGateway) -> None:
     def change(link: BackendLink) -> None:
-        original = link._broke
+        original = link._connection_lost
 
         def broke(reason: str) -> None:
-            in_flight = list(link.out.values())
+            in_flight = list(link.in_flight.values())
             original(reason)
             for sent in in_flight:
                 link.send(
                     Attempt(sent.request, -1, sent.backend, sent.sent_at, sent.payload, lambda *_: None)
                 )
 
-        _override(link, "_broke", broke)
+        _override(link, "_connection_lost", broke)
 
     _on_links(gateway, change)
 
 
 @mutant("links: an answer's data goes to the read before it, one in twenty")
-def _swaps_read_data(gateway: Head) -> None:
+def _swaps_read_data(gateway: NvmeGateway) -> None:
     previous_data, should_break = [b""], every_nth_call(20)
 
     def change(link: BackendLink) -> None:
-        original = link._done
+        original = link._command_completed
 
         def done(attempt: Attempt, completion: Completion, data: bytes) -> None:
             sent_data = data
@@ -220,52 +220,52 @@
             previous_data[0] = data
             original(attempt, completion, sent_data)
 
-        _override(link, "_done", done)
+        _override(link, "_command_completed", done)
 
     _on_links(gateway, change)
 
 
 @mutant("links: a failure is taken for a success")
-def _reports_errors_as_success(gateway: Head) -> None:
+def _reports_errors_as_success(gateway: NvmeGateway) -> None:
     def change(link: BackendLink) -> None:
-        original = link._done
+        original = link._command_completed
 
         def done(attempt: Attempt, completion: Completion, data: bytes) -> None:
             if completion.status == Status.INTERNAL_ERROR:
-                completion = completion._replace(status=Status.SUCCESS, final=False)
+                completion = completion._replace(status=Status.SUCCESS, do_not_retry=False)
             original(attempt, completion, data)
 
-        _override(link, "_done", done)
+        _override(link, "_command_completed", done)
 
     _on_links(gateway, change)
 
 
 @mutant("links: one answer in a hundred is dropped")
-def _drops_answers(gateway: Head) -> None:
+def _drops_answers(gateway: NvmeGateway) -> None:
     should_break = every_nth_call(100)
 
     def change(link: BackendLink) -> None:
-        original = link._done
+        original = link._command_completed
 
         def done(attempt: Attempt, completion: Completion, data: bytes) -> None:
             if should_break():
-                link.out.pop(attempt.cid, None)
+                link.in_flight.pop(attempt.cid, None)
             else:
                 original(attempt, completion, data)
 
-        _override(link, "_done", done)
+        _override(link, "_command_completed", done)
 
     _on_links(gateway, change)
 
 
 @mutant("links: nothing is told of what was out as a link broke")
-def _hides_connection_loss(gateway: Head) -> None:
+def _hides_connection_loss(gateway: NvmeGateway) -> None:
     def change(link: BackendLink) -> None:
         def broke(reason: str) -> None:
             link.association = None
-            link.out = {}
+            link.in_flight = {}
 
-        _override(link, "_broke", broke)
+        _override(link, "_connection_lost", broke)
 
     _on_links(gateway, change)
 
@@ -274,7 +274,7 @@
 
 
 @mutant("codec: a completion is sent twice, one in a hundred")
-def _sends_completions_twice(gateway: Head) -> None:
+def _sends_completions_twice(gateway: NvmeGateway) -> None:
     should_break = every_nth_call(100)
     original = gateway.server.on_stream
 
@@ -293,7 +293,7 @@
 
 
 @mutant("codec: a completion is lost, one in a hundred")
-def _loses_completions(gateway: Head) -> None:
+def _loses_completions(gateway: NvmeGateway) -> None:
     lose = every_nth_call(100)
     original = gateway.server.on_stream
 
@@ -306,7 +306,7 @@
 
 
 @mutant("codec: a write's first block is off by one, one in twenty")
-def _shifts_writes(gateway: Head) -> None:
+def _shifts_writes(gateway: NvmeGateway) -> None:
     original, should_break = gateway.driver.admit, every_nth_call(20)
 
     def admit(client: Any, payload: Any, **named: Any) -> OpenRequest:
@@ -319,23 +319,23 @@
 
 
 @mutant("clients: a client's own patience is not heeded")
-def _ignores_client_deadlines(gateway: Head) -> None:
+def _ignores_client_deadlines(gateway: NvmeGateway) -> None:
     clients = gateway.clients
-    original = clients.announced
+    original = clients.command_announced
 
-    def announced(io: Any) -> None:
+    def command_announced(io: Any) -> None:
         io.command = io.command._replace(cdw2=0)
         original(io)
 
-    clients.announced = announced  # type: ignore[method-assign]
+    clients.command_announced = command_announced  # type: ignore[method-assign]
 
 
 # ---- endpoint list
 
 
 @mutant("list: followed once, never again")
-def _polls_endpoint_list_once(gateway: Head) -> None:
-    original, polls = gateway.follower.follow, [0]
+def _polls_endpoint_list_once(gateway: NvmeGateway) -> None:
+    original, polls = gateway.discovery.watch, [0]
 
     def follow() -> None:
         polls[0] += 1
@@ -346,12 +346,12 @@
 
 
 @mutant("list: drains are not heard")
-def _ignores_drains(gateway: Head) -> None:
+def _ignores_drains(gateway: NvmeGateway) -> None:
     break_rule(gateway, 3)
 
 
 @mutant("list: a shelf's restart is not noticed")
-def _ignores_restarts(gateway: Head) -> None:
+def _ignores_restarts(gateway: NvmeGateway) -> None:
     original = gateway.driver.endpoints_listed
 
     def listed(entries: Iterable[EndpointEntry], complete: bool, remembered: bool) -> None:
@@ -364,34 +364,34 @@
 
 
 @mutant("module: a key does not rest after what may still run")
-def _disables_key_cool_down(gateway: Head) -> None:
+def _disables_key_cool_down(gateway: NvmeGateway) -> None:
     gateway.driver.scheduler.key_ordering.cool_down = 0.0
 
 
 @mutant("module: keys have no turns")
-def _disables_key_ordering(gateway: Head) -> None:
+def _disables_key_ordering(gateway: NvmeGateway) -> None:
     break_rule(gateway, 5)
 
 
 @mutant("module: no limit")
-def _disables_rate_limits(gateway: Head) -> None:
+def _disables_rate_limits(gateway: NvmeGateway) -> None:
     break_rule(gateway, 7)
 
 
 @mutant("module: each head takes the whole limit for its own")
-def _uses_whole_rate_limit(gateway: Head) -> None:
+def _uses_whole_rate_limit(gateway: NvmeGateway) -> None:
     original = gateway.driver.admit
     gateway.driver.admit = lambda *a, gateways, **n: original(*a, gateways=1, **n)  # type: ignore
 
 
 @mutant("module: each head takes all that a cold shelf bears for its own")
-def _uses_whole_slow_start_allowance(gateway: Head) -> None:
+def _uses_whole_slow_start_allowance(gateway: NvmeGateway) -> None:
     gateway.driver.scheduler.slow_start.gateways = 1
     gateway.driver.scheduler.leases.enabled = False
 
 
 @mutant("module: no budget of further forwards")
-def _disables_retry_budget(gateway: Head) -> None:
+def _disables_retry_budget(gateway: NvmeGateway) -> None:
     retries = gateway.driver.scheduler.retries
     retries.budget = None
     retries.max_attempts = MAX_ATTEMPTS
@@ -408,12 +408,12 @@
 
 
 @mutant("module: a waiting transaction is not looked at again")
-def _disables_request_review(gateway: Head) -> None:
+def _disables_request_review(gateway: NvmeGateway) -> None:
     gateway.driver.scheduler._review = lambda request: None  # type: ignore[method-assign]
 
 
 @mutant("module: an irreversible transaction may go again")
-def _retries_non_idempotent(gateway: Head) -> None:
+def _retries_non_idempotent(gateway: NvmeGateway) -> None:
     retries = gateway.driver.scheduler.retries
     original = retries.may_retry
 
@@ -428,7 +428,7 @@
 
 
 @mutant("module: what is over keeps its key's line")
-def _loses_next_in_key_queue(gateway: Head) -> None:
+def _loses_next_in_key_queue(gateway: NvmeGateway) -> None:
     ordering = gateway.driver.scheduler.key_ordering
     original = ordering.next_runnable
     should_break = every_nth_call(40)
@@ -439,21 +439,21 @@
 
 
 @mutant("membership: old news is believed")
-def _accepts_outdated_news(gateway: Head) -> None:
-    gateway.peers.core._covered_by_own_list = lambda news: False  # type: ignore[method-assign]
+def _accepts_outdated_news(gateway: NvmeGateway) -> None:
+    gateway.peers.news_table._covered_by_own_list = lambda news: False  # type: ignore[method-assign]
 
 
 @mutant("membership: what peers stopped is not used again")
-def _never_releases_backends(gateway: Head) -> None:
-    original = gateway.peers.core._release
+def _never_releases_backends(gateway: NvmeGateway) -> None:
+    original = gateway.peers.news_table._release
 
     def release(backends: list[int]) -> list[int]:
         original(backends)
         return []
 
-    gateway.peers.core._release = release  # type: ignore[method-assign]
+    gateway.peers.news_table._release = release  # type: ignore[method-assign]
 
 
 @mutant("membership: a peer's word lets a head send")
-def _lets_peers_enable_sending(gateway: Head) -> None:
-    gateway.follower._usable = lambda s: True  # type: ignore[method-assign]
+def _lets_peers_enable_sending(gateway: NvmeGateway) -> None:
+    gateway.discovery._is_usable = lambda s: True  # type: ignore[method-assign]
--- a/gorsethread/simulation/rule_mutants.py
+++ b/gorsethread/simulation/rule_mutants.py
@@ -9,13 +9,13 @@
 from gorsethread.gateway.attempts import Attempt, AttemptResult
 from gorsethread.gateway.driver import Driver
 from gorsethread.gateway.open_requests import EndpointEntry, OpenRequest
-from gorsethread.nvme_gateway.gateway import Head
+from gorsethread.nvme_gateway.gateway import NvmeGateway
 from gorsethread.scheduling.model import AttemptOutcome, Effect
 
 EXTRA_ATTEMPTS = 40  # sent besides each attempt at a backend that is starting
 
 
-def break_rule(gateway: Head, rule: int) -> None:
+def break_rule(gateway: NvmeGateway, rule: int) -> None:
     """Makes a gateway break a rule; the gateway must not have been started.
 
     Raises ValueError where there is no rule of that number.
@@ -25,7 +25,7 @@
     _RULE_MUTANTS[rule](gateway)
 
 
-def _loses_responses(gateway: Head) -> None:
+def _loses_responses(gateway: NvmeGateway) -> None:
     driver = gateway.driver
     original = driver._ended
 
@@ -65,17 +65,17 @@
     driver.send_attempt = send_attempt  # type: ignore[method-assign]
 
 
-def _runs_non_idempotent_twice(gateway: Head) -> None:
+def _runs_non_idempotent_twice(gateway: NvmeGateway) -> None:
     request_classes = gateway.driver.scheduler.settings.request_classes
 
     def on_attempt(open_request: OpenRequest, attempt: Attempt) -> None:
-        if request_classes[open_request.client.profile].effect is Effect.NON_IDEMPOTENT:  # type: ignore[attr-defined]
+        if request_classes[open_request.client.request_class].effect is Effect.NON_IDEMPOTENT:  # type: ignore[attr-defined]
             _send_again(gateway.driver, attempt)
 
     _after_each_attempt(gateway.driver, on_attempt)
 
 
-def _ignores_drains(gateway: Head) -> None:
+def _ignores_drains(gateway: NvmeGateway) -> None:
     original = gateway.driver.endpoints_listed
 
     def listed(entries: Iterable[EndpointEntry], complete: bool, remembered: bool) -> None:
@@ -84,7 +84,7 @@
     gateway.driver.endpoints_listed = listed  # type: ignore[method-assign]
 
 
-def _overloads_starting_backends(gateway: Head) -> None:
+def _overloads_starting_backends(gateway: NvmeGateway) -> None:
     original = gateway.driver.endpoints_listed
     starting: set[int] = set()
 
@@ -101,7 +101,7 @@
     _after_each_attempt(gateway.driver, on_attempt)
 
 
-def _ignores_key_order(gateway: Head) -> None:
+def _ignores_key_order(gateway: NvmeGateway) -> None:
     original = gateway.driver.admit
 
     def admit(*arguments: Any, **named: Any) -> OpenRequest:
@@ -110,7 +110,7 @@
     gateway.driver.admit = admit  # type: ignore[method-assign]
 
 
-def _exceeds_retry_budget(gateway: Head) -> None:
+def _exceeds_retry_budget(gateway: NvmeGateway) -> None:
     def on_attempt(open_request: OpenRequest, attempt: Attempt) -> None:
         if not attempt.payload.command.to_controller:
             _send_again(gateway.driver, attempt)
@@ -118,7 +118,7 @@
     _after_each_attempt(gateway.driver, on_attempt)
 
 
-def _ignores_rate_limits(gateway: Head) -> None:
+def _ignores_rate_limits(gateway: NvmeGateway) -> None:
     scheduler = gateway.driver.scheduler
     scheduler.rate_limits.units_left = lambda volume: float("inf")  # type: ignore[method-assign]
     # Pacing and the concurrency limits are off too: they would hold requests back at a busy backend, and so
--- a/gorsethread/simulation/site_simulation.py
+++ b/gorsethread/simulation/site_simulation.py
@@ -18,14 +18,14 @@
 from gorsethread.invariants.history_checker import HistoryChecker, Verdict, Violation
 from gorsethread.invariants.online_checker import OnlineChecker
 from gorsethread.latency_attribution.snapshots import decode
-from gorsethread.nvme_gateway.gateway import Head
+from gorsethread.nvme_gateway.gateway import NvmeGateway
 from gorsethread.scheduling.model import SlowStartRule
 from gorsethread.simulation.script import KEPT_POINTS, KINDS, Act, Clock, Script
 from gorsethread.simulation.slow_start_checker import ColdPart
 from gorsethread.simulation.states import STATES, met
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.reading import split_address
-from gorsethread.site_config.sizing import sized
+from gorsethread.site_config.sizing import resized_site
 from gorsethread.transport.base import StreamClosed, Unreachable
 from gorsethread.transport.virtual import MAX_RESEND_DELAY, Disk, Network, VirtualLoop, VirtualTransport
 
@@ -41,7 +41,7 @@
 
 
 class Point(NamedTuple):
-    """A method that a head may end itself behind: of which part of a Head, and its class, for processes."""
+    """A method that a head may end itself behind: of which part of it, and its class, for processes."""
 
     part: str
     module: str
@@ -69,13 +69,15 @@
         },
     ),
     **_points(
-        "promises",
+        "replicated_log",
         "nvme_gateway.replicated_log",
         "ReplicatedLog",
         {"promise": "placed", "flushed": "_on_flushed", "held": "_on_placed", "given": "_on_records_fetched"},
     ),
-    **_points("holding", "nvme_gateway.replica_server", "ReplicaServer", {"greeted": "_greeted"}),
-    **_points("promises.store", "durable_log.log_store", "LogStore", {"segment": "_remove_old_segments"}),
+    **_points("replica_server", "nvme_gateway.replica_server", "ReplicaServer", {"greeted": "_greeted"}),
+    **_points(
+        "replicated_log.store", "durable_log.log_store", "LogStore", {"segment": "_remove_old_segments"}
+    ),
 }
 COUNTED = ("succeeded", "rejected", "failed", "client left")
 
@@ -189,7 +191,7 @@
             *(f"shelf-{n}:4430" for n in range(script.shelves)),
             *(f"head-{n}:4520" for n in range(script.heads)),
         ]
-        self.site = sized(site, script.heads, script.shelves, addresses)
+        self.site = resized_site(site, script.heads, script.shelves, addresses)
         self.loop = VirtualLoop()
         self.network = Network(self.loop, script.seed)
         self.loop.set_exception_handler(self._raised)
@@ -300,7 +302,7 @@
     def _start_head(self, number: int) -> None:
         name = f"head {number}"
         process = self._start(name)
-        head = Head(
+        head = NvmeGateway(
             process,
             self.site,
             number,
@@ -553,7 +555,7 @@
         self._check_accounts()
 
     def _follows(self, head: Any) -> bool:
-        return head.follower._stream is not None
+        return head.discovery._stream is not None
 
     def _end(self) -> None:
         for process in (*self.processes.values(), self.day):
@@ -595,17 +597,19 @@
                 held = driver.links.get(f.backend)
                 if f in driver.awaiting_placement:
                     continue  # waits for the disk, or for copies
-                if not f.ended and (held is None or held.out.get(f.cid) is not f and f not in held.waiting):
+                if not f.ended and (
+                    held is None or held.in_flight.get(f.cid) is not f and f not in held.awaiting_connection
+                ):
                     self._defect(
                         f"forward that no link holds: head {number}, shelf {f.backend}, transaction "
                         f"{owner.id}"
                     )
         for link in driver.links.values():
-            for f in (*link.out.values(), *link.waiting):
+            for f in (*link.in_flight.values(), *link.awaiting_connection):
                 t = driver.open_requests.get(f.request)
                 if not f.ended and f.number >= 0 and (t is None or t.in_flight.get(f.number) is not f):
                     self._defect(
-                        f"forward without an owner: head {number}, shelf {link.shelf}, transaction "
+                        f"forward without an owner: head {number}, shelf {link.backend}, transaction "
                         f"{f.request}"
                     )
 
--- a/tests/test_latency_attribution.py
+++ b/tests/test_latency_attribution.py
@@ -28,7 +28,7 @@
 )
 from gorsethread.latency_attribution.window import BUCKETS, MAX_BLAME_ENTRIES, MAX_ROWS, Span, Window
 from gorsethread.scheduling.model import AttemptOutcome, HoldReason, RequestOutcome
-from tests.queue_model import BASELINE, QueueDay
+from tests.queue_model import BASELINE, QueueSimulation
 
 ATTEMPT_OUTCOMES = [AttemptOutcome.SUCCEEDED] * 3 + list(AttemptOutcome)
 EVENTS = st.lists(
@@ -364,10 +364,10 @@
         self.site.write_text(SITE)
         self.snapshots = self.folder / "kept"
         self.snapshots.mkdir()
-        day = QueueDay(backends=1)
+        day = QueueSimulation(backends=1)
         for volume in range(1, 5):
-            day.traffic(volume)
-        day.traffic(7, 20.0, gateways=1)
+            day.add_traffic(volume)
+        day.add_traffic(7, 20.0, gateways=1)
         day.run()
         self.windows = day.windows
         for n, window in enumerate(day.windows):
--- a/tests/test_latency_causes.py
+++ b/tests/test_latency_causes.py
@@ -7,13 +7,13 @@
 from gorsethread.latency_attribution.causes import Findings, find
 from gorsethread.latency_attribution.stages import BACKEND, GATEWAY, Stage
 from gorsethread.latency_attribution.window import Window
-from tests.queue_model import BASELINE, QueueDay
+from tests.queue_model import BASELINE, QueueSimulation
 
 
-def quiet_day(seed: int = 1, **options: float) -> QueueDay:
-    day = QueueDay(seed, **options)  # type: ignore[arg-type]
+def quiet_day(seed: int = 1, **options: float) -> QueueSimulation:
+    day = QueueSimulation(seed, **options)  # type: ignore[arg-type]
     for volume in range(1, 7):
-        day.traffic(volume)
+        day.add_traffic(volume)
     return day
 
 
@@ -52,7 +52,7 @@
         for seed in range(4):
             with self.subTest(seed=seed):
                 day = quiet_day(seed)
-                day.backends[1].slow = 3.0
+                day.backends[1].slowdown = 3.0
                 found = day.run()
                 self.assert_named(found, slow={1})
                 self.assertAlmostEqual(3.0, found.slow[1], delta=0.3)
@@ -62,7 +62,7 @@
 
     def test_a_flood_through_four_gateways_is_added_up(self) -> None:
         day = quiet_day(gateways=4)
-        day.traffic(7, 25.0, backend=2)
+        day.add_traffic(7, 25.0, backend=2)
         found = day.run()
         self.assert_named(found, floods={7})
         alone = [
@@ -78,8 +78,8 @@
 
     def test_a_slow_backend_with_a_flood_on_it(self) -> None:
         day = quiet_day()
-        day.backends[0].slow = 3.0
-        day.traffic(7, 20.0, backend=0)
+        day.backends[0].slowdown = 3.0
+        day.add_traffic(7, 20.0, backend=0)
         found = day.run()
         self.assert_named(found, slow={0}, floods={7})
         parts = waiting_shares(found, 1)
@@ -88,15 +88,15 @@
 
     def test_a_slow_backend_and_a_flood_on_another_one(self) -> None:
         day = quiet_day()
-        day.backends[0].slow = 3.0
-        day.traffic(7, 20.0, backend=2)
+        day.backends[0].slowdown = 3.0
+        day.add_traffic(7, 20.0, backend=2)
         found = day.run()
         self.assert_named(found, slow={0}, floods={7})
         self.assertNotIn((7, 0), found.holders(backend=0))
 
     def test_a_volume_waits_behind_itself(self) -> None:
-        day = QueueDay()
-        day.traffic(7, 25.0, backend=0, gateways=1)
+        day = QueueSimulation()
+        day.add_traffic(7, 25.0, backend=0, gateways=1)
         found = day.run()
         self.assert_named(found, floods={7})
         self.assertGreater(waiting_shares(found, 7)[7], 0.99)
@@ -105,7 +105,7 @@
     def test_a_rate_limit_delays_only_its_volume(self) -> None:
         day = quiet_day()
         day.limited[7] = (24.0, 0.0)
-        day.traffic(7, 6.0)
+        day.add_traffic(7, 6.0)
         found = day.run()
         self.assert_named(found, floods={7})
         limited = {b.waiter for b in found.blame if b.stage == Stage.RATE_LIMIT}
@@ -117,8 +117,8 @@
     def test_a_stalled_backend_is_blamed_and_not_its_queued_volumes(self) -> None:
         day = quiet_day()
         for volume in range(1, 7):
-            day.traffic(volume, 0.5, backend=1)
-        day.backends[1].stalled = (2.0, 3.6)
+            day.add_traffic(volume, 0.5, backend=1)
+        day.backends[1].paused = (2.0, 3.6)
         found = day.run()
         self.assert_named(found, stopped={1})
         holders = found.holders(backend=1)
@@ -127,7 +127,7 @@
 
     def test_a_backend_that_stops_answering_is_named(self) -> None:
         day = quiet_day()
-        day.backends[2].silent_from = 2.0
+        day.backends[2].hung_from = 2.0
         found = day.run()
         self.assert_named(found, stopped={2})
         self.assertGreater(found.speeds[2].lost, 0)
@@ -135,9 +135,9 @@
     def test_clock_differences_do_not_change_the_answer(self) -> None:
         """With gateways' clocks 50 ms apart, the counts and the answer are the same."""
         answers = []
-        for clock_offset in (0.0, 0.05):
-            day = quiet_day(3, clock_offset=clock_offset)
-            day.backends[1].slow = 3.0
+        for skew in (0.0, 0.05):
+            day = quiet_day(3, skew=skew)
+            day.backends[1].slowdown = 3.0
             found = day.run()
             self.assert_named(found, slow={1})
             answers.append((sum(r.requests for r in found.merged.all_rows()), report.top(found).sentence))
@@ -146,7 +146,7 @@
 
     def test_missing_snapshots_of_a_gateway_are_reported(self) -> None:
         day = quiet_day()
-        day.backends[0].slow = 3.0
+        day.backends[0].slowdown = 3.0
         day.run()
         missing = [w for w in day.windows if any(s.gateway == 1 and 1003 <= s.start < 1006 for s in w.spans)]
         self.assertEqual(3, len(missing))
@@ -160,13 +160,13 @@
         self.assertIn("backend 0 took", answer.sentence)
 
     def test_an_answer_from_few_requests_is_called_a_guess(self) -> None:
-        day = QueueDay()
-        day.traffic(1, seconds=1.0)
+        day = QueueSimulation()
+        day.add_traffic(1, seconds=1.0)
         self.assertTrue(report.top(day.run()).confidence.startswith("a guess"))
 
     def test_diff_names_a_new_cause(self) -> None:
         before, day = quiet_day(1).run(), quiet_day(2)
-        day.backends[1].slow = 3.0
+        day.backends[1].slowdown = 3.0
         sentence = report.diff(before, day.run()).sentence
         self.assertRegex(sentence, r"1\.\d\d times as long as before; new is: backend 1 took")
         self.assertIn("nothing new", report.diff(before, quiet_day(3).run()).sentence)
