--- a/tests/queue_model.py
+++ b/tests/queue_model.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from gorsethread.latency_attribution.causes import Findings, Known, find
-from gorsethread.latency_attribution.request_attribution import LOOK_EVERY, Accounts
+from gorsethread.latency_attribution.causes import Findings, SiteBaseline, find
+from gorsethread.latency_attribution.request_attribution import RECHECK_INTERVAL, LatencyAccounts
 from gorsethread.latency_attribution.window import Span, Window
 from gorsethread.scheduling.model import AttemptOutcome, HoldReason, RequestOutcome
 
@@ -16,7 +16,7 @@
 TIMEOUT = 1.0
 VOLUMES = {n: f"L{n:02}" for n in range(1, 9)}
 USUAL_UNITS = 12.0
-KNOWN = Known("queues", VOLUMES, dict.fromkeys(VOLUMES, USUAL_UNITS), ["read"], [0.3])
+BASELINE = SiteBaseline("queues", VOLUMES, dict.fromkeys(VOLUMES, USUAL_UNITS), ["read"], [0.3])
 
 
 @dataclass
@@ -62,14 +62,16 @@
     def __init__(self, number: int, simulation: "QueueSimulation", max_in_flight: int, skew: float) -> None:
         self.number, self.simulation, self.skew = number, simulation, skew
         self.max_in_flight = max_in_flight
-        self.accounts = Accounts([0.3], 0.0)
+        self.accounts = LatencyAccounts([0.3], 0.0)
         self.held: dict[int, deque[SentRequest]] = {}
         self.in_flight: dict[int, int] = {}
         self.start, self.life = 0.0, number
 
     def receive(self, now: float, request: SentRequest) -> None:
         backend = request.backend.number
-        self.accounts.taken(request.id, request.volume, 0, backend, False, request.units, now - 0.0002, now)
+        self.accounts.admitted(
+            request.id, request.volume, 0, backend, False, request.units, now - 0.0002, now
+        )
         limited = request.volume in self.simulation.limited
         if limited and not self.simulation.try_consume(request.volume, request.units, now):
             self.accounts.held(request.id, HoldReason.RATE_LIMIT, backend, now)
@@ -103,8 +105,8 @@
             self.send_or_hold(now, waiting.popleft())
 
     def sample_held(self, now: float) -> None:
-        for id in self.accounts.looks():
-            volume, backend, _ = self.accounts.lives[id].where
+        for id in self.accounts.requests_to_recheck():
+            volume, backend, _ = self.accounts.requests[id].group_key
             limited = volume in self.simulation.limited
             self.accounts.held(id, HoldReason.RATE_LIMIT if limited else HoldReason.SLOTS, backend, now)
 
@@ -195,8 +197,8 @@
 
     def run(self, seconds: float = 8.0, until: float = 12.0) -> Findings:
         for gateway in self.gateways:
-            for n in range(int(until / LOOK_EVERY)):
-                self.at(n * LOOK_EVERY, gateway.sample_held)
+            for n in range(int(until / RECHECK_INTERVAL)):
+                self.at(n * RECHECK_INTERVAL, gateway.sample_held)
             for second in range(1, int(until)):
                 self.at(float(second), gateway.close_window)
         while self._events and self._events[0][0] < until:
@@ -204,4 +206,4 @@
             action(now)
         for gateway in self.gateways:
             gateway.close_window(until, last=True)
-        return find(KNOWN, self.windows)
+        return find(BASELINE, self.windows)
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -259,14 +259,14 @@
         counted = 0
         for name in simulation.day.list_files(ACCOUNTS):
             counted += sum(
-                row.lives
+                row.requests
                 for row in decode(
                     simulation.day.load(f"{ACCOUNTS}/{name}") or b"", simulation.site.name
                 ).all_rows()
             )
         closed = sum(h.driver.counts["requests"] for h in simulation.heads.values())
         still_open = sum(
-            row.lives
+            row.requests
             for h in simulation.heads.values()
             if h.accounting
             for row in h.accounting.accounts.close_window(h.transport.now()).all_rows()
