--- a/gorsethread/nvme_gateway/backend_link.py
+++ b/gorsethread/nvme_gateway/backend_link.py
@@ -134,7 +134,7 @@
             )
         except Unreachable as error:
             self.connecting = False
-            self.log.info("backend not reached", backend=self.backend, reason=str(error))
+            self.log.info("connection to backend failed", backend=self.backend, reason=str(error))
             waiting, self.awaiting_connection = self.awaiting_connection, []
             for attempt in waiting:
                 self._end_attempt(attempt, AttemptOutcome.UNREACHABLE)
