--- a/gorsethread/cli/faults.py
+++ b/gorsethread/cli/faults.py
@@ -26,7 +26,7 @@
     zero_of,
 )
 from gorsethread.simulation.script import KINDS, BadScript, Script, read_script
-from gorsethread.simulation.site_simulation import misfits
+from gorsethread.simulation.site_simulation import unsupported_acts
 from gorsethread.simulation.states import STATES, WEB_STATES
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.sampling import wall_seconds
@@ -63,7 +63,7 @@
         return drawn(site, int(what), web, kept)
     try:
         script = read_script(Path(what).read_text())
-        if no := misfits(site, script, web, kept):
+        if no := unsupported_acts(site, script, web, kept):
             raise BadScript(no)
         return script
     except OSError as error:
--- a/gorsethread/experiments/recovery.py
+++ b/gorsethread/experiments/recovery.py
@@ -12,7 +12,7 @@
 from gorsethread.fakes.backend import Shelf
 from gorsethread.harness.durable_log_trial import KeptTrial
 from gorsethread.harness.processes import Processes
-from gorsethread.simulation.durable_log_simulation import RecordsWorld
+from gorsethread.simulation.durable_log_simulation import DurableLogSimulation
 from gorsethread.simulation.script import Act, Script
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.base import Stream
@@ -137,13 +137,13 @@
     return Counted
 
 
-class ReturnWorld(RecordsWorld):
+class ReturnWorld(DurableLogSimulation):
     alone = False
 
-    def records_of(self, number: int) -> str:
-        return "" if self.alone else super().records_of(number)
+    def records_folder(self, number: int) -> str:
+        return "" if self.alone else super().records_folder(number)
 
-    def _check_rest(self) -> None:
+    def _check_end_state(self) -> None:
         """Forgotten owners are counted, not failed on: after the last act all disks may be lost."""
         self._count()
 
@@ -173,10 +173,12 @@
     site: pb.Site, heads: int, shelves: int, seed: int, factor: float, kinds: tuple[str, ...], alone: bool
 ) -> Found:
     script, opened = script_of(kinds, heads, shelves, seed, factor), list[float]()
-    world_kind = type("World", (ReturnWorld,), {"alone": alone, "shelf_kind": counting(Shelf, opened.append)})
+    world_kind = type(
+        "World", (ReturnWorld,), {"alone": alone, "backend_class": counting(Shelf, opened.append)}
+    )
     world = world_kind(site_of(site, heads, shelves, alone), script)
     forgotten = Forgotten(world, BEFORE + APART * len(kinds) - APART if kinds[-1].endswith("lost") else 1e9)
-    world._denied = forgotten.denied
+    world._on_write_forgotten = forgotten.denied
     outcome = world.play()
     v = outcome.verdict
     # Where every disk is gone in the end nobody can know what was written.
@@ -197,7 +199,7 @@
         kinds,
         world.site,
         outcome.records,
-        world.zero,
+        world.traffic_start,
         opened,
         site_of(site, heads, shelves, False).links.opens,
     )
@@ -207,11 +209,11 @@
 class Forgotten:
     """Reads that were denied before all disks were lost."""
 
-    def __init__(self, world: RecordsWorld, until: float) -> None:
+    def __init__(self, world: DurableLogSimulation, until: float) -> None:
         self.world, self.until, self.count = world, until, 0
 
     def denied(self, volume: int, extent: int) -> None:
-        self.count += self.world.loop.time() < self.world.zero + self.until
+        self.count += self.world.loop.time() < self.world.traffic_start + self.until
 
 
 class ReturnTrial(KeptTrial):
--- a/gorsethread/simulation/durable_log_simulation.py
+++ b/gorsethread/simulation/durable_log_simulation.py
@@ -13,10 +13,10 @@
 from gorsethread.nvme_gateway.log_folders import own_log_folder
 from gorsethread.simulation.durable_log_checks import Forgetful, Numbers, rot
 from gorsethread.simulation.script import Act, Script
-from gorsethread.simulation.site_simulation import World
+from gorsethread.simulation.site_simulation import SiteSimulation
 from gorsethread.site_config import site_pb2 as pb
 
-LOOKED_BACK = 0.25  # seconds between the copies of disks that `older` may bring back
+SNAPSHOT_INTERVAL = 0.25  # seconds between the copies of disks that `older` may bring back
 
 
 def parted(
@@ -35,46 +35,48 @@
     return shards
 
 
-class RecordsWorld(World):
-    client_kind: type[LoadClient] = Forgetful
+class DurableLogSimulation(SiteSimulation):
+    client_class: type[LoadClient] = Forgetful
 
     def __init__(self, site: pb.Site, script: Script, change: Callable[[Any], None] | None = None) -> None:
         super().__init__(site, script, change)
         self.denied = 0
-        self._past: list[tuple[float, dict[str, bytes]]] = []  # as long as the script's `older` look back
-        self._back = max((a.by for a in script.acts if a.kind == "older"), default=0.0)
+        self._snapshots: list[
+            tuple[float, dict[str, bytes]]
+        ] = []  # as long as the script's `older` look back
+        self._max_lookback = max((a.by for a in script.acts if a.kind == "older"), default=0.0)
         self._numbers = Numbers()
-        if self._back:
-            self._copy()
+        if self._max_lookback:
+            self._snapshot_disks()
 
-    def records_of(self, number: int) -> str:
+    def records_folder(self, number: int) -> str:
         return f"kept/{number}"
 
     def _start_client(self, tenant: str) -> None:
         super()._start_client(tenant)
         client = self.clients[tenant]
         assert isinstance(client, Forgetful)
-        client.denied = self._denied
+        client.denied = self._on_write_forgotten
 
-    def _denied(self, volume: int, extent: int) -> None:
+    def _on_write_forgotten(self, volume: int, extent: int) -> None:
         self.denied += 1
-        self._defect(f"an owner is forgotten: volume {volume}, extent {extent}")
+        self._add_defect(f"an owner is forgotten: volume {volume}, extent {extent}")
 
     # ---- disks
 
-    def _copy(self) -> None:
+    def _snapshot_disks(self) -> None:
         now = self.loop.time()
-        self._past.append(
+        self._snapshots.append(
             (now, {path: bytes(data) for path, data in self.disk.files.items() if path.startswith("kept/")})
         )
-        while self._past and self._past[0][0] < now - self._back - 2 * LOOKED_BACK:
-            self._past.pop(0)
-        self.loop.call_later(LOOKED_BACK, self._copy)
+        while self._snapshots and self._snapshots[0][0] < now - self._max_lookback - 2 * SNAPSHOT_INTERVAL:
+            self._snapshots.pop(0)
+        self.loop.call_later(SNAPSHOT_INTERVAL, self._snapshot_disks)
 
     def _folder(self, head: int) -> str:
-        return f"{self.records_of(head)}/"
+        return f"{self.records_folder(head)}/"
 
-    def _take(self, head: int) -> dict[str, bytearray]:
+    def _remove_files(self, head: int) -> dict[str, bytearray]:
         """All of a head's folder; it is empty then."""
         folder = self._folder(head)
         return {
@@ -83,24 +85,24 @@
             if path.startswith(folder)
         }
 
-    def _put(self, head: int, files: dict[str, bytearray]) -> None:
+    def _write_files(self, head: int, files: dict[str, bytearray]) -> None:
         self.disk.files.update({self._folder(head) + path: bytearray(data) for path, data in files.items()})
 
-    def _do_here(self, act: Act) -> None:
+    def _apply_variant_act(self, act: Act) -> None:
         head = int(act.whom.split(" ")[1])
         if act.kind == "lag":
             self.disk.slow[act.whom] = act.by
             self.loop.call_later(act.seconds, self.disk.slow.pop, act.whom, None)
             return
-        self._down(act, act.whom, "kill")
-        self._count()
+        self._stop_process(act, act.whom, "kill")
+        self._check_record_numbers()
         if act.kind == "wipe":
-            self._take(head)
+            self._remove_files(head)
         elif act.kind == "older":
-            self._take(head)
-            past = [files for at, files in self._past if at <= self.loop.time() - act.by]
+            self._remove_files(head)
+            past = [files for at, files in self._snapshots if at <= self.loop.time() - act.by]
             folder = self._folder(head)
-            self._put(
+            self._write_files(
                 head,
                 {
                     path[len(folder) :]: bytearray(data)
@@ -109,7 +111,7 @@
                 },
             )
         elif act.kind == "rot":
-            own = own_log_folder(self.records_of(head), head) + "/"
+            own = own_log_folder(self.records_folder(head), head) + "/"
             names = sorted(
                 path for path in self.disk.files if path.startswith(own) and path.endswith(SEGMENT_SUFFIX)
             )
@@ -117,36 +119,36 @@
                 self.disk.files[names[-1]][:] = rot(bytes(self.disk.files[names[-1]]))
         elif act.kind == "swap":
             other = int(act.to.split(" ")[1])
-            self._down(act, act.to, "kill")
-            mine, theirs = self._take(head), self._take(other)
-            self._put(head, theirs)
-            self._put(other, mine)
+            self._stop_process(act, act.to, "kill")
+            mine, theirs = self._remove_files(head), self._remove_files(other)
+            self._write_files(head, theirs)
+            self._write_files(other, mine)
 
-    def _count(self) -> None:
+    def _check_record_numbers(self) -> None:
         """No number of a head's may ever say two things, on whatever disk it stands."""
         for path, data in self.disk.files.items():
             if path.startswith("kept/") and path.endswith(SEGMENT_SUFFIX):
                 for head, life, place in self._numbers.take(bytes(data)):
-                    self._defect(f"a number was given twice: head {head}, life {life}, place {place}")
+                    self._add_defect(f"a number was given twice: head {head}, life {life}, place {place}")
 
     # ---- in the end
 
-    def _check_rest(self) -> None:
-        super()._check_rest()
-        self._count()
-        self._check_parted()
-        for number, head in self.heads.items():
+    def _check_end_state(self) -> None:
+        super()._check_end_state()
+        self._check_record_numbers()
+        self._check_extent_shards()
+        for number, head in self.gateways.items():
             p = head.promises
             if self.processes[f"head {number}"].alive and p is not None:
                 if p.waiting or head.driver.awaiting_placement:
-                    self._defect(f"left behind: head {number}: promises that nobody was told of")
+                    self._add_defect(f"left behind: head {number}: promises that nobody was told of")
                 if (after := p.retry_after()) > 0.0:
-                    self._defect(
+                    self._add_defect(
                         f"does not promise again: head {number}: {p.recovery.stage.value}, "
                         f"{after:.1f} s, disk {p.store.disk.state(p.transport.now()).value}"
                     )
 
-    def _check_parted(self) -> None:
+    def _check_extent_shards(self) -> None:
         """Writes of one extent that ran at two shards."""
         files = {
             (shard, v.number): self.disk.files[path]
@@ -157,4 +159,6 @@
         shards = parted(self.site, files)
         for (volume, extent), found in sorted(shards.items()):
             if len(found) > 1:
-                self._defect(f"an extent is parted: volume {volume}, extent {extent}, shards {sorted(found)}")
+                self._add_defect(
+                    f"an extent is parted: volume {volume}, extent {extent}, shards {sorted(found)}"
+                )
--- a/gorsethread/simulation/runs.py
+++ b/gorsethread/simulation/runs.py
@@ -10,15 +10,15 @@
 from functools import partial
 
 from gorsethread.simulation.branch_mutants import BRANCH_MUTANTS
-from gorsethread.simulation.branch_simulation import BranchWorld
+from gorsethread.simulation.branch_simulation import BranchSimulation
 from gorsethread.simulation.durable_log_mutants import KEPT_MUTANTS
-from gorsethread.simulation.durable_log_simulation import RecordsWorld
+from gorsethread.simulation.durable_log_simulation import DurableLogSimulation
 from gorsethread.simulation.http_mutants import WEB_MUTANTS
-from gorsethread.simulation.http_simulation import WebWorld
+from gorsethread.simulation.http_simulation import HttpSimulation
 from gorsethread.simulation.mutants import MUTANTS
 from gorsethread.simulation.script import KINDS, Script
 from gorsethread.simulation.script_generator import BranchDraw, Draw
-from gorsethread.simulation.site_simulation import START_UP, Outcome, World
+from gorsethread.simulation.site_simulation import START_UP, Outcome, SiteSimulation
 from gorsethread.simulation.states import STATES, WEB_STATES
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.sampling import cpu_seconds
@@ -53,12 +53,12 @@
     """Plays a script once, in a world of its own. web: with heads on the operators' platform; kept: with
     heads that keep records, as those of a site with branches always do."""
     if site.branch:
-        return BranchWorld(site, script, BRANCH_MUTANTS.get(mutant)).play()
+        return BranchSimulation(site, script, BRANCH_MUTANTS.get(mutant)).play()
     if kept:
-        return RecordsWorld(site, script, KEPT_MUTANTS.get(mutant) or MUTANTS.get(mutant)).play()
+        return DurableLogSimulation(site, script, KEPT_MUTANTS.get(mutant) or MUTANTS.get(mutant)).play()
     if web:
-        return WebWorld(site, script, WEB_MUTANTS.get(mutant)).play()
-    return World(site, script, MUTANTS.get(mutant)).play()
+        return HttpSimulation(site, script, WEB_MUTANTS.get(mutant)).play()
+    return SiteSimulation(site, script, MUTANTS.get(mutant)).play()
 
 
 def play_one(raw_site: bytes, mutant: str, web: bool, kept: bool, seed: int) -> Played:
@@ -73,8 +73,8 @@
         )
     gc.collect()  # a world is one large cycle, and many of them were held at once
     first = str(outcome.verdict.breaks[0]) if outcome.verdict.breaks else ""
-    if not first and outcome.as_it_came:
-        first = str(outcome.as_it_came[0][1])
+    if not first and outcome.online_breaks:
+        first = str(outcome.online_breaks[0][1])
     return Played(
         seed,
         outcome.reasons,
@@ -248,7 +248,7 @@
         for step in each.history:
             at, rest = step[:9], step[9:]
             lines.add((float(at), f"{float(at) - offset:9.3f}{rest}"))
-    lines |= {(at - begin, f"{at - site_zero:9.3f}  !! {b}") for at, b in outcome.as_it_came[:breaks_most]}
+    lines |= {(at - begin, f"{at - site_zero:9.3f}  !! {b}") for at, b in outcome.online_breaks[:breaks_most]}
     found = [line for _, line in sorted(lines)]
     return found + [f"rule {b.rule}: {b.reason}" for b in chosen] + outcome.defects[:5]
 
--- a/tests/durable_log/test_records.py
+++ b/tests/durable_log/test_records.py
@@ -38,7 +38,7 @@
     encode_segment,
     read_segment,
 )
-from gorsethread.simulation.site_simulation import Silent
+from gorsethread.simulation.site_simulation import NullLogger
 from gorsethread.transport.real import RealTransport
 from gorsethread.transport.virtual import Disk as VirtualDisk
 from gorsethread.transport.virtual import Network, VirtualLoop, VirtualTransport
@@ -279,7 +279,7 @@
         return process
 
     def open_store(self, process: VirtualTransport, incarnation: int = INCARNATION) -> tuple[LogStore, Any]:
-        store = LogStore(process, "records", FLEET, GATEWAY, Silent())
+        store = LogStore(process, "records", FLEET, GATEWAY, NullLogger())
         recovered = store.open()
         process.spawn(store.start_incarnation(incarnation))
         self.wait(0.5)
@@ -430,9 +430,9 @@
         first = self.start_process()
         self.open_store(first)
         with self.assertRaises(FolderInUseError):
-            LogStore(self.start_process(), "records", FLEET, GATEWAY, Silent()).open()
+            LogStore(self.start_process(), "records", FLEET, GATEWAY, NullLogger()).open()
         first.kill()
-        LogStore(self.start_process(), "records", FLEET, GATEWAY, Silent()).open()
+        LogStore(self.start_process(), "records", FLEET, GATEWAY, NullLogger()).open()
 
     def test_a_slow_disk_delays_only_records_that_wait_for_it(self) -> None:
         store, _ = self.open_store(self.start_process())
@@ -450,7 +450,7 @@
     def test_records_are_stored_and_the_folder_locked_on_a_real_disk(self) -> None:
         async def work(folder: str) -> None:
             transport = RealTransport(1)
-            store = LogStore(transport, folder, FLEET, GATEWAY, Silent())
+            store = LogStore(transport, folder, FLEET, GATEWAY, NullLogger())
             self.assertTrue(store.open().empty)
             await store.start_incarnation(INCARNATION)
             reported: list[bool] = []
@@ -459,7 +459,7 @@
             while len(reported) < 199:
                 await transport.sleep(0.01)
             self.assertTrue(all(reported))
-            other = LogStore(transport, folder, FLEET, GATEWAY, Silent())
+            other = LogStore(transport, folder, FLEET, GATEWAY, NullLogger())
             with self.assertRaises(FolderInUseError):
                 other.open()
             store.close()
--- a/tests/membership/test_backend_news.py
+++ b/tests/membership/test_backend_news.py
@@ -15,7 +15,7 @@
     BackendState,
 )
 from gorsethread.simulation.script import read_script
-from gorsethread.simulation.site_simulation import World
+from gorsethread.simulation.site_simulation import SiteSimulation
 from gorsethread.site_config.reading import read_site
 
 SITE = read_site(Path(__file__).parents[2] / "deploy" / "site.txtpb")
@@ -195,7 +195,7 @@
             if not with_peers:
                 for head in site.head:
                     head.peers = ""
-            world = World(site, read_script(script))
+            world = SiteSimulation(site, read_script(script))
             outcome = world.play()
             self.assertTrue(outcome.good, outcome.reasons)
             late = [
@@ -204,7 +204,7 @@
                 if record["e"] == "arrived"
                 and record["shelf"] == 2
                 and record["head"] == 1
-                and world.zero + 4.5 < record["t"] < world.zero + 6.0
+                and world.traffic_start + 4.5 < record["t"] < world.traffic_start + 6.0
             ]
             late_arrivals[with_peers] = len(late)
         self.assertEqual(0, late_arrivals[True])
--- a/tests/test_durable_log.py
+++ b/tests/test_durable_log.py
@@ -24,7 +24,7 @@
 from gorsethread.nvme_gateway.peers import fleet_of
 from gorsethread.recovery.stages import Stage
 from gorsethread.simulation.durable_log_mutants import KEPT_MUTANTS
-from gorsethread.simulation.durable_log_simulation import RecordsWorld
+from gorsethread.simulation.durable_log_simulation import DurableLogSimulation
 from gorsethread.simulation.runs import play, play_many
 from gorsethread.simulation.script import read_script
 from gorsethread.site_config.reading import parse_site, read_site
@@ -90,31 +90,31 @@
 """
 
 
-def world(acts: str, heads: int = 3, seconds: int = 10, seed: int = 4) -> RecordsWorld:
+def world(acts: str, heads: int = 3, seconds: int = 10, seed: int = 4) -> DurableLogSimulation:
     text = f"seed {seed}\nheads {heads}\nshelves 6\nseconds {seconds}\n{acts}"
-    return RecordsWorld(SITE, read_script(text))
+    return DurableLogSimulation(SITE, read_script(text))
 
 
 class Simulations(unittest.TestCase):
-    def play_good(self, acts: str, **settings: int) -> RecordsWorld:
+    def play_good(self, acts: str, **settings: int) -> DurableLogSimulation:
         simulation = world(acts, **settings)
         outcome = simulation.play()
         self.assertTrue(outcome.good, (outcome.reasons, outcome.defects))
         return simulation
 
-    def stages(self, simulation: RecordsWorld) -> list[Stage]:
-        return [h.promises.recovery.stage for h in simulation.heads.values()]
+    def stages(self, simulation: DurableLogSimulation) -> list[Stage]:
+        return [h.promises.recovery.stage for h in simulation.gateways.values()]
 
     def test_random_simulations_keep_every_rule_and_every_acknowledged_record(self) -> None:
         failed = [(p.seed, p.reasons, p.first) for p in play_many(SITE, range(40), kept=True) if p.reasons]
         self.assertEqual([], failed)
 
     def test_without_records_a_restart_forgets_owners(self) -> None:
-        class WithoutRecords(RecordsWorld):
-            def records_of(self, number: int) -> str:
+        class WithoutRecords(DurableLogSimulation):
+            def records_folder(self, number: int) -> str:
                 return ""
 
-            def _check_rest(self) -> None: ...
+            def _check_end_state(self) -> None: ...
 
         text = "seed 4\nheads 3\nshelves 6\nseconds 8\n2 kill head-0 for 0.5\n3 kill head-1 for 0.5\n"
         self.assertIn("an owner is forgotten", WithoutRecords(SITE, read_script(text)).play().reasons)
@@ -131,16 +131,16 @@
     def test_gateways_do_not_wait_for_one_that_stays_down(self) -> None:
         simulation = self.play_good("2 kill head-0 for 0.3\n2 kill head-1 for 0.5\n2 kill head-2 for 5\n")
         self.assertEqual([Stage.COMPLETE] * 3, self.stages(simulation))
-        recovery = simulation.heads[0].promises.recovery
+        recovery = simulation.gateways[0].promises.recovery
         self.assertLess(recovery.stage_since - recovery.started, 2.2)
 
     def test_an_empty_disk_is_recognised_as_lost_and_refilled(self) -> None:
         simulation = self.play_good("3 wipe head-0 for 0.5\n3 kill head-2 for 3\n")
-        recovery = simulation.heads[0].promises.recovery
+        recovery = simulation.gateways[0].promises.recovery
         self.assertGreater(
             recovery.stage_since - recovery.started, 2.0, "it waited for the one that may hold more"
         )
-        self.assertGreater(len(simulation.heads[0].promises.store.table.placements()), 10)
+        self.assertGreater(len(simulation.gateways[0].promises.store.table.placements()), 10)
 
     def test_exchanged_disks_are_recognised(self) -> None:
         self.play_good("3 swap head-0 <-> head-1 for 0.5\n")
@@ -174,7 +174,7 @@
 
         def start_second() -> None:
             """Start another machine with this gateway's number and an empty disk."""
-            earlier = simulation.heads[0].promises
+            earlier = simulation.gateways[0].promises
             process = VirtualTransport(simulation.network, simulation.disk, "head 0 again")
             simulation.processes["second"] = process
 
@@ -190,9 +190,9 @@
 
             process.spawn(send_hellos())
 
-        simulation.loop.call_at(simulation.zero + 4.0, start_second)
+        simulation.loop.call_at(simulation.traffic_start + 4.0, start_second)
         outcome = simulation.play()
-        self.assertTrue(simulation.heads[0].promises.sender.fenced)
+        self.assertTrue(simulation.gateways[0].promises.sender.fenced)
         self.assertEqual(["does not promise again"], outcome.reasons)
 
 
@@ -354,7 +354,7 @@
 
     def test_kills_while_records_are_stored_on_real_processes_and_in_simulation(self) -> None:
         for text in (KILLS_AT_POINTS, LOSSES):
-            simulation = RecordsWorld(SITE, read_script(text)).play()
+            simulation = DurableLogSimulation(SITE, read_script(text)).play()
             self.assertTrue(simulation.good, (simulation.reasons, simulation.defects))
         result = self.play(KILLS_AT_POINTS)
         self.assertTrue(result.good, result)
--- a/tests/test_http_simulation.py
+++ b/tests/test_http_simulation.py
@@ -9,7 +9,7 @@
 from gorsethread.simulation.runs import drawn, play, play_many
 from gorsethread.simulation.script import read_script
 from gorsethread.simulation.script_generator import Draw
-from gorsethread.simulation.site_simulation import misfits
+from gorsethread.simulation.site_simulation import unsupported_acts
 from gorsethread.site_config.reading import read_site
 
 SITE = read_site(Path(__file__).parent.parent / "deploy" / "site.txtpb")
@@ -61,7 +61,9 @@
 
     def test_acts_of_the_platform_are_not_for_the_other_front(self) -> None:
         script = read_script("1 term head-0 for 1\n2 spoil shelf-0 by 0.5 for 1\n")
-        self.assertEqual((2, 0), (len(misfits(SITE, script)), len(misfits(SITE, script, True))))
+        self.assertEqual(
+            (2, 0), (len(unsupported_acts(SITE, script)), len(unsupported_acts(SITE, script, True)))
+        )
         drawn_kinds = {a.kind for seed in range(60) for a in Draw(seed, [1], ["archive"]).script().acts}
         self.assertFalse(drawn_kinds & {"term", "reload", "spoil", "rude"})
 
--- a/tests/test_offline_writes.py
+++ b/tests/test_offline_writes.py
@@ -23,7 +23,7 @@
 from gorsethread.offline_writes import messages as offline_messages
 from gorsethread.offline_writes.messages import OperatorQuery
 from gorsethread.simulation.branch_mutants import BRANCH_MUTANTS
-from gorsethread.simulation.branch_simulation import BranchWorld
+from gorsethread.simulation.branch_simulation import BranchSimulation
 from gorsethread.simulation.runs import drawn, play, play_many
 from gorsethread.simulation.script import read_script
 from gorsethread.site_config import site_pb2 as pb
@@ -128,10 +128,10 @@
         self.assertTrue(play(SITE, read_script(CRASHES_DURING_REPLAY)).good)
 
     def test_a_gateway_replays_for_its_dead_standby_until_that_is_alive_again(self) -> None:
-        simulation = BranchWorld(SITE, read_script(DEAD_STANDBY))
+        simulation = BranchSimulation(SITE, read_script(DEAD_STANDBY))
         outcome = simulation.play()
         self.assertEqual(([], []), (outcome.reasons, outcome.defects))
-        history = simulation.heads[4].branch.history
+        history = simulation.gateways[4].branch.history
         events = [change["what"] for change in history if change["number"] is None]
         self.assertIn("stands in", events)
         self.assertIn("gives back", events[events.index("stands in") :])
@@ -142,7 +142,7 @@
 
     def test_ten_branches_reconnecting_at_once_leave_the_main_sites_clients_served(self) -> None:
         links = "".join(f"6 link head-{gateway} by 0 for 8\n" for gateway in range(3, 13))
-        simulation = BranchWorld(
+        simulation = BranchSimulation(
             site_with_ten_branches(),
             read_script(f"seed 3\nheads 13\nshelves 6\nseconds 24\nfactor 2\n{links}"),
         )
@@ -171,7 +171,7 @@
             ]
             return answers.count("honoured") / len(answers)
 
-        before_disconnect = success_ratio(simulation.zero + 1, simulation.zero + 6)
+        before_disconnect = success_ratio(simulation.traffic_start + 1, simulation.traffic_start + 6)
         self.assertGreater(success_ratio(min(replay_times), max(replay_times)), 0.95 * before_disconnect)
 
     def test_no_write_is_queued_unless_the_site_file_allows_it(self) -> None:
@@ -179,7 +179,7 @@
         site.CopyFrom(SITE)
         for profile in site.profile:
             profile.held_when_cut_off, profile.when_changed = False, 0
-        simulation = BranchWorld(
+        simulation = BranchSimulation(
             site, read_script(SCRIPT_START + "2 link head-3 by 0 for 4\n2 link head-4 by 0 for 4\n")
         )
         outcome = simulation.play()
@@ -187,7 +187,7 @@
 
     def test_a_gateway_without_its_standby_accepts_no_write(self) -> None:
         """The gateway cannot replicate writes while its standby is unreachable, so it rejects them."""
-        simulation = BranchWorld(
+        simulation = BranchSimulation(
             SITE,
             read_script(
                 SCRIPT_START + "2 link head-3 by 0 for 6\n2 link head-4 by 0 for 6\n"
@@ -198,28 +198,28 @@
         accepted_early = [
             record
             for record in outcome.records
-            if record["e"] == "accepted" and record["t"] < simulation.zero + 11.5
+            if record["e"] == "accepted" and record["t"] < simulation.traffic_start + 11.5
         ]
         self.assertEqual(([], []), (outcome.reasons, accepted_early))
-        self.assertGreater(simulation.heads[3].branch.counts["refused: records"], 0)
+        self.assertGreater(simulation.gateways[3].branch.counts["refused: records"], 0)
 
     def test_a_full_queue_refuses_low_weights_first_and_drops_nothing(self) -> None:
         site = type(SITE)()
         site.CopyFrom(SITE)
         site.branch[0].queue_writes = 6
-        simulation = BranchWorld(
+        simulation = BranchSimulation(
             site, read_script(SCRIPT_START + "2 link head-3 by 0 for 6\n2 link head-4 by 0 for 6\n")
         )
         outcome = simulation.play()
         self.assertEqual([], outcome.reasons)
-        counts = simulation.heads[3].branch.counts
+        counts = simulation.gateways[3].branch.counts
         self.assertGreater(counts["refused: room is kept for dearer writes"], 0)
         self.assertLessEqual(counts["accepted"], 12)
 
 
 class InvalidMessages(unittest.TestCase):
     def test_invalid_messages_end_their_own_stream_and_harm_nothing_else(self) -> None:
-        simulation = BranchWorld(SITE, read_script(SCRIPT_START))
+        simulation = BranchSimulation(SITE, read_script(SCRIPT_START))
         fleet, ended = fleet_of(simulation.site), list[str]()
         process = VirtualTransport(simulation.network, simulation.disk, "stranger")
         simulation.processes["stranger"] = process
@@ -243,7 +243,7 @@
             (offline_messages.OperatorQuery(fleet, "show"),),
         ):
             simulation.loop.call_at(
-                simulation.zero + 1.0, lambda messages=messages: process.spawn(send(*messages))
+                simulation.traffic_start + 1.0, lambda messages=messages: process.spawn(send(*messages))
             )
         for write in (
             offline_messages.ReplayWrite((3, 1, 1), 1, 0, -1, 8, 0, 0, 0, 0, 0, False, bytes(4096)),
@@ -251,7 +251,7 @@
             offline_messages.ReplayWrite((3, 1, 3), 1, 0, 2, 77, 0, 0, 0, 0, 0, False, b"x"),
         ):
             simulation.loop.call_at(
-                simulation.zero + 1.5, lambda write=write: process.spawn(send(hello, write))
+                simulation.traffic_start + 1.5, lambda write=write: process.spawn(send(hello, write))
             )
         outcome = simulation.play()
         self.assertEqual(([], 5), (outcome.reasons, len(ended)), outcome.defects)
@@ -260,15 +260,15 @@
 class OperatorDecisions(unittest.TestCase):
     """Tests release and discard of dead letters, in simulations where blocks change at the main site."""
 
-    def play_with_decision(self, command: str) -> tuple[BranchWorld, list[Any], Any]:
+    def play_with_decision(self, command: str) -> tuple[BranchSimulation, list[Any], Any]:
         """Plays a simulation in which the first dead letter is released, or the last one discarded."""
         answers: list[Any] = []
         for seed in range(40):
-            simulation, answers = BranchWorld(SITE, drawn(SITE, seed)), []
+            simulation, answers = BranchSimulation(SITE, drawn(SITE, seed)), []
 
-            def decide(simulation: BranchWorld = simulation, answers: list[Any] = answers) -> None:
+            def decide(simulation: BranchSimulation = simulation, answers: list[Any] = answers) -> None:
                 for number in (3, 4):
-                    branch = simulation.heads[number].branch
+                    branch = simulation.gateways[number].branch
                     dead_letters = branch.answer(OperatorQuery(0, "parked"))["parked"] if branch else []
                     if dead_letters and simulation.processes[f"head {number}"].alive and not answers:
                         first, last = dead_letters[0], dead_letters[-1]
@@ -291,7 +291,7 @@
         dead_letters = {
             tuple(queued.write.number)
             for gateway in (3, 4)
-            for queued in simulation.heads[gateway].branch.queue.dead_letters
+            for queued in simulation.gateways[gateway].branch.queue.dead_letters
         }
         self.assertNotIn(tuple(first["number"]), dead_letters)
 
@@ -304,13 +304,13 @@
             "the invariant checker reports the discarded write as lost",
         )
         gateway = last["number"][0]
-        table = simulation.heads[gateway].promises.store.table
+        table = simulation.gateways[gateway].promises.store.table
         self.assertIn((-3, *last["number"][1:]), table.records)
 
     def test_an_operator_command_for_an_unknown_write_returns_an_error(self) -> None:
-        simulation = BranchWorld(SITE, read_script(SCRIPT_START))
+        simulation = BranchSimulation(SITE, read_script(SCRIPT_START))
         simulation.play()
-        branch = simulation.heads[3].branch
+        branch = simulation.gateways[3].branch
         self.assertIn("no parked write", branch.answer(OperatorQuery(0, "release", (3, 1, 1)))["error"])
         self.assertIn("no parked write", branch.answer(OperatorQuery(0, "discard"))["error"])
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -14,7 +14,13 @@
 from gorsethread.simulation.runs import play_many, shrink
 from gorsethread.simulation.script import BadScript, read_script
 from gorsethread.simulation.script_generator import Draw
-from gorsethread.simulation.site_simulation import ACCOUNTS, Outcome, World, misfits, play
+from gorsethread.simulation.site_simulation import (
+    LATENCY_FOLDER,
+    Outcome,
+    SiteSimulation,
+    play,
+    unsupported_acts,
+)
 from gorsethread.site_config.reading import read_site
 
 SITE = read_site(Path(__file__).parent.parent / "deploy" / "site.txtpb")
@@ -40,7 +46,7 @@
             with self.subTest(rule=rule):
                 outcome = play(SITE, read_script(script(text)), lambda head, rule=rule: plant(head, rule))
                 self.assertGreater(outcome.verdict.rules[rule - 1], 0)
-                moments = [at for at, broken in outcome.as_it_came if broken.rule == rule]
+                moments = [at for at, broken in outcome.online_breaks if broken.rule == rule]
                 self.assertTrue(moments, "the judge of each step saw it too")
                 self.assertLess(moments[0], outcome.records[-1]["t"])
 
@@ -51,7 +57,7 @@
 
     def good(self, outcome: Outcome) -> None:
         self.assertEqual(
-            ([], [], []), ([str(b) for b in outcome.verdict.breaks], outcome.as_it_came, outcome.defects)
+            ([], [], []), ([str(b) for b in outcome.verdict.breaks], outcome.online_breaks, outcome.defects)
         )
         self.assertGreater(outcome.verdict.counts["honoured"], 300)
 
@@ -132,23 +138,25 @@
             "volumes 1 99\n1 surge volume-77 by 2 for 1\n1 cut room-9 -> list for 1\n"
             "1 cut head-0 -> client-x for 1"
         )
-        self.assertEqual(4, len(misfits(SITE, read_script(text))))
-        self.assertEqual([], misfits(SITE, read_script("volumes 1 2\n1 cut room-1 -> client-archive for 1")))
+        self.assertEqual(4, len(unsupported_acts(SITE, read_script(text))))
+        self.assertEqual(
+            [], unsupported_acts(SITE, read_script("volumes 1 2\n1 cut room-1 -> client-archive for 1"))
+        )
 
 
 class HardCases(unittest.TestCase):
     """Each by a script; the witness judges, and the test says what else must be seen."""
 
-    def kept(self, text: str) -> World:
-        world = World(SITE, read_script(script(text)))
+    def kept(self, text: str) -> SiteSimulation:
+        world = SiteSimulation(SITE, read_script(script(text)))
         outcome = world.play()
         self.assertEqual(([], []), ([str(b) for b in outcome.verdict.breaks], outcome.defects))
         return world
 
-    def times(self, world: World, event: str, **facts: Any) -> list[float]:
+    def times(self, world: SiteSimulation, event: str, **facts: Any) -> list[float]:
         """When it was seen, in the script's seconds."""
         return [
-            r["t"] - world.zero
+            r["t"] - world.traffic_start
             for r in world.records
             if r["e"] == event and all(r.get(k) == v for k, v in facts.items())
         ]
@@ -184,7 +192,10 @@
         sent = {
             (r["label"], r["attempt"])
             for r in world.records
-            if r["e"] == "arrived" and r["shelf"] == 0 and r["head"] == 0 and 2.0 < r["t"] - world.zero < 3.0
+            if r["e"] == "arrived"
+            and r["shelf"] == 0
+            and r["head"] == 0
+            and 2.0 < r["t"] - world.traffic_start < 3.0
         }
         hows = {r["how"] for r in world.records if r["e"] == "answer" and (r["label"], r["attempt"]) in sent}
         self.assertIn("given up", hows, "what the shelf did, the head could not know")
@@ -208,7 +219,7 @@
             if r["e"] == "ended"
             and r["how"] == "honoured"
             and r["head"] == 0
-            and killed - 0.01 < r["t"] - world.zero <= killed
+            and killed - 0.01 < r["t"] - world.traffic_start <= killed
             and (r["label"], r["attempt"]) not in answered
         ]
         self.assertTrue(unheard, "the shelf had honoured it, and the client never heard")
@@ -236,22 +247,24 @@
     def test_a_room_cut_off(self) -> None:
         world = self.kept("2 cut room-0 <-> room-1 for 3\n2 cut room-0 <-> list for 3")
         crossed = [r for r in world.records if r["e"] == "arrived" and r["head"] % 2 != r["shelf"] % 2]
-        self.assertEqual([], [r for r in crossed if 2.01 < r["t"] - world.zero < 5.0])
-        self.assertTrue([r for r in crossed if r["t"] - world.zero > 5.0])
+        self.assertEqual([], [r for r in crossed if 2.01 < r["t"] - world.traffic_start < 5.0])
+        self.assertTrue([r for r in crossed if r["t"] - world.traffic_start > 5.0])
 
     def test_a_wall_clock_that_jumps_back_and_on(self) -> None:
         """The accounts' windows bear the wall's time: none is lost or overwritten, all add up."""
         world = self.kept("2 wall head-0 by -30\n4 wall head-0 by 60\n5 wall head-1 by -0.5")
         counted = 0
-        for name in world.day.list_files(ACCOUNTS):
+        for name in world.day.list_files(LATENCY_FOLDER):
             counted += sum(
                 row.lives
-                for row in decode(world.day.load(f"{ACCOUNTS}/{name}") or b"", world.site.name).all_rows()
+                for row in decode(
+                    world.day.load(f"{LATENCY_FOLDER}/{name}") or b"", world.site.name
+                ).all_rows()
             )
-        closed = sum(h.driver.counts["requests"] for h in world.heads.values())
+        closed = sum(h.driver.counts["requests"] for h in world.gateways.values())
         still_open = sum(
             row.lives
-            for h in world.heads.values()
+            for h in world.gateways.values()
             if h.book
             for row in h.book.accounts.close_window(h.transport.now()).all_rows()
         )
