--- a/gorsethread/cli/faults.py
+++ b/gorsethread/cli/faults.py
@@ -25,7 +25,7 @@
     until_caught,
     zero_of,
 )
-from gorsethread.simulation.script import KINDS, BadScript, Script, read_script
+from gorsethread.simulation.script import ACT_KINDS, InvalidScriptError, Script, read_script
 from gorsethread.simulation.site_simulation import unsupported_acts
 from gorsethread.simulation.states import STATES, WEB_STATES
 from gorsethread.site_config import site_pb2 as pb
@@ -64,11 +64,11 @@
     try:
         script = read_script(Path(what).read_text())
         if no := unsupported_acts(site, script, web, kept):
-            raise BadScript(no)
+            raise InvalidScriptError(no)
         return script
     except OSError as error:
         typer.echo(f"{what}: {error.strerror}", err=True)
-    except BadScript as bad:
+    except InvalidScriptError as bad:
         tell(bad, what)
     raise typer.Exit(2)
 
@@ -108,7 +108,7 @@
             console.print(f"seed {played.seed}: {', '.join(played.reasons)}", markup=False)
             console.print(played.first, markup=False, highlight=False)
     wall = wall_seconds() - began
-    pairs = len(KINDS) * len(WEB_STATES if web else STATES)
+    pairs = len(ACT_KINDS) * len(WEB_STATES if web else STATES)
     unreached = summary.unreached(web)
     console.print(
         f"{summary.worlds} worlds, {summary.taken} transactions: {len(summary.failed)} failed. "
@@ -136,17 +136,17 @@
 def kinds() -> None:
     """Lists the acts that a script may have: whom each strikes and what else it takes."""
     table = Table("act", "strikes", "takes", "what it does")
-    for name, kind in KINDS.items():
+    for name, kind in ACT_KINDS.items():
         takes = [
             word
             for word, needed in (
-                ("-> or <-> whom", kind.to),
-                ("by AMOUNT", kind.by),
+                ("-> or <-> whom", kind.has_peer),
+                ("by AMOUNT", kind.has_amount),
                 ("for SECONDS", kind.lasts),
             )
             if needed
         ]
-        table.add_row(name, ", ".join(kind.strikes), " ".join(takes), kind.says)
+        table.add_row(name, ", ".join(kind.targets), " ".join(takes), kind.effect)
     Console().print(table)
 
 
--- a/gorsethread/cli/lab.py
+++ b/gorsethread/cli/lab.py
@@ -29,7 +29,7 @@
 from gorsethread.harness.process_faults import unplayable
 from gorsethread.harness.processes import Processes
 from gorsethread.logs import log_for, start_logs
-from gorsethread.simulation.script import BadScript, Script, read_script
+from gorsethread.simulation.script import InvalidScriptError, Script, read_script
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.real import RealTransport, run
 
@@ -457,11 +457,11 @@
         text = Path(script).read_text() if script else SHORT
         known = replace(read_script(f"heads {processes}\n{text}"), heads=processes, seed=seed)
         if no := unplayable(known, PLAYED, PARTIES):
-            raise BadScript(no)
+            raise InvalidScriptError(no)
     except OSError as error:
         typer.echo(f"{script}: {error.strerror}", err=True)
         raise typer.Exit(2) from None
-    except BadScript as bad:
+    except InvalidScriptError as bad:
         tell(bad, script or "the short form")
         raise typer.Exit(2) from None
     console = Console(stderr=True)
--- a/gorsethread/experiments/branch.py
+++ b/gorsethread/experiments/branch.py
@@ -18,7 +18,7 @@
     for n in range(cycles):
         at, seconds, by = FIRST + n * CYCLE, c.uniform(4.0, 7.0), float(c.choice((0, 0, 0, 1, 2)))
         for head in branch:
-            acts.append(Act(at, "link", f"head {head}", by=by, seconds=seconds))
+            acts.append(Act(at, "link", f"head {head}", amount=by, seconds=seconds))
         back, head = at + seconds, c.choice(branch)
         kind = (seed + n) % 6
         if kind == 1:
@@ -29,7 +29,7 @@
             acts.append(Act(at + c.uniform(3.5, seconds), "wipe", f"head {head}", seconds=1.5))
         elif kind == 4:
             for head in branch:
-                acts.append(Act(back + 2.3, "link", f"head {head}", by=by, seconds=1.5))
+                acts.append(Act(back + 2.3, "link", f"head {head}", amount=by, seconds=1.5))
         elif kind == 5:
             acts.append(
                 Act(
--- a/gorsethread/harness/durable_log_trial.py
+++ b/gorsethread/harness/durable_log_trial.py
@@ -71,7 +71,7 @@
         super()._ways()
         for act in self.script.acts:
             if act.kind == "older":
-                self.copies_at.append((max(0.0, act.at - act.by), int(act.whom.split(" ")[1])))
+                self.copies_at.append((max(0.0, act.at - act.amount), int(act.target.split(" ")[1])))
 
     def _begun(self) -> None:
         for client in self.clients:
@@ -93,7 +93,7 @@
 
     def _folders(self, act: Act) -> None:
         """What befalls the disks of heads that are killed now."""
-        head = int(act.whom.split(" ")[1])
+        head = int(act.target.split(" ")[1])
         self._count()
         mine = self.folder(head)
         if act.kind == "swap":
--- a/gorsethread/harness/kill_points.py
+++ b/gorsethread/harness/kill_points.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from pathlib import Path
 
-from gorsethread.simulation.site_simulation import POINTS
+from gorsethread.simulation.site_simulation import POINT_METHODS
 
 CODE = """
 import importlib, os, pathlib, signal
@@ -31,4 +31,4 @@
 
 def planted(flags: Mapping[str, Path]) -> str:
     """flags: by the point's name in scripts."""
-    return CODE.replace("{flags!r}", repr([(*POINTS[p][1:], str(flag)) for p, flag in flags.items()]))
+    return CODE.replace("{flags!r}", repr([(*POINT_METHODS[p][1:], str(flag)) for p, flag in flags.items()]))
--- a/gorsethread/harness/process_faults.py
+++ b/gorsethread/harness/process_faults.py
@@ -27,7 +27,7 @@
         f"{act}: not for real processes"
         for act in script.acts
         if act.kind not in kinds
-        or not act.whom.startswith(parties)
+        or not act.target.startswith(parties)
         or act.to
         and not act.to.startswith(parties)
     ]
@@ -74,15 +74,15 @@
             return [
                 way
                 for other in self.beyond
-                for n, way in enumerate(((act.whom, other), (other, act.whom)), 1)
-                if act.by in (0, n)
+                for n, way in enumerate(((act.target, other), (other, act.target)), 1)
+                if act.amount in (0, n)
             ]
-        pairs = [(a, b) for a in self.members(act.whom) for b in self.members(act.to) if a != b]
-        return pairs + [(b, a) for a, b in pairs] if act.both else pairs
+        pairs = [(a, b) for a in self.members(act.target) for b in self.members(act.to) if a != b]
+        return pairs + [(b, a) for a, b in pairs] if act.both_ways else pairs
 
     async def do(self, act: Act) -> float:
         """Begins it; when it is over, by this machine's clock."""
-        now, kind = self.transport.now(), act.whom.split(" ")[0]
+        now, kind = self.transport.now(), act.target.split(" ")[0]
         if act.kind in ("cut", "link"):
             ways = self.ways(act)
             self.faults.cut(ways, now)
@@ -94,20 +94,20 @@
             for one, other in self.ways(act):
                 (self.streams.reset if act.kind == "reset" else self.streams.mute)(one, other)
         elif act.kind == "lose":
-            self.faults.lossy[act.whom] = act.by
-            self._after(act.seconds, lambda: self.faults.lossy.pop(act.whom, None))
+            self.faults.lossy[act.target] = act.amount
+            self._after(act.seconds, lambda: self.faults.lossy.pop(act.target, None))
         elif act.kind == "stab":
-            self.flag(act).write_text(str(int(act.by)))
+            self.flag(act).write_text(str(int(act.amount)))
             self._later.append(asyncio.ensure_future(self._stabbed(act)))
         elif kind in self.own:
             self._later.append(asyncio.ensure_future(self.own[kind](act)))
         elif act.kind == "pause":
-            self.signal(act.whom, signal.SIGSTOP)
-            self.stopped.add(act.whom)
+            self.signal(act.target, signal.SIGSTOP)
+            self.stopped.add(act.target)
             self.saw("stopped", act)
-            self._after(act.seconds, lambda: self.goes_on(act.whom))
+            self._after(act.seconds, lambda: self.goes_on(act.target))
         else:
-            for name in (act.whom, act.to) if act.kind == "swap" else (act.whom,):
+            for name in (act.target, act.to) if act.kind == "swap" else (act.target,):
                 self.stopped.discard(name)
                 if act.kind == "term":
                     self.saw("told to end", act)
@@ -117,7 +117,7 @@
                     self.saw("killed", replace(act, whom=name))
             if act.kind in FOLDERS:
                 self.folders(act)
-            for name in (act.whom, act.to) if act.kind == "swap" else (act.whom,):
+            for name in (act.target, act.to) if act.kind == "swap" else (act.target,):
                 self._later.append(asyncio.ensure_future(self._again(name, act.seconds)))
         return now + act.seconds
 
@@ -130,19 +130,19 @@
 
     def flag(self, act: Act) -> Path:
         """The file by which that head's process is told to end at the act's point."""
-        return self.processes.folder / f"{act.whom} {act.to}".replace(" ", "-")
+        return self.processes.folder / f"{act.target} {act.to}".replace(" ", "-")
 
     async def _stabbed(self, act: Act) -> None:
-        process = self.processes.running[act.whom]
+        process = self.processes.running[act.target]
         try:
             await asyncio.wait_for(process.wait(), REACHED_WITHIN)
         except TimeoutError:
             self.unreached.append(str(act))
             return
-        self.processes.running.pop(act.whom)
+        self.processes.running.pop(act.target)
         self.flag(act).unlink()
         self.saw("killed", act)
-        await self._again(act.whom, act.seconds)
+        await self._again(act.target, act.seconds)
 
     async def _again(self, name: str, after: float) -> None:
         await self.transport.sleep(after)
--- a/gorsethread/harness/service.py
+++ b/gorsethread/harness/service.py
@@ -183,7 +183,7 @@
         flags = {
             a.to.split(" ")[1]: self.cast.flag(a)
             for a in self.script.acts
-            if a.kind == "stab" and a.whom == name
+            if a.kind == "stab" and a.target == name
         }
         points = planted(flags) if flags else ""
         await self.processes.start(
@@ -209,7 +209,7 @@
 
     def _struck(self, event: str, act: Act) -> None:
         if event in ("cut", "reset", "mute"):
-            client, head = (act.whom, act.to) if act.whom.startswith("client") else (act.to, act.whom)
+            client, head = (act.target, act.to) if act.target.startswith("client") else (act.to, act.target)
             if client.startswith("client") and head.startswith("head"):
                 self.day.saw(
                     "apart",
@@ -218,7 +218,7 @@
                     until=self.transport.now() + act.seconds + HELD,
                 )
             return
-        number = int(act.whom.split(" ")[1])
+        number = int(act.target.split(" ")[1])
         if event == "stopped":
             for t in self.site.tenant:
                 # What it did not take while it stood still, or had no time left for, is no loss of its.
@@ -232,7 +232,7 @@
             self.day.saw("head killed", head=number)
 
     async def _shelf_act(self, act: Act) -> None:
-        number = int(act.whom.split(" ")[1])
+        number = int(act.target.split(" ")[1])
         if act.kind == "kill":
             await self.lives[number].end()
             self.day.saw("shelf killed", shelf=number)
@@ -243,10 +243,10 @@
             await self.transport.sleep(act.seconds)
             self.nodes.order(number, "ready")
         else:
-            self.lives[number].shelf._fault(Fault(self.transport.now(), act.kind, act.seconds, act.by))
+            self.lives[number].shelf._fault(Fault(self.transport.now(), act.kind, act.seconds, act.amount))
 
     async def _list_act(self, act: Act) -> None:
-        self.nodes._fault(Fault(self.transport.now(), act.kind, act.seconds, act.by))
+        self.nodes._fault(Fault(self.transport.now(), act.kind, act.seconds, act.amount))
 
     def _ways(self) -> None:
         """What leads heads to the list, before any starts."""
@@ -273,7 +273,7 @@
             await self._all_listen()
             self.zero = zero = transport.now() + 1.0
             surges = [
-                Surge(int(a.whom.split(" ")[1]), zero + a.at, a.seconds, a.by)
+                Surge(int(a.target.split(" ")[1]), zero + a.at, a.seconds, a.amount)
                 for a in script.acts
                 if a.kind == "surge"
             ]
--- a/gorsethread/harness/site.py
+++ b/gorsethread/harness/site.py
@@ -79,7 +79,7 @@
         super().__init__(transport, processes, site, log, script, plant)
         self.cast.own["volume"] = self._volume_act
         # All traffic through the relay costs this process, so only where a script strikes there.
-        named = {name.split(" ")[0] for a in script.acts if a.kind in WAYS for name in (a.whom, a.to)}
+        named = {name.split(" ")[0] for a in script.acts if a.kind in WAYS for name in (a.target, a.to)}
         self.led = {kind for kind in ("shelf", "client") if kind in named}
         if any(a.kind == "link" for a in script.acts):
             self.led.add("shelf")
@@ -143,7 +143,7 @@
         flags = {
             a.to.split(" ")[1]: self.cast.flag(a)
             for a in self.script.acts
-            if a.kind == "stab" and a.whom == name
+            if a.kind == "stab" and a.target == name
         }
         before = f"{planted(flags) if flags else ''}\n{self.plant}"
         await self.processes.start(
--- a/gorsethread/simulation/branch_simulation.py
+++ b/gorsethread/simulation/branch_simulation.py
@@ -26,8 +26,8 @@
             *(f"shelf {n}" for n in range(self.script.shelves)),
             *(f"head {n}" for n in range(self.script.heads) if n not in away),
         ]
-        ways = [(act.whom, other) for other in others] if act.by != 2 else []
-        ways += [(other, act.whom) for other in others] if act.by != 1 else []
+        ways = [(act.target, other) for other in others] if act.amount != 2 else []
+        ways += [(other, act.target) for other in others] if act.amount != 1 else []
         for one, other in ways:
             self.network.cut(one, other)
             self.loop.call_later(act.seconds, self.network.heal, one, other)
--- a/gorsethread/simulation/durable_log_simulation.py
+++ b/gorsethread/simulation/durable_log_simulation.py
@@ -44,7 +44,7 @@
         self._snapshots: list[
             tuple[float, dict[str, bytes]]
         ] = []  # as long as the script's `older` look back
-        self._max_lookback = max((a.by for a in script.acts if a.kind == "older"), default=0.0)
+        self._max_lookback = max((a.amount for a in script.acts if a.kind == "older"), default=0.0)
         self._numbers = Numbers()
         if self._max_lookback:
             self._snapshot_disks()
@@ -89,18 +89,18 @@
         self.disk.files.update({self._folder(head) + path: bytearray(data) for path, data in files.items()})
 
     def _apply_variant_act(self, act: Act) -> None:
-        head = int(act.whom.split(" ")[1])
+        head = int(act.target.split(" ")[1])
         if act.kind == "lag":
-            self.disk.slow[act.whom] = act.by
-            self.loop.call_later(act.seconds, self.disk.slow.pop, act.whom, None)
+            self.disk.slow[act.target] = act.amount
+            self.loop.call_later(act.seconds, self.disk.slow.pop, act.target, None)
             return
-        self._stop_process(act, act.whom, "kill")
+        self._stop_process(act, act.target, "kill")
         self._check_record_numbers()
         if act.kind == "wipe":
             self._remove_files(head)
         elif act.kind == "older":
             self._remove_files(head)
-            past = [files for at, files in self._snapshots if at <= self.loop.time() - act.by]
+            past = [files for at, files in self._snapshots if at <= self.loop.time() - act.amount]
             folder = self._folder(head)
             self._write_files(
                 head,
--- a/gorsethread/simulation/http_simulation.py
+++ b/gorsethread/simulation/http_simulation.py
@@ -149,7 +149,7 @@
         head.start()
 
     def _apply_variant_act(self, act: Act) -> None:
-        process, number = self.processes[act.whom], int(act.whom.split(" ")[1])
+        process, number = self.processes[act.target], int(act.target.split(" ")[1])
         head = self.gateways[number]
         if not process.alive:
             return
@@ -170,12 +170,12 @@
 
     async def _end_gateway(self, act: Act, head: Any) -> None:
         await head.end()
-        number = int(act.whom.split(" ")[1])
+        number = int(act.target.split(" ")[1])
         taken = [
             s for s in self.online_checker.seen.values() if s.came and not s.how and s.sent["head"] == number
         ]
-        self.loop.call_later(DELIVERY_SECONDS, self._check_graceful_end, act.whom, taken)
-        self.loop.call_soon(self._stop_process, act, act.whom, "end")
+        self.loop.call_later(DELIVERY_SECONDS, self._check_graceful_end, act.target, taken)
+        self.loop.call_soon(self._stop_process, act, act.target, "end")
 
     def _check_graceful_end(self, name: str, taken: list[Any]) -> None:
         """Answers that were on their way as the head ended are there now."""
@@ -191,17 +191,17 @@
             self._add_defect(f"ended under requests it had taken: {name}")
 
     def _kill_after_timeout(self, act: Act, process: Any) -> None:
-        if self.processes[act.whom] is process and process.alive:
-            if not self._was_stopped(act.whom, self.loop.time() - self.traffic_start - act.at):
-                self._add_defect(f"did not end in time after SIGTERM: {act.whom}")
-            self._stop_process(act, act.whom, "kill")
+        if self.processes[act.target] is process and process.alive:
+            if not self._was_stopped(act.target, self.loop.time() - self.traffic_start - act.at):
+                self._add_defect(f"did not end in time after SIGTERM: {act.target}")
+            self._stop_process(act, act.target, "kill")
 
     def _was_stopped(self, head: str, within: float) -> bool:
         """Whether a fault of the script held that head up or ended it in the last so many seconds."""
         now = self.loop.time() - self.traffic_start
         return any(
             a.kind in ("pause", "vanish", "kill", "stab", "crash", "term")
-            and a.whom == head
+            and a.target == head
             and a.at < now
             and a.end > now - within
             for a in self.script.acts
@@ -211,7 +211,7 @@
     def _may_close_connections(self, head: int) -> bool:
         """Whether it was told to end, and may close what is idle, or its machine closed all as it died."""
         now, name = self.loop.time() - self.traffic_start, f"head {head}"
-        told = any(a.kind == "term" and a.whom == name and a.at <= now for a in self.script.acts)
+        told = any(a.kind == "term" and a.target == name and a.at <= now for a in self.script.acts)
         return told or not self.processes[name].alive or self._was_stopped(name, OWED_WITHIN)
 
     # ---- what must hold
--- a/gorsethread/simulation/membership_simulation.py
+++ b/gorsethread/simulation/membership_simulation.py
@@ -195,14 +195,14 @@
 
     def _do_act(self, act: Act) -> None:
         if act.kind == "cut":
-            pairs = [(a, b) for a in self._members(act.whom) for b in self._members(act.to) if a != b]
-            pairs += [(b, a) for a, b in pairs] if act.both else []
+            pairs = [(a, b) for a in self._members(act.target) for b in self._members(act.to) if a != b]
+            pairs += [(b, a) for a, b in pairs] if act.both_ways else []
             for pair in pairs:
                 self.cuts[pair] += 1
                 self._trouble(pair)
             self.at(self.now + act.seconds, lambda: self._heal(pairs))
             return
-        node = self.nodes[int(act.whom.split(" ")[1])]
+        node = self.nodes[int(act.target.split(" ")[1])]
         if not node.up:
             return
         self._trouble((node.number,))
@@ -216,10 +216,10 @@
             node.paused = True
             self.at(self.now + act.seconds, lambda: self._wakes(node))
         elif act.kind == "lose":
-            node.lossy = act.by
+            node.lossy = act.amount
             self.at(self.now + act.seconds, lambda: self._eased(node))
         elif act.kind == "starve":
-            node.late = act.by
+            node.late = act.amount
             self.at(self.now + act.seconds, lambda: self._eased(node))
         else:
             raise ValueError(f"{act}: worlds of the view don't play it")
--- a/gorsethread/simulation/runs.py
+++ b/gorsethread/simulation/runs.py
@@ -16,7 +16,7 @@
 from gorsethread.simulation.http_mutants import WEB_MUTANTS
 from gorsethread.simulation.http_simulation import HttpSimulation
 from gorsethread.simulation.mutants import MUTANTS
-from gorsethread.simulation.script import KINDS, Script
+from gorsethread.simulation.script import ACT_KINDS, Script
 from gorsethread.simulation.script_generator import BranchDraw, Draw
 from gorsethread.simulation.site_simulation import START_UP, Outcome, SiteSimulation
 from gorsethread.simulation.states import STATES, WEB_STATES
@@ -128,9 +128,9 @@
     def unreached(self, web: bool = False) -> list[str]:
         kinds = [
             kind
-            for kind, k in KINDS.items()
-            if not (k.fleet or k.relay or k.kept or k.branch)
-            and not (k.web if not web else kind in NOT_ON_THE_PLATFORM)
+            for kind, k in ACT_KINDS.items()
+            if not (k.membership_only or k.relay_only or k.durable_log_only or k.branch_only)
+            and not (k.http_only if not web else kind in NOT_ON_THE_PLATFORM)
         ]
         pairs = [f"{kind} | {state}" for kind in kinds for state in (WEB_STATES if web else STATES)]
         return [pair for pair in pairs if pair not in self.states]
@@ -174,7 +174,7 @@
         script = plain
         say("clocks don't matter")
     for act in script.acts:
-        shorter = replace(act, seconds=round(act.seconds / 4, 3)) if KINDS[act.kind].lasts else act
+        shorter = replace(act, seconds=round(act.seconds / 4, 3)) if ACT_KINDS[act.kind].lasts else act
         fewer = replace(script, acts=tuple(shorter if a is act else a for a in script.acts))
         if shorter.seconds > 0.05 and shorter != act and still(fewer):
             script = fewer
--- a/gorsethread/simulation/script.py
+++ b/gorsethread/simulation/script.py
@@ -1,4 +1,4 @@
-"""The language of fault scripts: a line an act, read and written as text, so that a person can run one too.
+"""Reads and writes fault scripts: plain text, one setting or act per line, so that a person can write one.
 
     seed 17
     heads 3
@@ -12,7 +12,8 @@
     4 cut room-1 <-> list for 3
     5.2 slow shelf-4 by 3 for 4
 
-Times are seconds from when clients begin; '#' begins a remark.
+In a script a head is a gateway, a shelf a backend, the list the discovery server and a room a zone. Times are
+seconds since the clients started to send; '#' starts a comment.
 """
 
 from dataclasses import dataclass, field
@@ -20,144 +21,192 @@
 from gorsethread.errors import InvalidInputError
 
 PROCESSES = ("head", "shelf", "list", "client")
-# Points of a head's code: a transaction is taken, sent to a shelf, pushed back, given up, a forward ended,
-# the list's or peers' word handed on, a batch done.
-POINTS = ("take", "forward", "push_back", "give_up", "ended", "listed", "work")
-# And where heads keep records: a promise goes to the disk, is there, is told of, records are given back by
-# another, another's copies are greeted, a new segment is in use.
-KEPT_POINTS = ("promise", "flushed", "held", "given", "greeted", "segment")
+# Points in a gateway's code: it admits a request, sends an attempt, rejects a request, fails a request,
+# handles the end of an attempt, passes on a report of the endpoint list or of its peers, finishes a batch.
+CODE_POINTS = ("take", "forward", "push_back", "give_up", "ended", "listed", "work")
+# Points that only gateways with a durable log have: a placement is handed to the disk, it is flushed, its
+# result is reported, records are fetched from another gateway, a replica is greeted, a new segment is in use.
+DURABLE_LOG_POINTS = ("promise", "flushed", "held", "given", "greeted", "segment")
 
 
 @dataclass(frozen=True)
-class Kind:
-    """What an act needs beside its time and whom it strikes."""
-
-    strikes: tuple[str, ...]
-    to: bool = False  # a second party
-    by: bool = False  # an amount
-    lasts: bool = False  # a time after which it ends
-    says: str = ""
-    web: bool = False  # only heads on the operators' platform meet it
-    fleet: bool = False  # only worlds of the fleet's view play it
-    relay: bool = False  # only real processes meet it, through the harness's relay
-    kept: bool = False  # only heads that keep records meet it
-    branch: bool = False  # only heads of a branch meet it
-
-
-KINDS = {
-    "kill": Kind(
-        ("head", "shelf", "list"), lasts=True, says="ends without warning; comes back after that time"
+class ActKind:
+    """The parties that a kind of act can strike, and the arguments it needs besides time and target."""
+
+    targets: tuple[str, ...]
+    has_peer: bool = False  # a second party
+    has_amount: bool = False  # a number
+    lasts: bool = False  # a duration
+    effect: str = ""
+    http_only: bool = False  # only for HTTP gateways
+    membership_only: bool = False  # only for simulations of the membership view
+    relay_only: bool = False  # only for real processes, through the harness's relay
+    durable_log_only: bool = False  # only for gateways with a durable log
+    branch_only: bool = False  # only for gateways of a branch
+
+
+ACT_KINDS = {
+    "kill": ActKind(
+        ("head", "shelf", "list"), lasts=True, effect="ends without warning; restarts after that time"
     ),
-    "vanish": Kind(("head", "shelf"), lasts=True, says="its machine is gone, peers hear nothing; comes back"),
-    "pause": Kind(
-        ("head", "shelf", "list"), lasts=True, says="stands still; then all that was due is, at once"
+    "vanish": ActKind(
+        ("head", "shelf"),
+        lasts=True,
+        effect="its machine is lost and peers get no notice; restarts after that time",
+    ),
+    "pause": ActKind(
+        ("head", "shelf", "list"),
+        lasts=True,
+        effect="is stopped; then does at once all that fell due meanwhile",
     ),
-    "cut": Kind(
-        (*PROCESSES, "room"), to=True, lasts=True, says="nothing gets through that way (->), or both (<->)"
+    "cut": ActKind(
+        (*PROCESSES, "room"),
+        has_peer=True,
+        lasts=True,
+        effect="no data gets through in that direction (->), or in both (<->)",
     ),
-    "reset": Kind(PROCESSES, to=True, says="their connections break, what was on the way is lost"),
-    "crash": Kind(
+    "reset": ActKind(PROCESSES, has_peer=True, effect="their connections break, data on its way is lost"),
+    "crash": ActKind(
         ("head", "shelf"),
-        to=True,
-        by=True,
+        has_peer=True,
+        has_amount=True,
         lasts=True,
-        says="ends just as the by-th message of the other arrives, if that is within the time; "
-        "comes back after as long",
+        effect="ends as the by-th message of the other arrives, if that is within the time; "
+        "restarts after as long",
     ),
-    "stab": Kind(
+    "stab": ActKind(
         ("head",),
-        to=True,
-        by=True,
+        has_peer=True,
+        has_amount=True,
         lasts=True,
-        says="ends inside its own code, as it comes to a point for the by-th time; comes back",
+        effect="ends itself as it reaches a point of its code for the by-th time; restarts",
+    ),
+    "drain": ActKind(
+        ("shelf",), lasts=True, effect="the list reports it as draining, and after that time as ready again"
     ),
-    "drain": Kind(
-        ("shelf",), lasts=True, says="the list says that it drains, and after that time that it is back"
+    "still": ActKind(("shelf",), lasts=True, effect="accepts commands and works on none"),
+    "slow": ActKind(
+        ("shelf",), has_amount=True, lasts=True, effect="takes that many times as long per command"
     ),
-    "still": Kind(("shelf",), lasts=True, says="takes commands and works on none"),
-    "slow": Kind(("shelf",), by=True, lasts=True, says="works that many times as long"),
-    "errors": Kind(("shelf",), by=True, lasts=True, says="that part of its answers are failures"),
-    "late": Kind(("list",), by=True, lasts=True, says="its news is that many seconds later"),
-    "refuse": Kind(("list",), lasts=True, says="answers nobody"),
-    "surge": Kind(("volume",), by=True, lasts=True, says="asks for that many times its usual"),
-    "connects": Kind(
-        ("head", "shelf", "list"), by=True, lasts=True, says="takes that many seconds more to connect to"
+    "errors": ActKind(
+        ("shelf",), has_amount=True, lasts=True, effect="that fraction of its responses are errors"
     ),
-    "disk": Kind(("head",), lasts=True, says="its files can't be written"),
-    "wall": Kind(("head",), by=True, says="its wall clock jumps by so many seconds"),
-    "term": Kind(
+    "late": ActKind(("list",), has_amount=True, lasts=True, effect="its updates are that many seconds later"),
+    "refuse": ActKind(("list",), lasts=True, effect="responds to nobody"),
+    "surge": ActKind(
+        ("volume",), has_amount=True, lasts=True, effect="gets that many times its usual traffic"
+    ),
+    "connects": ActKind(
+        ("head", "shelf", "list"),
+        has_amount=True,
+        lasts=True,
+        effect="connections to it take that many seconds longer to open",
+    ),
+    "disk": ActKind(("head",), lasts=True, effect="its files can't be written"),
+    "wall": ActKind(("head",), has_amount=True, effect="its wall clock jumps by that many seconds"),
+    "term": ActKind(
         ("head",),
         lasts=True,
-        web=True,
-        says="is told to end, by SIGTERM, ends in order and comes back after that time",
+        http_only=True,
+        effect="gets SIGTERM, shuts down gracefully and restarts after that time",
     ),
-    "reload": Kind(("head",), web=True, says="is told, by SIGHUP, that discovery is at another address"),
-    "spoil": Kind(
+    "reload": ActKind(
+        ("head",), http_only=True, effect="gets SIGHUP with another address of the discovery server"
+    ),
+    "spoil": ActKind(
         ("shelf",),
-        by=True,
+        has_amount=True,
         lasts=True,
-        web=True,
-        says="that part of its answers can't be used, though it ran",
+        http_only=True,
+        effect="that fraction of its responses are unusable, though the request ran",
     ),
-    "lose": Kind(
-        ("head",), by=True, lasts=True, fleet=True, says="that part of its datagrams, both ways, is lost"
+    "lose": ActKind(
+        ("head",),
+        has_amount=True,
+        lasts=True,
+        membership_only=True,
+        effect="that fraction of its datagrams, in both directions, is lost",
     ),
-    "starve": Kind(
-        ("head",), by=True, lasts=True, fleet=True, says="does all that it does that many seconds late"
+    "starve": ActKind(
+        ("head",),
+        has_amount=True,
+        lasts=True,
+        membership_only=True,
+        effect="does everything that many seconds late",
     ),
-    "mute": Kind(
+    "mute": ActKind(
         PROCESSES,
-        to=True,
-        relay=True,
-        says="connections of now stay open and carry nothing more that way; new ones do",
+        has_peer=True,
+        relay_only=True,
+        effect="open connections stay open and carry no more data that way; new ones do",
+    ),
+    "lag": ActKind(
+        ("head",),
+        has_amount=True,
+        lasts=True,
+        durable_log_only=True,
+        effect="each flush to its disk takes that many seconds longer",
     ),
-    "lag": Kind(
-        ("head",), by=True, lasts=True, kept=True, says="each flush to its disk takes that many seconds more"
+    "wipe": ActKind(
+        ("head",), lasts=True, durable_log_only=True, effect="is killed and its disk lost; restarts"
     ),
-    "wipe": Kind(("head",), lasts=True, kept=True, says="is killed and its disk lost; comes back"),
-    "older": Kind(
+    "older": ActKind(
         ("head",),
-        by=True,
+        has_amount=True,
         lasts=True,
-        kept=True,
-        says="is killed; comes back with its disk as it was that many seconds before",
+        durable_log_only=True,
+        effect="is killed; restarts with its disk as it was that many seconds before",
     ),
-    "rot": Kind(
+    "rot": ActKind(
         ("head",),
         lasts=True,
-        kept=True,
-        says="is killed, and half of its newest own records can't be read; comes back",
+        durable_log_only=True,
+        effect="is killed, and half of its newest own records become unreadable; restarts",
     ),
-    "swap": Kind(
-        ("head",), to=True, lasts=True, kept=True, says="both are killed and come back with each other's disk"
+    "swap": ActKind(
+        ("head",),
+        has_peer=True,
+        lasts=True,
+        durable_log_only=True,
+        effect="both are killed and restart with each other's disk",
     ),
-    "link": Kind(
+    "link": ActKind(
         ("head",),
-        by=True,
+        has_amount=True,
         lasts=True,
-        branch=True,
-        says="its branch's link is gone: both ways (by 0), what it sends (1), what it hears (2)",
+        branch_only=True,
+        effect="its branch's link is cut: both ways (by 0), what it sends (1), what it receives (2)",
     ),
-    "rude": Kind(("head",), lasts=True, web=True, says="clients that send nonsense come to it"),
+    "rude": ActKind(("head",), lasts=True, http_only=True, effect="clients send it malformed requests"),
 }
 
 
-class BadScript(InvalidInputError):
-    """Line and reason of each fault found."""
+class InvalidScriptError(InvalidInputError):
+    """A script has lines that can't be used; `faults` gives the line and the reason of each."""
 
-    action = "Correct the script's lines named; docs/faults.md lists what an act may be."
+    action = "Correct the lines of the script that are named; docs/faults.md lists the acts."
 
 
 @dataclass(frozen=True, order=True)
 class Act:
-    """One fault. Whom: as 'head 0', 'list', 'client archive', 'room 1', 'volume 3'."""
+    """One fault of a script. Acts sort by time.
+
+    Attributes:
+        at: Seconds since the clients started to send.
+        kind: Key of ACT_KINDS.
+        target: The party struck: 'head 0', 'list', 'client archive', 'room 1' or 'volume 3'.
+        to: The second party, or for a stab the point, as 'point take'; empty where the kind has none.
+        both_ways: Whether the act holds for both directions between the two parties.
+        amount: The number after 'by'; its meaning depends on the kind.
+        seconds: The duration, after 'for'.
+    """
 
     at: float
     kind: str
-    whom: str
+    target: str
     to: str = ""
-    both: bool = False
-    by: float = 0.0
+    both_ways: bool = False
+    amount: float = 0.0
     seconds: float = 0.0
 
     @property
@@ -165,19 +214,19 @@
         return self.at + self.seconds
 
     def __str__(self) -> str:
-        parts = [f"{self.at:.3f}", self.kind, self.whom.replace(" ", "-")]
+        parts = [f"{self.at:.3f}", self.kind, self.target.replace(" ", "-")]
         if self.to:
-            parts += ["<->" if self.both else "->", self.to.replace(" ", "-")]
-        if KINDS[self.kind].by:
-            parts += ["by", f"{self.by:g}"]
-        if KINDS[self.kind].lasts:
+            parts += ["<->" if self.both_ways else "->", self.to.replace(" ", "-")]
+        if ACT_KINDS[self.kind].has_amount:
+            parts += ["by", f"{self.amount:g}"]
+        if ACT_KINDS[self.kind].lasts:
             parts += ["for", f"{self.seconds:.3f}"]
         return " ".join(parts)
 
 
 @dataclass(frozen=True)
 class Clock:
-    """How a process's monotonic clock differs: seconds, and seconds a second."""
+    """The error of a process's monotonic clock: an offset in seconds and a drift in seconds per second."""
 
     offset: float
     drift: float
@@ -185,8 +234,14 @@
 
 @dataclass(frozen=True)
 class Script:
-    """A world to play. factor: times the plans' usual traffic; leaves: part of the reads whose client does
-    not wait for the answer; volumes: only these ask for anything (empty: all of them)."""
+    """The settings and acts of one simulation run. Its field names are the setting names of the text.
+
+    Attributes:
+        factor: Traffic as a multiple of what the service tiers usually get.
+        leaves: Fraction of the reads whose client does not wait for the response.
+        volumes: Only these volumes get traffic; empty means all.
+        clocks: Clock errors by process; a process that is missing has none.
+    """
 
     seed: int = 1
     heads: int = 3
@@ -210,118 +265,125 @@
         if self.volumes:
             lines.append("volumes " + " ".join(map(str, self.volumes)))
         lines += [
-            f"clock {whom.replace(' ', '-')} {c.offset:+g} drift {c.drift:g}"
-            for whom, c in sorted(self.clocks.items())
+            f"clock {process.replace(' ', '-')} {clock.offset:+g} drift {clock.drift:g}"
+            for process, clock in sorted(self.clocks.items())
         ]
         lines += [str(act) for act in sorted(self.acts)]
         return "\n".join(lines) + "\n"
 
 
-WHOLE = {"seed": 0, "heads": 1, "shelves": 1}  # settings that are whole numbers, and their least
+INTEGER_MINIMUMS = {"seed": 0, "heads": 1, "shelves": 1}  # integer settings and their minimum
 
 
 def read_script(text: str) -> Script:
-    """BadScript where a line can't be followed; all such lines are named."""
+    """Parses a script; raises InvalidScriptError that names every line that can't be used."""
     faults: list[str] = []
-    known: dict[str, float] = {}
+    settings: dict[str, float] = {}
     volumes: tuple[int, ...] = ()
     clocks: dict[str, Clock] = {}
     acts: list[Act] = []
-    for number, raw in enumerate(text.splitlines(), 1):
-        words = raw.split("#")[0].split()
+    for number, line in enumerate(text.splitlines(), 1):
+        words = line.split("#")[0].split()
         if not words:
             continue
         try:
             first = words[0]
             if first == "volumes":
-                volumes = tuple(int(w) for w in words[1:])
+                volumes = tuple(int(word) for word in words[1:])
             elif first == "clock":
                 if len(words) != 5 or words[3] != "drift":
-                    raise ValueError("a clock is: clock head-0 +SECONDS drift PART")
-                clocks[_name(words[1], PROCESSES)] = Clock(float(words[2]), float(words[4]))
+                    raise ValueError("a clock line has the form: clock head-0 +SECONDS drift FRACTION")
+                clocks[_party(words[1], PROCESSES)] = Clock(float(words[2]), float(words[4]))
             elif first in ("seed", "heads", "shelves", "seconds", "factor", "leaves"):
-                known[first] = _setting(first, words[1:])
+                settings[first] = _setting(first, words[1:])
             else:
                 acts.append(_act(words))
         except ValueError as error:
             faults.append(f"line {number}: {error}")
     if faults:
-        raise BadScript(faults)
-    plain = Script()
+        raise InvalidScriptError(faults)
+    defaults = Script()
     script = Script(
-        int(known.get("seed", plain.seed)),
-        int(known.get("heads", plain.heads)),
-        int(known.get("shelves", plain.shelves)),
-        known.get("seconds", plain.seconds),
-        known.get("factor", plain.factor),
-        known.get("leaves", plain.leaves),
+        int(settings.get("seed", defaults.seed)),
+        int(settings.get("heads", defaults.heads)),
+        int(settings.get("shelves", defaults.shelves)),
+        settings.get("seconds", defaults.seconds),
+        settings.get("factor", defaults.factor),
+        settings.get("leaves", defaults.leaves),
         tuple(acts),
         clocks,
         volumes,
     )
-    if faults := _beyond(script):
-        raise BadScript(faults)
+    if faults := _unknown_parties(script):
+        raise InvalidScriptError(faults)
     return script
 
 
 def _setting(name: str, words: list[str]) -> float:
+    """Parses the value of a setting; raises ValueError if it is not one number within its bounds."""
     if len(words) != 1:
         raise ValueError(f"{name} takes one number")
     value = float(words[0])
-    if name in WHOLE and (value != int(value) or value < WHOLE[name]):
-        raise ValueError(f"{name} is a whole number, {WHOLE[name]} or more")
+    if name in INTEGER_MINIMUMS and (value != int(value) or value < INTEGER_MINIMUMS[name]):
+        raise ValueError(f"{name} is a whole number, {INTEGER_MINIMUMS[name]} or more")
     if value < 0 or name == "leaves" and value > 1 or name == "seconds" and not 1 <= value <= 3600:
         raise ValueError(f"{name} {words[0]} is out of bounds")
     return value
 
 
-def _name(word: str, permitted: tuple[str, ...]) -> str:
+def _party(word: str, permitted: tuple[str, ...]) -> str:
+    """Converts a party's name from the text's form, 'head-0', to an act's form, 'head 0'.
+
+    Raises ValueError unless its kind is one of `permitted` and it names one party of that kind.
+    """
     kind, dash, which = word.partition("-")
     if kind not in permitted or (kind == "list") == bool(dash):
-        raise ValueError(f"{word!r} is none of: {', '.join(permitted)}")
+        raise ValueError(f"{word!r} is not one of: {', '.join(permitted)}")
     if kind in ("head", "shelf", "room", "volume") and not which.isdigit():
         raise ValueError(f"{word!r} has no number")
-    if kind == "point" and which not in POINTS + KEPT_POINTS:
-        raise ValueError(f"{which!r} is no point; there are {', '.join(POINTS + KEPT_POINTS)}")
+    if kind == "point" and which not in CODE_POINTS + DURABLE_LOG_POINTS:
+        raise ValueError(f"{which!r} is not a point; they are {', '.join(CODE_POINTS + DURABLE_LOG_POINTS)}")
     return f"{kind} {which}" if dash else kind
 
 
-def _others(kind: str) -> tuple[str, ...]:
+def _second_parties(kind: str) -> tuple[str, ...]:
+    """The kinds of party that may follow the arrow of such an act."""
     return ("point",) if kind == "stab" else (*PROCESSES, "room") if kind in ("cut", "mute") else PROCESSES
 
 
 def _act(words: list[str]) -> Act:
+    """Parses the words of one act; raises ValueError if they don't fit its kind."""
     at = float(words[0])
-    if len(words) < 3 or words[1] not in KINDS:
-        raise ValueError(f"an act is: TIME KIND WHOM ...; kinds are {', '.join(KINDS)}")
+    if len(words) < 3 or words[1] not in ACT_KINDS:
+        raise ValueError(f"an act has the form: TIME KIND TARGET ...; kinds are {', '.join(ACT_KINDS)}")
     if at < 0:
-        raise ValueError("a time is 0 or more")
-    name, kind = words[1], KINDS[words[1]]
-    whom, rest = _name(words[2], kind.strikes), words[3:]
-    to, both, by, seconds = "", False, 0.0, 0.0
-    if kind.to:
+        raise ValueError("a time must be 0 or more")
+    name, kind = words[1], ACT_KINDS[words[1]]
+    target, rest = _party(words[2], kind.targets), words[3:]
+    to, both_ways, amount, seconds = "", False, 0.0, 0.0
+    if kind.has_peer:
         if len(rest) < 2 or rest[0] not in ("->", "<->"):
-            raise ValueError(f"{name} needs -> or <-> and whom")
-        to, both, rest = _name(rest[1], _others(name)), rest[0] == "<->", rest[2:]
-    if kind.by:
+            raise ValueError(f"{name} needs -> or <-> and a second party")
+        to, both_ways, rest = _party(rest[1], _second_parties(name)), rest[0] == "<->", rest[2:]
+    if kind.has_amount:
         if len(rest) < 2 or rest[0] != "by":
             raise ValueError(f"{name} needs 'by' and an amount")
-        by, rest = float(rest[1]), rest[2:]
+        amount, rest = float(rest[1]), rest[2:]
     if kind.lasts:
         if len(rest) < 2 or rest[0] != "for" or not 0 < float(rest[1]) <= 3600:
             raise ValueError(f"{name} needs 'for' and seconds")
         seconds, rest = float(rest[1]), rest[2:]
     if rest:
         raise ValueError(f"{name} does not take {' '.join(rest)!r}")
-    return Act(at, name, whom, to, both, by, seconds)
+    return Act(at, name, target, to, both_ways, amount, seconds)
 
 
-def _beyond(script: Script) -> list[str]:
-    """Acts on what the world does not have."""
+def _unknown_parties(script: Script) -> list[str]:
+    """Returns a message for each act that names a gateway or a backend that the script does not have."""
     sizes = {"head": script.heads, "shelf": script.shelves}
     return [
         f"{act}: there is no {name}"
         for act in script.acts
-        for name in (act.whom, act.to)
+        for name in (act.target, act.to)
         if name.split(" ")[0] in sizes and int(name.split(" ")[1]) >= sizes[name.split(" ")[0]]
     ]
--- a/gorsethread/simulation/script_generator.py
+++ b/gorsethread/simulation/script_generator.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from gorsethread.simulation.script import KEPT_POINTS, POINTS, Act, Clock, Script
+from gorsethread.simulation.script import CODE_POINTS, DURABLE_LOG_POINTS, Act, Clock, Script
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.program import SeededRandom
 
@@ -120,7 +120,7 @@
 
     def stab(self) -> None:
         """In the middle of its own code."""
-        self._stab(POINTS, 60)
+        self._stab(CODE_POINTS, 60)
 
     def _stab(self, points: tuple[str, ...], visits: int) -> None:
         """One head ends at one of the points, as it comes there for up to so many times."""
@@ -233,7 +233,7 @@
         self._add("disk", self._head(), 0.5, 3.0)
 
     def wall(self) -> None:
-        self.acts.append(Act(self._at(), "wall", self._head(), by=round(self.chance.uniform(-50, 50), 3)))
+        self.acts.append(Act(self._at(), "wall", self._head(), amount=round(self.chance.uniform(-50, 50), 3)))
 
     def term(self) -> None:
         head = self._head()
@@ -272,7 +272,7 @@
 
     def kept_stab(self) -> None:
         """In the middle of keeping, or of coming back."""
-        self._stab(KEPT_POINTS, 12)
+        self._stab(DURABLE_LOG_POINTS, 12)
 
     def lag(self) -> None:
         self._add("lag", self._head(), 0.5, 3.0, by=self.chance.choice((0.01, 0.1, 0.1, 0.8)))
--- a/gorsethread/simulation/site_simulation.py
+++ b/gorsethread/simulation/site_simulation.py
@@ -20,7 +20,7 @@
 from gorsethread.latency_attribution.snapshots import decode
 from gorsethread.nvme_gateway.gateway import Head
 from gorsethread.scheduling.model import SlowStartRule
-from gorsethread.simulation.script import KEPT_POINTS, KINDS, Act, Clock, Script
+from gorsethread.simulation.script import ACT_KINDS, DURABLE_LOG_POINTS, Act, Clock, Script
 from gorsethread.simulation.slow_start_checker import ColdPart
 from gorsethread.simulation.states import STATES, met
 from gorsethread.site_config import site_pb2 as pb
@@ -40,7 +40,7 @@
 LATENCY_FOLDER = "accounts"
 
 
-class Point(NamedTuple):
+class PointMethod(NamedTuple):
     """A method that a head may end itself behind: of which part of a Head, and its class, for processes."""
 
     part: str
@@ -49,12 +49,14 @@
     method: str
 
 
-def _points(part: str, module: str, kind: str, methods: dict[str, str]) -> dict[str, Point]:
-    return {name: Point(part, f"gorsethread.{module}", kind, method) for name, method in methods.items()}
+def _point_methods(part: str, module: str, kind: str, methods: dict[str, str]) -> dict[str, PointMethod]:
+    return {
+        name: PointMethod(part, f"gorsethread.{module}", kind, method) for name, method in methods.items()
+    }
 
 
-POINTS = {
-    **_points(
+POINT_METHODS = {
+    **_point_methods(
         "driver",
         "gateway.driver",
         "Driver",
@@ -68,14 +70,16 @@
             "work": "_run_batch",
         },
     ),
-    **_points(
+    **_point_methods(
         "promises",
         "nvme_gateway.replicated_log",
         "ReplicatedLog",
         {"promise": "placed", "flushed": "_on_flushed", "held": "_on_placed", "given": "_on_records_fetched"},
     ),
-    **_points("holding", "nvme_gateway.replica_server", "ReplicaServer", {"greeted": "_greeted"}),
-    **_points("promises.store", "durable_log.log_store", "LogStore", {"segment": "_remove_old_segments"}),
+    **_point_methods("holding", "nvme_gateway.replica_server", "ReplicaServer", {"greeted": "_greeted"}),
+    **_point_methods(
+        "promises.store", "durable_log.log_store", "LogStore", {"segment": "_remove_old_segments"}
+    ),
 }
 OUTCOME_COUNTERS = ("succeeded", "rejected", "failed", "client left")
 
@@ -90,26 +94,26 @@
     named = [
         (str(act), *name.split(" ", 1))
         for act in script.acts
-        for name in (act.whom, act.to)
+        for name in (act.target, act.to)
         if name.split(" ")[0] in there
     ]
     named += [("volumes", "volume", str(n)) for n in script.volumes]
     foreign = [
         f"{act}: not for heads of this front"
         for act in script.acts
-        if KINDS[act.kind].web
+        if ACT_KINDS[act.kind].http_only
         and not web
-        or KINDS[act.kind].fleet
-        or KINDS[act.kind].relay
-        or KINDS[act.kind].kept
+        or ACT_KINDS[act.kind].membership_only
+        or ACT_KINDS[act.kind].relay_only
+        or ACT_KINDS[act.kind].durable_log_only
         and not kept
-        or KINDS[act.kind].branch
-        and not any(act.whom == f"head {n}" for b in site.branch for n in b.head)
+        or ACT_KINDS[act.kind].branch_only
+        and not any(act.target == f"head {n}" for b in site.branch for n in b.head)
     ]
     foreign += [
         f"{act}: not for heads without records"
         for act in script.acts
-        if act.kind == "stab" and act.to.split(" ")[1] in KEPT_POINTS and not kept
+        if act.kind == "stab" and act.to.split(" ")[1] in DURABLE_LOG_POINTS and not kept
     ]
     return foreign + [
         f"{place}: the site has no {kind} {which}" for place, kind, which in named if which not in there[kind]
@@ -265,7 +269,7 @@
     def _start_discovery(self) -> None:
         process = self._start("list")
         script = [
-            Fault(self.traffic_start + a.at, a.kind, a.seconds, a.by)
+            Fault(self.traffic_start + a.at, a.kind, a.seconds, a.amount)
             for a in self.script.acts
             if a.kind in ("late", "refuse") and self.traffic_start + a.at > self.loop.time()
         ]
@@ -278,9 +282,9 @@
         name = f"shelf {number}"
         process = self._start(name)
         script = [
-            Fault(self.traffic_start + a.at, a.kind, a.seconds, a.by)
+            Fault(self.traffic_start + a.at, a.kind, a.seconds, a.amount)
             for a in self.script.acts
-            if a.whom == name
+            if a.target == name
             and a.kind in ("still", "slow", "errors", "spoil")
             and self.traffic_start + a.at > self.loop.time()
         ]
@@ -329,7 +333,7 @@
         name = f"client {tenant}"
         process = self._start(name)
         surges = [
-            Surge(int(a.whom.split(" ")[1]), self.traffic_start + a.at, a.seconds, a.by)
+            Surge(int(a.target.split(" ")[1]), self.traffic_start + a.at, a.seconds, a.amount)
             for a in self.script.acts
             if a.kind == "surge"
         ]
@@ -397,11 +401,11 @@
     def _directions(self, act: Act) -> list[tuple[str, str]]:
         pairs = [
             (one, other)
-            for one in self._processes_of(act.whom)
+            for one in self._processes_of(act.target)
             for other in self._processes_of(act.to)
             if one != other
         ]
-        return pairs + [(other, one) for one, other in pairs] if act.both else pairs
+        return pairs + [(other, one) for one, other in pairs] if act.both_ways else pairs
 
     def _record_unreachable(self, one: str, other: str, seconds: float) -> None:
         """The witness can't ask a head for answers to a client that it does not reach."""
@@ -421,7 +425,7 @@
 
     def _apply(self, act: Act) -> None:
         self._record_act(act)
-        kind, name = act.kind, act.whom
+        kind, name = act.kind, act.target
         if kind in ("kill", "vanish"):
             self._stop_process(act, name, kind)
         elif kind == "pause":
@@ -446,7 +450,7 @@
                 self.network.reset(one, other)
         elif kind == "crash":
             came = self.network.arrivals.get((act.to, name), 0)
-            crash = (name, act.to, came + int(act.by), act)
+            crash = (name, act.to, came + int(act.amount), act)
             self._crashes.append(crash)
             self.loop.call_later(act.seconds, self._cancel_crash, crash)
         elif kind == "stab":
@@ -455,13 +459,13 @@
             self.day.spawn(self._set_backend_state(int(name.split(" ")[1]), "draining"))
             self.loop.call_later(act.seconds, self._end_drain, int(name.split(" ")[1]))
         elif kind == "connects":
-            self.network.extra_connect_delay[name] = act.by
+            self.network.extra_connect_delay[name] = act.amount
             self.loop.call_later(act.seconds, self.network.extra_connect_delay.pop, name, None)
         elif kind == "disk":
             self.disk.broken.add(name)
             self.loop.call_later(act.seconds, self.disk.broken.discard, name)
         elif kind == "wall":
-            self.processes[name].wall_offset += act.by
+            self.processes[name].wall_offset += act.amount
         else:
             self._apply_variant_act(act)
 
@@ -472,18 +476,18 @@
     def _kill_at_point(self, act: Act) -> None:
         """From now on counts how often the head comes to a point, and ends it there, with all that it has
         written and the network has not taken."""
-        process = self.processes[act.whom]
+        process = self.processes[act.target]
         if not process.alive:
             return
-        point_at = POINTS[act.to.split(" ")[1]]
-        part = attrgetter(point_at.part)(self.gateways[int(act.whom.split(" ")[1])])
-        honest, left = getattr(part, point_at.method), [int(act.by)]
+        point_at = POINT_METHODS[act.to.split(" ")[1]]
+        part = attrgetter(point_at.part)(self.gateways[int(act.target.split(" ")[1])])
+        honest, left = getattr(part, point_at.method), [int(act.amount)]
 
         def point(*arguments: Any, **named: Any) -> Any:
             result = honest(*arguments, **named)
             left[0] -= 1
-            if left[0] == 0 and self.processes[act.whom] is process:
-                self._stop_process(act, act.whom, "stab")
+            if left[0] == 0 and self.processes[act.target] is process:
+                self._stop_process(act, act.target, "stab")
             return result
 
         setattr(part, point_at.method, point)
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -12,7 +12,7 @@
 from gorsethread.nvme_gateway.gateway import Head
 from gorsethread.simulation.rule_mutants import plant
 from gorsethread.simulation.runs import play_many, shrink
-from gorsethread.simulation.script import BadScript, read_script
+from gorsethread.simulation.script import InvalidScriptError, read_script
 from gorsethread.simulation.script_generator import Draw
 from gorsethread.simulation.site_simulation import (
     LATENCY_FOLDER,
@@ -122,14 +122,14 @@
             self.assertEqual(str(drawn), str(read_script(str(drawn))))
 
     def test_each_bad_line_is_named(self) -> None:
-        with self.assertRaises(BadScript) as caught:
+        with self.assertRaises(InvalidScriptError) as caught:
             read_script(
                 "seed 1\nseed -2\n1 kill head-0\n2 kill room-1 for 2\n3 cut head-0 shelf-1 for 1\n"
                 "x kill head-0 for 1\n4 slow shelf-0 by 2 for 3 more\n"
             )
         lines = [int(fault.split(":")[0].split()[1]) for fault in caught.exception.faults]
         self.assertEqual([2, 3, 4, 5, 6, 7], lines)
-        with self.assertRaises(BadScript) as caught:
+        with self.assertRaises(InvalidScriptError) as caught:
             read_script("heads 1\n1 kill head-1 for 1\n")
         self.assertIn("there is no head 1", caught.exception.faults[0])
 
