--- a/gorsethread/simulation/http_simulation.py
+++ b/gorsethread/simulation/http_simulation.py
@@ -56,7 +56,7 @@
             int, tuple[int, int]
         ] = {}  # requests on their way to heads, by the network's ways
 
-    def saw(self, who: str, event: str, facts: dict[str, Any]) -> None:
+    def record_event(self, who: str, event: str, facts: dict[str, Any]) -> None:
         if event == "rude" and facts["late"] and self._was_stopped(f"head {facts['head']}", OWED_WITHIN):
             return
         if event == "shut out":
@@ -80,7 +80,7 @@
         if event == "up" and not facts["warm"]:
             self._last_cold_start[facts["shelf"]] = facts["start"]
             self.slow_start_checker.backend_started(backend_number(f"s-{facts['shelf']}"), self.loop.time())
-        super().saw(who, event, facts)
+        super().record_event(who, event, facts)
         if event in ("sent", "sent anew"):
             self._pending_requests[self.network.last_written_pipe] = facts["label"], facts["attempt"]
 
@@ -90,7 +90,7 @@
         if way in self._pending_requests and other.startswith("head"):
             label, attempt = self._pending_requests.pop(way)
             self.processes[other].deliver(
-                lambda: self.saw("day", "came", {"label": label, "attempt": attempt})
+                lambda: self.record_event("day", "came", {"label": label, "attempt": attempt})
             )
 
     def _start_client(self, tenant: str) -> None:
--- a/gorsethread/simulation/site_simulation.py
+++ b/gorsethread/simulation/site_simulation.py
@@ -1,5 +1,8 @@
-"""A whole site in one process on a virtual clock: list, shelves, heads and clients as they are, a script of
-faults, and every rule judged from what shelves and clients saw."""
+"""Simulates a whole site in one process on a virtual clock, under a script of faults.
+
+The discovery server, backends, gateways and clients run the same code as in real processes. Every rule is
+checked with what backends and clients recorded.
+"""
 
 import asyncio
 import contextlib
@@ -29,29 +32,41 @@
 from gorsethread.transport.base import StreamClosed, Unreachable
 from gorsethread.transport.virtual import MAX_RESEND_DELAY, Disk, Network, VirtualLoop, VirtualTransport
 
-TIMING_SLACK = 0.03  # seconds of slack for the judges, as the world knows when each byte left and came
-START_UP = 2.0  # seconds from the first process to the first transaction
-MIN_REQUESTS_TO_JUDGE = 20  # transactions in that time from which on a head is judged by them
-FINAL_INTERVAL = 2.5  # the last seconds of sending, in which a head that stands must honour something
-SETTLE_SECONDS = 3.0  # seconds after the last answer in which everything must have come to rest
-CHECK_INTERVAL = 0.1  # seconds between looks at what must be bounded
-MAX_UNSENT_BYTES = 4 << 20  # bytes one end of a connection may hold back
-SLOW_START_UNITS_PER_GATEWAY = 3.0  # a head, that a cold shelf of every second world bears
+# Seconds of slack for the invariant checkers; little, as the simulation knows when bytes left and arrived.
+TIMING_SLACK = 0.03
+START_UP = 2.0  # seconds from the start of the first process to the first request
+FINAL_INTERVAL = 2.5  # the last seconds of traffic, in which a gateway that runs must complete some request
+MIN_REQUESTS_TO_JUDGE = 20  # requests within FINAL_INTERVAL, below which a gateway is not checked for that
+SETTLE_SECONDS = 3.0  # seconds after the last response, within which everything must have come to rest
+CHECK_INTERVAL = 0.1  # seconds between checks of what must be bounded
+MAX_UNSENT_BYTES = 4 << 20  # bytes that one end of a connection may buffer
+SLOW_START_UNITS_PER_GATEWAY = 3.0  # what a backend in slow start gets with every second seed
 LATENCY_FOLDER = "accounts"
 
 
 class PointMethod(NamedTuple):
-    """A method that a head may end itself behind: of which part of a Head, and its class, for processes."""
+    """A method after which a gateway can be made to end itself.
+
+    Attributes:
+        part: Path of attributes from the gateway to the object, for simulations.
+        module: Module of the object's class, for real processes, as the next two.
+        class_name: Name of that class.
+        method: Name of the method.
+    """
 
     part: str
     module: str
-    kind: str
+    class_name: str
     method: str
 
 
-def _point_methods(part: str, module: str, kind: str, methods: dict[str, str]) -> dict[str, PointMethod]:
+def _point_methods(
+    part: str, module: str, class_name: str, methods: dict[str, str]
+) -> dict[str, PointMethod]:
+    """Returns the points of one class by their names in scripts."""
     return {
-        name: PointMethod(part, f"gorsethread.{module}", kind, method) for name, method in methods.items()
+        name: PointMethod(part, f"gorsethread.{module}", class_name, method)
+        for name, method in methods.items()
     }
 
 
@@ -81,12 +96,18 @@
         "promises.store", "durable_log.log_store", "LogStore", {"segment": "_remove_old_segments"}
     ),
 }
+# Counters of a driver that count each request once, when it ends.
 OUTCOME_COUNTERS = ("succeeded", "rejected", "failed", "client left")
 
 
 def unsupported_acts(site: pb.Site, script: Script, web: bool = False, kept: bool = False) -> list[str]:
-    """What a script names and this site, or its heads' front, does not have."""
-    there = {
+    """Returns a message for each thing a script names that this site or kind of gateway does not have.
+
+    Args:
+        web: Whether the gateways are HTTP gateways.
+        kept: Whether the gateways keep a durable log.
+    """
+    names_by_kind = {
         "volume": {str(v.number) for v in site.volume},
         "client": {t.name for t in site.tenant},
         "room": {str(s.zone) for s in site.shelf},
@@ -95,11 +116,11 @@
         (str(act), *name.split(" ", 1))
         for act in script.acts
         for name in (act.target, act.to)
-        if name.split(" ")[0] in there
+        if name.split(" ")[0] in names_by_kind
     ]
     named += [("volumes", "volume", str(n)) for n in script.volumes]
-    foreign = [
-        f"{act}: not for heads of this front"
+    messages = [
+        f"{act}: not for this kind of gateway"
         for act in script.acts
         if ACT_KINDS[act.kind].http_only
         and not web
@@ -110,54 +131,68 @@
         or ACT_KINDS[act.kind].branch_only
         and not any(act.target == f"head {n}" for b in site.branch for n in b.head)
     ]
-    foreign += [
-        f"{act}: not for heads without records"
+    messages += [
+        f"{act}: not for gateways without a durable log"
         for act in script.acts
         if act.kind == "stab" and act.to.split(" ")[1] in DURABLE_LOG_POINTS and not kept
     ]
-    return foreign + [
-        f"{place}: the site has no {kind} {which}" for place, kind, which in named if which not in there[kind]
+    return messages + [
+        f"{place}: the site has no {kind} {name}"
+        for place, kind, name in named
+        if name not in names_by_kind[kind]
     ]
 
 
 class NullLogger:
-    """A log that keeps nothing."""
+    """A logger that discards everything."""
 
     def __getattr__(self, name: str) -> Callable[..., None]:
         return lambda *_, **__: None
 
 
 class MemoryRecorder(Recorder):
-    """Keeps what a stand-in saw in memory. An arrival also says when its bytes left the head's socket, as a
-    cut may hold them for long: the rules on what a head sends are judged by that."""
+    """Passes the events of a fake server or client to the simulation, which keeps them in memory.
 
-    def __init__(self, world: "SiteSimulation", transport: VirtualTransport, who: str) -> None:
+    Adds to an arrival when its bytes left the gateway's socket, as a cut may delay them for long and the
+    rules on what a gateway sends are checked by that time.
+    """
+
+    def __init__(self, simulation: "SiteSimulation", transport: VirtualTransport, who: str) -> None:
         super().__init__(transport, who, "")
-        self._world, self._process, self._name = world, transport, who
+        self._simulation, self._process, self._name = simulation, transport, who
 
     def saw(self, event: str, **facts: Any) -> None:
         if not self._process.alive:
             return
         if event == "told":
-            self._world.list_update_sent(facts)
+            self._simulation.list_update_sent(facts)
             return
         if event == "arrived":
-            facts["left"] = self._world.network.last_read_sent_at
-        self._world.saw(self._name, event, facts)
+            facts["left"] = self._simulation.network.last_read_sent_at
+        self._simulation.record_event(self._name, event, facts)
 
 
 @dataclass
 class Outcome:
-    """What came of a world."""
+    """The result of one simulation run.
+
+    Attributes:
+        verdict: What the check of the whole history found.
+        defects: What else is wrong, each text with its reason before the first colon.
+        digest: Hash of all events; equal runs have equal digests.
+        seconds: Duration on the virtual clock.
+        states: How often a kind of act struck gateways in a state, by "KIND | STATE".
+        online_breaks: Rules broken by what was known at the time, each with the time.
+    """
 
     script: Script
     verdict: Verdict
     defects: list[str]
     digest: str
-    seconds: float  # virtual
+    seconds: float
     records: list[dict[str, Any]] = field(default_factory=list)
     states: dict[str, int] = field(default_factory=dict)
-    online_breaks: list[tuple[float, Break]] = field(default_factory=list)  # breaks at the moment of each
+    online_breaks: list[tuple[float, Break]] = field(default_factory=list)
 
     @property
     def good(self) -> bool:
@@ -166,7 +201,7 @@
 
     @property
     def reasons(self) -> list[str]:
-        """What is wrong, a short line each, the same for the same fault: what shrinking holds on to."""
+        """Short texts of what is wrong. The same fault gives the same text; script reduction relies on it."""
         v = self.verdict
         rules = {b.rule for b in v.breaks} | {b.rule for _, b in self.online_breaks}
         found = [f"rule {n}" for n in sorted(rules)]
@@ -175,13 +210,22 @@
 
 
 class SiteSimulation:
-    """change: what is done to each head before it starts, to plant a defect. Play it once."""
+    """One run of a script on a site. An instance can be played once.
+
+    Args:
+        change: Called with each gateway before it starts, to make it a mutant.
+
+    Attributes:
+        applied_by_fakes: Kinds of act that the fake servers and clients apply themselves.
+        traffic_start: When clients start to send; the acts' times count from here.
+        day: The process of the simulation itself, under whose name it records its own events.
+    """
 
     known_states = STATES
     discovery_class: type[NodeList] = NodeList
     backend_class: type[Shelf] = Shelf
     client_class: type[LoadClient] = LoadClient
-    applied_by_fakes: tuple[str, ...] = ("late", "refuse", "still", "slow", "errors", "surge")  # which acts
+    applied_by_fakes: tuple[str, ...] = ("late", "refuse", "still", "slow", "errors", "surge")
 
     def __init__(self, site: pb.Site, script: Script, change: Callable[[Any], None] | None = None) -> None:
         self.script, self.change = script, change
@@ -196,14 +240,15 @@
         self.network = Network(self.loop, script.seed)
         self.loop.set_exception_handler(self._on_callback_error)
         self.network.on_arrival = self._on_arrival
-        self.network.on_lost = lambda one, other: self._record_unreachable(one, other, 0.0)
+        self.network.on_lost = lambda source, destination: self._record_unreachable(source, destination, 0.0)
         self.disk = Disk()
         self.records: list[dict[str, Any]] = []
         self.online_checker = OnlineWitness(self.site, TIMING_SLACK)
         self.defects: list[str] = []
         cold = self.site.rules.cold
         if script.seed % 2:
-            # So little that one head lends it, over a network that loses, doubles and delays its messages.
+            # So few units that one gateway leases them to the others, over a network that loses, duplicates
+            # and delays their messages.
             cold.units = SLOW_START_UNITS_PER_GATEWAY * script.heads
             self.network.conditions = replace(
                 self.network.conditions, lost=0.05, doubled=0.05, late=0.05, max_late_delay=1.0
@@ -216,47 +261,47 @@
         self.processes: dict[str, VirtualTransport] = {}
         self.discovery: NodeList
         self.backends: dict[int, Shelf] = {}
-        self.gateways: dict[int, Any] = {}  # of the front's own kind
+        self.gateways: dict[int, Any] = {}  # their class depends on the variant
         self.clients: dict[str, LoadClient] = {}
-        self._pending_list_updates: dict[
-            int, list[tuple[float, dict[str, Any]]]
-        ] = {}  # on its way, by the network's ways
+        # Updates of the endpoint list that have not arrived yet, with the time each was sent, by pipe.
+        self._pending_list_updates: dict[int, list[tuple[float, dict[str, Any]]]] = {}
+        # Crashes that wait for a message: process, sender, the number of arrivals from the sender at which the
+        # process ends, and the act.
         self._crashes: list[tuple[str, str, int, Act]] = []
-        self.states: dict[
-            str, int
-        ] = {}  # how often a kind of fault current_states heads in a state; no more than pairs
+        # How often a kind of act struck gateways in a state; no more entries than pairs of both.
+        self.states: dict[str, int] = {}
 
     # ---- records
 
-    def saw(self, who: str, event: str, facts: dict[str, Any]) -> None:
+    def record_event(self, who: str, event: str, facts: dict[str, Any]) -> None:
         record = {"t": self.loop.time(), "who": who, "e": event, **facts}
         self.records.append(record)
         self.online_checker.take(record)
         self.network.add_to_digest(who, event, *facts.values())
 
     def list_update_sent(self, facts: dict[str, Any]) -> None:
-        """News left the list; a head is told when it has come."""
+        """Holds the event of an update that the list has just sent until its gateway has received it."""
         if self.network.last_written_pipe:
             self._pending_list_updates.setdefault(self.network.last_written_pipe, []).append(
                 (self.loop.time(), facts)
             )
 
-    def _on_arrival(self, one: str, other: str, count: int, left: float, way: int) -> None:
-        if one == "list" and way in self._pending_list_updates:
-            news = self._pending_list_updates.pop(way)
-            come = [facts for at, facts in news if at <= left]
-            if later := [entry for entry in news if entry[0] > left]:
-                self._pending_list_updates[way] = later
-            if come:
-                self.processes[other].deliver(lambda: self._list_update_arrived(come))
-        for crash in [c for c in self._crashes if c[:2] == (other, one) and c[2] <= count]:
+    def _on_arrival(self, source: str, destination: str, count: int, sent_at: float, pipe: int) -> None:
+        if source == "list" and pipe in self._pending_list_updates:
+            updates = self._pending_list_updates.pop(pipe)
+            arrived = [facts for at, facts in updates if at <= sent_at]
+            if later := [update for update in updates if update[0] > sent_at]:
+                self._pending_list_updates[pipe] = later
+            if arrived:
+                self.processes[destination].deliver(lambda: self._list_update_arrived(arrived))
+        for crash in [c for c in self._crashes if c[:2] == (destination, source) and c[2] <= count]:
             self._crashes.remove(crash)
-            # The message is there, and what the process makes of it at once; then it is gone.
+            # The process still reads the message and does what follows from it at once; then it ends.
             self.loop.call_soon(self.loop.call_soon, self._stop_process, crash[3], crash[0], "crash")
 
-    def _list_update_arrived(self, come: list[dict[str, Any]]) -> None:
-        for facts in come:
-            self.saw("list", "told", facts)
+    def _list_update_arrived(self, arrived: list[dict[str, Any]]) -> None:
+        for facts in arrived:
+            self.record_event("list", "told", facts)
 
     # ---- processes
 
@@ -290,7 +335,7 @@
             and a.kind in ("still", "slow", "errors", "spoil")
             and self.traffic_start + a.at > self.loop.time()
         ]
-        shelf = self.backend_class(
+        backend = self.backend_class(
             process,
             self.site,
             number,
@@ -301,8 +346,8 @@
             NullLogger(),
             lambda: self._on_backend_overloaded(number),
         )
-        self.backends[number] = shelf
-        shelf.start()
+        self.backends[number] = backend
+        backend.start()
 
     def _on_backend_overloaded(self, number: int) -> None:
         self.loop.call_soon(self._stop_process, None, f"shelf {number}", "fall")
@@ -310,7 +355,7 @@
     def _start_gateway(self, number: int) -> None:
         name = f"head {number}"
         process = self._start(name)
-        head = Head(
+        gateway = Head(
             process,
             self.site,
             number,
@@ -321,14 +366,14 @@
             window=1.0,
             records=self.records_folder(number),
         )
-        self.gateways[number] = head
-        self.slow_start_checker.watch(head.driver, number, self.loop.time)
+        self.gateways[number] = gateway
+        self.slow_start_checker.watch(gateway.driver, number, self.loop.time)
         if self.change:
-            self.change(head)
-        head.start()
+            self.change(gateway)
+        gateway.start()
 
     def records_folder(self, number: int) -> str:
-        """Where a head keeps records; "": nowhere."""
+        """The folder of a gateway's durable log; empty if it keeps none."""
         return ""
 
     def _start_client(self, tenant: str) -> None:
@@ -355,15 +400,16 @@
         client.leaves = self.script.leaves
         self.clients[tenant] = client
 
-        async def whole() -> None:
+        async def run_and_finish() -> None:
             await client.run()
             process.finish()
 
-        process.spawn(whole())
+        process.spawn(run_and_finish())
 
     # ---- acts
 
     def _stop_process(self, act: Act | None, name: str, how: str) -> None:
+        """Ends a process; an act brings it back after the act's duration."""
         process = self.processes[name]
         if not process.alive:
             return
@@ -374,7 +420,7 @@
             process.vanish()
         else:
             process.kill()
-        self.saw("day", f"{kind} killed", {kind: int(number or 0)})
+        self.record_event("day", f"{kind} killed", {kind: int(number or 0)})
         if act is not None:
             self.loop.call_later(act.seconds, self._restart_process, name)
 
@@ -382,7 +428,7 @@
         if self.processes[name].alive:
             return
         kind, _, number = name.partition(" ")
-        self.saw("day", f"{kind} back", {kind: int(number or 0)})
+        self.record_event("day", f"{kind} back", {kind: int(number or 0)})
         if kind == "list":
             self._start_discovery()
         elif kind == "head":
@@ -391,7 +437,7 @@
             self._start_backend(int(number), False)
 
     def _processes_of(self, name: str) -> list[str]:
-        """The processes of a room: its shelves, and its heads in turn; or the one process itself."""
+        """The processes of a party: a zone's backends and every n-th gateway, else the process itself."""
         kind, _, which = name.partition(" ")
         if kind != "room":
             return [name]
@@ -401,27 +447,32 @@
         ]
 
     def _directions(self, act: Act) -> list[tuple[str, str]]:
+        """The pairs of source and destination that an act between two parties affects."""
         pairs = [
-            (one, other)
-            for one in self._processes_of(act.target)
-            for other in self._processes_of(act.to)
-            if one != other
+            (source, destination)
+            for source in self._processes_of(act.target)
+            for destination in self._processes_of(act.to)
+            if source != destination
         ]
-        return pairs + [(other, one) for one, other in pairs] if act.both_ways else pairs
+        return pairs + [(destination, source) for source, destination in pairs] if act.both_ways else pairs
 
-    def _record_unreachable(self, one: str, other: str, seconds: float) -> None:
-        """The witness can't ask a head for answers to a client that it does not reach."""
-        client, head = (one, other) if one.startswith("client") else (other, one)
+    def _record_unreachable(self, source: str, destination: str, seconds: float) -> None:
+        """Records that a gateway and a client may not reach each other for some seconds.
+
+        The invariant checkers don't expect responses from the gateway to that client then.
+        """
+        client, head = (source, destination) if source.startswith("client") else (destination, source)
         if client.startswith("client") and head.startswith("head"):
-            self.saw(
+            self.record_event(
                 "day",
                 "apart",
                 {"client": client, "head": int(head.split(" ")[1]), "until": self.loop.time() + seconds},
             )
 
     def _record_act(self, act: Act) -> None:
-        self.saw("day", "fault", {"act": str(act)})
-        alive = [h for n, h in self.gateways.items() if self.processes[f"head {n}"].alive]
+        """Records that an act begins, and counts it for each state that gateways are in."""
+        self.record_event("day", "fault", {"act": str(act)})
+        alive = [g for n, g in self.gateways.items() if self.processes[f"head {n}"].alive]
         for state in current_states(alive, self.known_states):
             self.states[f"{act.kind} | {state}"] = self.states.get(f"{act.kind} | {state}", 0) + 1
 
@@ -440,19 +491,18 @@
             process.pause()
             self.loop.call_later(act.seconds, process.resume)
         elif kind == "cut":
-            for one, other in self._directions(act):
-                self.network.cut(one, other)
-                self._record_unreachable(
-                    one, other, act.seconds + MAX_RESEND_DELAY
-                )  # what was held comes by then
-                self.loop.call_later(act.seconds, self.network.heal, one, other)
+            delayed_until = act.seconds + MAX_RESEND_DELAY  # data sent during the cut arrives by then
+            for source, destination in self._directions(act):
+                self.network.cut(source, destination)
+                self._record_unreachable(source, destination, delayed_until)
+                self.loop.call_later(act.seconds, self.network.heal, source, destination)
         elif kind == "reset":
-            for one, other in self._directions(act):
-                self._record_unreachable(one, other, 0.0)
-                self.network.reset(one, other)
+            for source, destination in self._directions(act):
+                self._record_unreachable(source, destination, 0.0)
+                self.network.reset(source, destination)
         elif kind == "crash":
-            came = self.network.arrivals.get((act.to, name), 0)
-            crash = (name, act.to, came + int(act.amount), act)
+            arrived = self.network.arrivals.get((act.to, name), 0)
+            crash = (name, act.to, arrived + int(act.amount), act)
             self._crashes.append(crash)
             self.loop.call_later(act.seconds, self._cancel_crash, crash)
         elif kind == "stab":
@@ -472,57 +522,62 @@
             self._apply_variant_act(act)
 
     def _apply_variant_act(self, act: Act) -> None:
-        """Acts that only this front knows."""
-        raise ValueError(f"{act}: heads of this front don't meet it")
+        """Applies an act that only a variant of the simulation knows."""
+        raise ValueError(f"{act}: not for this kind of gateway")
 
     def _kill_at_point(self, act: Act) -> None:
-        """From now on counts how often the head comes to a point, and ends it there, with all that it has
-        written and the network has not taken."""
+        """Ends a gateway after the n-th call of a point's method from now on.
+
+        What it has written by then and the network has not yet accepted is lost.
+        """
         process = self.processes[act.target]
         if not process.alive:
             return
-        point_at = POINT_METHODS[act.to.split(" ")[1]]
-        part = attrgetter(point_at.part)(self.gateways[int(act.target.split(" ")[1])])
-        honest, left = getattr(part, point_at.method), [int(act.amount)]
-
-        def point(*arguments: Any, **named: Any) -> Any:
-            result = honest(*arguments, **named)
-            left[0] -= 1
-            if left[0] == 0 and self.processes[act.target] is process:
+        point = POINT_METHODS[act.to.split(" ")[1]]
+        part = attrgetter(point.part)(self.gateways[int(act.target.split(" ")[1])])
+        original, calls_left = getattr(part, point.method), [int(act.amount)]
+
+        def count_call(*arguments: Any, **named: Any) -> Any:
+            result = original(*arguments, **named)
+            calls_left[0] -= 1
+            if calls_left[0] == 0 and self.processes[act.target] is process:
                 self._stop_process(act, act.target, "stab")
             return result
 
-        setattr(part, point_at.method, point)
+        setattr(part, point.method, count_call)
 
     def _cancel_crash(self, crash: tuple[str, str, int, Act]) -> None:
         if crash in self._crashes:
             self._crashes.remove(crash)
 
-    def _end_drain(self, shelf: int) -> None:
-        self.day.spawn(self._set_backend_state(shelf, "ready"))
+    def _end_drain(self, backend: int) -> None:
+        self.day.spawn(self._set_backend_state(backend, "ready"))
 
-    async def _set_backend_state(self, shelf: int, state: str) -> None:
+    async def _set_backend_state(self, backend: int, state: str) -> None:
+        """Has the discovery server report a state; tries 20 times, 0.2 s apart, if it can't be reached."""
         for _ in range(20):
             try:
                 stream = await self.day.connect(*split_address(self.site.list.address), 2.0)
-                stream.write(msgspec.json.encode(Order(shelf, state)) + b"\n")
+                stream.write(msgspec.json.encode(Order(backend, state)) + b"\n")
                 await stream.read()
                 stream.close()
                 return
             except (Unreachable, StreamClosed):
                 await self.day.sleep(0.2)
 
-    # ---- the whole
+    # ---- running
 
     def play(self) -> Outcome:
-        # Coroutines that the collector ends run code; when it runs must not depend on what else there is.
-        was_on = gc.isenabled()
+        """Runs the script and returns the result. Exceptions of processes are reported as defects."""
+        # The garbage collector closes coroutines, which runs their code; when that happens must not depend on
+        # whatever else is in memory.
+        gc_was_enabled = gc.isenabled()
         gc.disable()
         try:
             self.loop.run_until_complete(self._play())
         finally:
             self._close()
-            if was_on:
+            if gc_was_enabled:
                 gc.enable()
         for name, process in self.processes.items():
             if process.failed is not None:
@@ -530,7 +585,7 @@
         self.online_checker.end(self.loop.time())
         verdict = Witness(self.site, self.records, TIMING_SLACK).judge()
         if not verdict.counts["honoured"]:
-            self.defects.append("nothing was honoured: this world shows nothing")
+            self.defects.append("nothing was honoured: this run shows nothing")
         return Outcome(
             self.script,
             verdict,
@@ -544,11 +599,11 @@
 
     async def _play(self) -> None:
         self._start_discovery()
-        for shelf in self.site.shelf:
-            self._start_backend(shelf.number, True)
+        for backend in self.site.shelf:
+            self._start_backend(backend.number, True)
         await self.day.sleep(0.5)
-        for head in self.site.head:
-            self._start_gateway(head.number)
+        for gateway in self.site.head:
+            self._start_gateway(gateway.number)
         for tenant in self.site.tenant:
             self._start_client(tenant.name)
         for act in sorted(self.script.acts):
@@ -559,16 +614,21 @@
         self.loop.call_later(CHECK_INTERVAL, self._check_bounds)
         for name in list(self.clients):
             await self.processes[f"client {name}"].until_finished()
-        # A head that was refused often asks again late; what it is told then comes late too.
-        by = self.loop.time() + self.site.list.ask_within + 1.0
-        while not all(self._follows_discovery(h) for h in self.gateways.values()) and self.loop.time() < by:
+        # A gateway that the discovery server refused often waits long before it asks again, and then gets its
+        # updates late.
+        deadline = self.loop.time() + self.site.list.ask_within + 1.0
+        while (
+            not all(self._follows_discovery(g) for g in self.gateways.values())
+            and self.loop.time() < deadline
+        ):
             await self.day.sleep(0.2)
         await self.day.sleep(max(SETTLE_SECONDS, self.site.list.late_most + 1.0))
         self._check_end_state()
         self._check_latency_windows()
 
-    def _follows_discovery(self, head: Any) -> bool:
-        return head.follower._stream is not None
+    def _follows_discovery(self, gateway: Any) -> bool:
+        """Whether the gateway has an open stream of updates from the discovery server."""
+        return gateway.follower._stream is not None
 
     def _close(self) -> None:
         for process in (*self.processes.values(), self.day):
@@ -577,59 +637,66 @@
             self.loop.run_until_complete(_run_loop_iterations(5))
         self.loop.close()
 
-    # ---- what must hold beside the rules
+    # ---- checks besides the rules
 
     def _check_bounds(self) -> None:
-        """What must be bounded at every moment."""
-        for number, head in self.gateways.items():
+        """Checks, now and every CHECK_INTERVAL seconds, what must hold at every moment."""
+        for number, gateway in self.gateways.items():
             if self.processes[f"head {number}"].alive:
-                self._check_attempts(number, head)
+                self._check_attempts(number, gateway)
         for process in self.processes.values():
             for stream in process.streams.values():
                 if stream.unsent > MAX_UNSENT_BYTES:
-                    self._add_defect(f"unbounded: {process.name} holds {stream.unsent} bytes back")
+                    self._add_defect(f"unbounded: {process.name} has {stream.unsent} unsent bytes")
         self.loop.call_later(CHECK_INTERVAL, self._check_bounds)
 
     def _on_callback_error(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """An exception in a timer or another callback, which a loop would only log."""
+        """Reports an exception in a timer or another callback, which an event loop would only log."""
         self._add_defect(f"raised: {context.get('exception') or context.get('message')!r}")
 
     def _add_defect(self, text: str) -> None:
+        """Reports a defect once; at most 20 are kept."""
         if text not in self.defects and len(self.defects) < 20:
             self.defects.append(text)
 
-    def _ready_backends(self, head: Any) -> set[int]:
-        """Shelves that its decisions take as ready, by the list's numbers."""
-        return {s.id for s in head.driver.scheduler.shards.backends.values() if s.ready}
+    def _ready_backends(self, gateway: Any) -> set[int]:
+        """The backends that the gateway's scheduler has as ready, by their numbers in the endpoint list."""
+        return {b.id for b in gateway.driver.scheduler.shards.backends.values() if b.ready}
 
-    def _check_attempts(self, number: int, head: Any) -> None:
-        """No forward out without a transaction that owns it, and none awaited that no link holds."""
-        driver = head.driver
+    def _check_attempts(self, number: int, gateway: Any) -> None:
+        """Checks that a request owns each attempt in flight and that a link holds each attempt of a request."""
+        driver = gateway.driver
         for owner in driver.open_requests.values():
-            for f in owner.in_flight.values():
-                held = driver.links.get(f.backend)
-                if f in driver.awaiting_placement:
-                    continue  # waits for the disk, or for copies
-                if not f.ended and (held is None or held.out.get(f.cid) is not f and f not in held.waiting):
+            for attempt in owner.in_flight.values():
+                link = driver.links.get(attempt.backend)
+                if attempt in driver.awaiting_placement:
+                    continue  # waits for the disk, or for replicas
+                if not attempt.ended and (
+                    link is None or link.out.get(attempt.cid) is not attempt and attempt not in link.waiting
+                ):
                     self._add_defect(
-                        f"forward that no link holds: head {number}, shelf {f.backend}, transaction "
+                        f"forward that no link holds: head {number}, shelf {attempt.backend}, transaction "
                         f"{owner.id}"
                     )
         for link in driver.links.values():
-            for f in (*link.out.values(), *link.waiting):
-                t = driver.open_requests.get(f.request)
-                if not f.ended and f.number >= 0 and (t is None or t.in_flight.get(f.number) is not f):
+            for attempt in (*link.out.values(), *link.waiting):
+                request = driver.open_requests.get(attempt.request)
+                if (
+                    not attempt.ended
+                    and attempt.number >= 0
+                    and (request is None or request.in_flight.get(attempt.number) is not attempt)
+                ):
                     self._add_defect(
                         f"forward without an owner: head {number}, shelf {link.shelf}, transaction "
-                        f"{f.request}"
+                        f"{attempt.request}"
                     )
 
     def _check_counters(self, number: int) -> None:
-        """taken is the sum of what was answered, who left, and what is open."""
+        """Checks that the requests admitted are those that ended, whose client left or that are open."""
         driver = self.gateways[number].driver
         counts = driver.counts
-        waiting = sum(not t.answered for t in driver.open_requests.values())
-        answered = sum(counts[how] for how in OUTCOME_COUNTERS)
+        waiting = sum(not request.answered for request in driver.open_requests.values())
+        answered = sum(counts[name] for name in OUTCOME_COUNTERS)
         if counts["requests"] != answered + waiting:
             self._add_defect(
                 f"counts do not add up: head {number}: taken {counts['requests']}, answered or left "
@@ -637,7 +704,7 @@
             )
 
     def _check_latency_windows(self) -> None:
-        """Every window that a head kept can be read, and each life in it is the sum of its stages."""
+        """Checks that every latency window on disk is readable and its latencies are the sums of their stages."""
         for name in self.day.list_files(LATENCY_FOLDER):
             raw = self.day.load(f"{LATENCY_FOLDER}/{name}")
             window = decode(raw or b"", self.site.name)
@@ -648,9 +715,9 @@
                 )
 
     def _check_end_state(self) -> None:
-        """The faults are over and nobody asks for anything: all is answered, nothing is left behind."""
-        honoured_by: dict[int, int] = {}
-        sent_to: dict[int, int] = {}
+        """Checks, when faults and traffic are over, that gateways serve and have nothing left open."""
+        succeeded_by: dict[int, int] = {}  # by gateway
+        sent_to: dict[int, int] = {}  # by gateway
         sent: dict[tuple[int, int], int] = {}
         begin = self.traffic_start + self.script.seconds - FINAL_INTERVAL
         for r in self.records:
@@ -658,34 +725,34 @@
                 sent[r["label"], r["attempt"]] = r["head"]
                 sent_to[r["head"]] = sent_to.get(r["head"], 0) + 1
             elif r["e"] == "answer" and r["how"] == "honoured" and (r["label"], r["attempt"]) in sent:
-                by = sent[r["label"], r["attempt"]]
-                honoured_by[by] = honoured_by.get(by, 0) + 1
-        for number, head in self.gateways.items():
+                number = sent[r["label"], r["attempt"]]
+                succeeded_by[number] = succeeded_by.get(number, 0) + 1
+        for number, gateway in self.gateways.items():
             if not self.processes[f"head {number}"].alive:
                 self._add_defect(f"a head did not come back: head {number}")
                 continue
             self._check_counters(number)
-            driver, scheduler = head.driver, head.driver.scheduler
-            left: dict[str, Sized] = {
+            driver, scheduler = gateway.driver, gateway.driver.scheduler
+            remaining: dict[str, Sized] = {
                 "open transactions": driver.open_requests,
                 "transactions of the policy": scheduler.requests,
                 "busy volumes": scheduler.queueing.busy,
                 "lines of keys": scheduler.key_ordering.queues,
                 "forwards at the policy's shelves": [
-                    o for s in scheduler.shards.backends.values() for o in s.in_flight
+                    attempt for b in scheduler.shards.backends.values() for attempt in b.in_flight
                 ],
             }
-            for what, things in left.items():
-                if things:
-                    self._add_defect(f"left behind: head {number}: {len(things)} {what}")
+            for name, items in remaining.items():
+                if items:
+                    self._add_defect(f"left behind: head {number}: {len(items)} {name}")
             listed = {n for n, (_, state, _) in self.discovery.entries.items() if state == "ready"}
-            used = self._ready_backends(head)
+            used = self._ready_backends(gateway)
             if listed != used:
                 self._add_defect(
                     f"not what the list says: head {number} uses {sorted(used)}, ready are "
                     f"{sorted(listed)}"
                 )
-            if sent_to.get(number, 0) >= MIN_REQUESTS_TO_JUDGE and not honoured_by.get(number):
+            if sent_to.get(number, 0) >= MIN_REQUESTS_TO_JUDGE and not succeeded_by.get(number):
                 self._add_defect(
                     f"does not serve again: head {number} honoured none of the last " f"{sent_to[number]}"
                 )
@@ -697,5 +764,5 @@
 
 
 def play(site: pb.Site, script: Script, change: Callable[[Any], None] | None = None) -> Outcome:
-    """Plays a script once, in a world of its own."""
+    """Runs a script once, in a simulation of its own."""
     return SiteSimulation(site, script, change).play()
