--- a/gorsethread/simulation/http_simulation.py
+++ b/gorsethread/simulation/http_simulation.py
@@ -1,5 +1,8 @@
-"""A site whose heads serve on the operators' platform, in one process on a virtual clock: HTTP clients,
-shelves and discovery round the live head as it is, the same scripts, rules and judges as the other front."""
+"""Simulates a site with HTTP gateways in one process on a virtual clock.
+
+HTTP clients, backends and a discovery server surround the gateway's production code; scripts, rules and
+invariant checkers are those of the simulation with NVMe gateways.
+"""
 
 import json
 from typing import Any
@@ -25,22 +28,18 @@
 from gorsethread.site_config.reading import split_address
 
 PEER_PORT = 7946
-FULL_FRACTION = 0.9  # of the connections a head may hold: so many fill it
+FULL_FRACTION = 0.9  # of the connections that a gateway may hold; from here on it counts as full
 LIMITS = {"cores": 1.0, "memory_mb": 96, "sockets": 512}
-MAX_REFUSED_FRACTION, MIN_REFUSED_REQUESTS = (
-    0.005,
-    5,
-)  # of the requests, from which on those that found no room are lost
-DELIVERY_SECONDS = 0.05  # seconds in which what was written is with whom it was for
-DEFECT_EVENTS = (
-    "bad request",
-    "rude",
-    "closed early",
-)  # what stand-ins record and no honest head gives cause for
+# Refused connections that are tolerated while the gateway is not full: a fraction of the requests, or that
+# number if it is larger.
+TOLERATED_REFUSED_FRACTION = 0.005
+TOLERATED_REFUSALS = 5
+DELIVERY_SECONDS = 0.05  # within which data that was sent has reached its receiver
+DEFECT_EVENTS = ("bad request", "rude", "closed early")  # recorded by fakes; a correct gateway causes none
 
 
 class HttpSimulation(SiteSimulation):
-    """Play it once."""
+    """One run of a script on a site with HTTP gateways. An instance can be played once."""
 
     known_states = WEB_STATES
     applied_by_fakes = (*SiteSimulation.applied_by_fakes, "spoil")
@@ -48,19 +47,18 @@
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
-        self.reported_states: dict[
-            int, dict[int, str]
-        ] = {}  # by head: the state of each shelf, as it was told last
-        self._last_cold_start: dict[int, int] = {}  # by shelf: the last start of it that was no warm one
-        self._pending_requests: dict[
-            int, tuple[int, int]
-        ] = {}  # requests on their way to heads, by the network's ways
+        # The last state that the discovery server reported of each backend, by gateway.
+        self.reported_states: dict[int, dict[int, str]] = {}
+        self._last_cold_start: dict[int, int] = {}  # by backend, its start number; warm starts don't count
+        # Label and attempt of requests on their way to gateways, by pipe.
+        self._pending_requests: dict[int, tuple[int, int]] = {}
 
     def record_event(self, who: str, event: str, facts: dict[str, Any]) -> None:
+        """Records an event, or a defect where no correct gateway causes such an event."""
         if event == "rude" and facts["late"] and self._was_stopped(f"head {facts['head']}", OWED_WITHIN):
             return
         if event == "shut out":
-            links = [c.links.get(facts["head"]) for c in self.clients.values()]
+            links = [client.links.get(facts["head"]) for client in self.clients.values()]
             facts["held"] = sum(link.open for link in links if isinstance(link, WebLink))
         if event == "closed early" and self._may_close_connections(facts["head"]):
             return
@@ -84,12 +82,12 @@
         if event in ("sent", "sent anew"):
             self._pending_requests[self.network.last_written_pipe] = facts["label"], facts["attempt"]
 
-    def _on_arrival(self, one: str, other: str, count: int, left: float, way: int) -> None:
-        super()._on_arrival(one, other, count, left, way)
-        # Requests of one client come on several connections: a head takes them in the order they are there.
-        if way in self._pending_requests and other.startswith("head"):
-            label, attempt = self._pending_requests.pop(way)
-            self.processes[other].deliver(
+    def _on_arrival(self, source: str, destination: str, count: int, sent_at: float, pipe: int) -> None:
+        super()._on_arrival(source, destination, count, sent_at, pipe)
+        # A client sends requests on several connections; a gateway admits them in the order of arrival.
+        if pipe in self._pending_requests and destination.startswith("head"):
+            label, attempt = self._pending_requests.pop(pipe)
+            self.processes[destination].deliver(
                 lambda: self.record_event("day", "came", {"label": label, "attempt": attempt})
             )
 
@@ -99,21 +97,21 @@
         client.crosses = self._is_unread
 
     def _is_unread(self, one: WebTry) -> bool:
-        """It had not come, or had only just and was not read yet."""
-        came = self.online_checker.seen[one.t.label, one.attempt].came
-        return not came or self.loop.time() - came < MOMENT
+        """Whether a request has not reached its gateway, or too recently for the gateway to have read it."""
+        arrived_at = self.online_checker.seen[one.t.label, one.attempt].came
+        return not arrived_at or self.loop.time() - arrived_at < MOMENT
 
-    # ---- heads
+    # ---- gateways
 
     def _gateway_index(self, number: int) -> int:
-        return [h.number for h in self.site.head].index(number)
+        return [gateway.number for gateway in self.site.head].index(number)
 
-    def _peer_address(self, head: pb.Head) -> str:
-        return f"{split_address(head.address)[0]}:{PEER_PORT}"
+    def _peer_address(self, gateway: pb.Head) -> str:
+        return f"{split_address(gateway.address)[0]}:{PEER_PORT}"
 
     def _configure(self, number: int) -> str:
-        """Writes its configuration; the list it is told of is as this head last had it."""
-        me = next(h for h in self.site.head if h.number == number)
+        """Writes a gateway's configuration, with the backends as it last saw them, and returns the path."""
+        gateway = next(g for g in self.site.head if g.number == number)
         states = self.reported_states.get(number, {})
         known = [
             instance(s.number, s.address, s.shard, s.zone, states.get(s.number, "ready"), 0.0, number)
@@ -121,129 +119,149 @@
             if states.get(s.number) != "gone"
         ]
         host, _ = split_address(self.site.list.address)
-        order = {
+        configuration = {
             "name": f"n{number}",
-            "listen": me.address,
+            "listen": gateway.address,
             "discovery": f"{host}:{HEADS_FROM + number}",
             "seed": f"{self.script.seed * 1000 + number:016x}",
             "limits": LIMITS,
             "settings": {**settings_of(self.site), "index": self._gateway_index(number)},
-            "peers": [self._peer_address(h) for h in self.site.head],
-            "peer_listen": self._peer_address(me),
+            "peers": [self._peer_address(g) for g in self.site.head],
+            "peer_listen": self._peer_address(gateway),
             "known": {"generation": 1, "reset": True, "instances": known},
         }
         path = f"config/{number}.json"
-        self.disk.files[path] = bytearray(json.dumps(order).encode())
+        self.disk.files[path] = bytearray(json.dumps(configuration).encode())
         return path
 
     def _start_gateway(self, number: int) -> None:
         name = f"head {number}"
         process = self._start(name)
         path = self._configure(number)
-        head = Gateway(process, read_configuration(process.load(path), path), path, NullLogger())
-        self.gateways[number] = head
-        self.slow_start_checker.watch(head.driver, number, self.loop.time)
-        process.on_reload(head.reload)
+        gateway = Gateway(process, read_configuration(process.load(path), path), path, NullLogger())
+        self.gateways[number] = gateway
+        self.slow_start_checker.watch(gateway.driver, number, self.loop.time)
+        process.on_reload(gateway.reload)
         if self.change:
-            self.change(head)
-        head.start()
+            self.change(gateway)
+        gateway.start()
 
     def _apply_variant_act(self, act: Act) -> None:
         process, number = self.processes[act.target], int(act.target.split(" ")[1])
-        head = self.gateways[number]
+        gateway = self.gateways[number]
         if not process.alive:
             return
         if act.kind == "reload":
             process.reload()
         elif act.kind == "term":
-            process.on_terminate(lambda: process.spawn(self._end_gateway(act, head)))
+            process.on_terminate(lambda: process.spawn(self._end_gateway(act, gateway)))
             process.terminate()
-            longest = (
+            timeout = (
                 min(max(p.cut_off for p in self.site.profile), MAX_COUNTED_WAIT_SECONDS) + KILL_AFTER_SECONDS
             )
-            self.loop.call_later(longest, self._kill_after_timeout, act, process)
+            self.loop.call_later(timeout, self._kill_after_timeout, act, process)
         elif act.kind == "rude":
-            rude = self._process("rude")
-            struck = next(h for h in self.site.head if h.number == number)
-            client = RudeClient(rude, self.site, MemoryRecorder(self, rude, "rude"))
-            rude.spawn(client.at(struck, rude.now() + act.seconds))
+            client_process = self._process("rude")
+            target = next(g for g in self.site.head if g.number == number)
+            recorder = MemoryRecorder(self, client_process, "rude")
+            client = RudeClient(client_process, self.site, recorder)
+            client_process.spawn(client.at(target, client_process.now() + act.seconds))
 
-    async def _end_gateway(self, act: Act, head: Any) -> None:
-        await head.end()
+    async def _end_gateway(self, act: Act, gateway: Any) -> None:
+        """Shuts a gateway down gracefully, then ends its process and checks what became of its requests."""
+        await gateway.end()
         number = int(act.target.split(" ")[1])
-        taken = [
-            s for s in self.online_checker.seen.values() if s.came and not s.how and s.sent["head"] == number
+        unanswered = [
+            request
+            for request in self.online_checker.seen.values()
+            if request.came and not request.how and request.sent["head"] == number
         ]
-        self.loop.call_later(DELIVERY_SECONDS, self._check_graceful_end, act.target, taken)
+        self.loop.call_later(DELIVERY_SECONDS, self._check_graceful_end, act.target, unanswered)
         self.loop.call_soon(self._stop_process, act, act.target, "end")
 
-    def _check_graceful_end(self, name: str, taken: list[Any]) -> None:
-        """Answers that were on their way as the head ended are there now."""
+    def _check_graceful_end(self, name: str, unanswered: list[Any]) -> None:
+        """Checks that the requests which were open when the gateway ended have got their responses by now.
+
+        Requests of clients that the gateway could not reach meanwhile are left out.
+        """
         reached = [
-            s
-            for s in taken
+            request
+            for request in unanswered
             if not any(
-                begin <= self.loop.time() and s.sent["t"] <= until
-                for begin, until in self.online_checker._away[s.sent["who"], s.sent["head"]]
+                begin <= self.loop.time() and request.sent["t"] <= until
+                for begin, until in self.online_checker._away[request.sent["who"], request.sent["head"]]
             )
         ]
-        if any(s.how in ("", "unreachable") for s in reached):
+        if any(request.how in ("", "unreachable") for request in reached):
             self._add_defect(f"ended under requests it had taken: {name}")
 
     def _kill_after_timeout(self, act: Act, process: Any) -> None:
+        """Kills a gateway that has not ended since its SIGTERM; a defect unless a fault had stopped it."""
         if self.processes[act.target] is process and process.alive:
             if not self._was_stopped(act.target, self.loop.time() - self.traffic_start - act.at):
                 self._add_defect(f"did not end in time after SIGTERM: {act.target}")
             self._stop_process(act, act.target, "kill")
 
-    def _was_stopped(self, head: str, within: float) -> bool:
-        """Whether a fault of the script held that head up or ended it in the last so many seconds."""
+    def _was_stopped(self, name: str, within: float) -> bool:
+        """Whether an act of the script paused or ended that gateway in the last `within` seconds.
+
+        Only pauses count unless `within` is OWED_WITHIN.
+        """
         now = self.loop.time() - self.traffic_start
         return any(
             a.kind in ("pause", "vanish", "kill", "stab", "crash", "term")
-            and a.target == head
+            and a.target == name
             and a.at < now
             and a.end > now - within
             for a in self.script.acts
             if a.kind == "pause" or within == OWED_WITHIN
         )
 
-    def _may_close_connections(self, head: int) -> bool:
-        """Whether it was told to end, and may close what is idle, or its machine closed all as it died."""
-        now, name = self.loop.time() - self.traffic_start, f"head {head}"
-        told = any(a.kind == "term" and a.target == name and a.at <= now for a in self.script.acts)
-        return told or not self.processes[name].alive or self._was_stopped(name, OWED_WITHIN)
+    def _may_close_connections(self, number: int) -> bool:
+        """Whether a gateway got SIGTERM and so may close idle connections, or its death closed them all."""
+        now, name = self.loop.time() - self.traffic_start, f"head {number}"
+        terminated = any(a.kind == "term" and a.target == name and a.at <= now for a in self.script.acts)
+        return terminated or not self.processes[name].alive or self._was_stopped(name, OWED_WITHIN)
 
-    # ---- what must hold
+    # ---- checks
 
-    def _follows_discovery(self, head: Any) -> bool:
-        return head.discovery._stream is not None
+    def _follows_discovery(self, gateway: Any) -> bool:
+        return gateway.discovery._stream is not None
 
-    def _ready_backends(self, head: Any) -> set[int]:
-        names = {backend_number(f"s-{s.number}"): s.number for s in self.site.shelf}
-        return {names[s.id] for s in head.driver.scheduler.shards.backends.values() if s.ready}
+    def _ready_backends(self, gateway: Any) -> set[int]:
+        numbers = {backend_number(f"s-{s.number}"): s.number for s in self.site.shelf}
+        return {numbers[b.id] for b in gateway.driver.scheduler.shards.backends.values() if b.ready}
 
-    def _check_attempts(self, number: int, head: Any) -> None:
-        """Each connection counted is one that is kept, carries a forward or comes up, and none carries a
-        forward that no transaction owns."""
-        pool, driver = head.pool, head.driver
-        kept = sum(len(link.idle_connections) for link in driver.links.values())
-        if not 0 <= kept + len(pool.busy) <= pool.open_connections <= pool.max_connections:
+    def _check_attempts(self, number: int, gateway: Any) -> None:
+        """Checks the count of connections, and that a request owns each attempt that a connection carries.
+
+        A counted connection is idle, carries an attempt or is being opened.
+        """
+        pool, driver = gateway.pool, gateway.driver
+        idle = sum(len(link.idle_connections) for link in driver.links.values())
+        if not 0 <= idle + len(pool.busy) <= pool.open_connections <= pool.max_connections:
             self._add_defect(
                 f"connections do not add up: head {number}: held {pool.open_connections} of "
-                f"{pool.max_connections}, kept {kept}, busy {len(pool.busy)}"
+                f"{pool.max_connections}, kept {idle}, busy {len(pool.busy)}"
             )
         for connection in pool.busy.values():
-            f = connection.attempt
-            t = driver.open_requests.get(f.request) if f is not None else None
-            if f is not None and not f.ended and (t is None or t.in_flight.get(f.number) is not f):
+            attempt = connection.attempt
+            request = driver.open_requests.get(attempt.request) if attempt is not None else None
+            if (
+                attempt is not None
+                and not attempt.ended
+                and (request is None or request.in_flight.get(attempt.number) is not attempt)
+            ):
                 self._add_defect(f"forward without an owner: head {number}, shelf {connection.link.host}")
 
     def _check_latency_windows(self) -> None:
-        """None are kept on this front; beside, too many must not have found it full, unless it was: by
-        connections that its clients held there as they see it."""
+        """Checks that gateways refused few connections while they were not full.
+
+        HTTP gateways write no latency windows. Whether a gateway was full follows from the connections that
+        clients held open to it.
+        """
         full = FULL_FRACTION * CLIENTS_FRACTION * LIMITS["sockets"]
-        out = sum(r["e"] == "shut out" and r["held"] < full for r in self.records)
+        refused = sum(r["e"] == "shut out" and r["held"] < full for r in self.records)
         sent = sum(r["e"] == "sent" for r in self.records)
-        if out > max(MIN_REFUSED_REQUESTS, MAX_REFUSED_FRACTION * sent):
-            self._add_defect(f"no room: {out} of {sent} requests found none")
+        if refused > max(TOLERATED_REFUSALS, TOLERATED_REFUSED_FRACTION * sent):
+            self._add_defect(f"no room: {refused} of {sent} requests found none")
--- a/gorsethread/simulation/site_simulation.py
+++ b/gorsethread/simulation/site_simulation.py
@@ -265,8 +265,8 @@
         self.clients: dict[str, LoadClient] = {}
         # Updates of the endpoint list that have not arrived yet, with the time each was sent, by pipe.
         self._pending_list_updates: dict[int, list[tuple[float, dict[str, Any]]]] = {}
-        # Crashes that wait for a message: process, sender, the number of arrivals from the sender at which the
-        # process ends, and the act.
+        # Crashes that wait for a message: process, sender, the number of arrivals from the sender at which
+        # the process ends, and the act.
         self._crashes: list[tuple[str, str, int, Act]] = []
         # How often a kind of act struck gateways in a state; no more entries than pairs of both.
         self.states: dict[str, int] = {}
@@ -664,7 +664,7 @@
         return {b.id for b in gateway.driver.scheduler.shards.backends.values() if b.ready}
 
     def _check_attempts(self, number: int, gateway: Any) -> None:
-        """Checks that a request owns each attempt in flight and that a link holds each attempt of a request."""
+        """Checks that each attempt in flight belongs to a request, and each of a request to a link."""
         driver = gateway.driver
         for owner in driver.open_requests.values():
             for attempt in owner.in_flight.values():
@@ -704,7 +704,7 @@
             )
 
     def _check_latency_windows(self) -> None:
-        """Checks that every latency window on disk is readable and its latencies are the sums of their stages."""
+        """Checks that every latency window on disk is readable, and each latency the sum of its stages."""
         for name in self.day.list_files(LATENCY_FOLDER):
             raw = self.day.load(f"{LATENCY_FOLDER}/{name}")
             window = decode(raw or b"", self.site.name)
