--- a/gorsethread/simulation/branch_checks.py
+++ b/gorsethread/simulation/branch_checks.py
@@ -1,5 +1,8 @@
-"""What worlds and real processes share where a site has branches: clients that reach a branch's heads, and a
-judge of what was accepted. It believes clients, shelves and disks."""
+"""What simulations and trials with real processes share where a site has branches.
+
+Clients that reach the gateways of a branch, and a check of the writes that were accepted there. The check
+relies on the records of clients and backends and on the gateways' disks alone.
+"""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
@@ -12,35 +15,39 @@
 from gorsethread.nvme.subsystem import BLOCK
 from gorsethread.site_config import site_pb2 as pb
 
-ROAMS = 0.04  # of the transactions at a branch, which come to a head of the main site instead
+MAIN_SITE_FRACTION = 0.04  # of the requests at a branch, which go to a gateway of the main site instead
 
 
 class BranchClient(LoadClient):
-    """Its volumes are reached through the branch's heads, where there are such, and now and then through the
-    main site's; else through the main site's alone."""
+    """A client that reaches a volume through the gateways of the branch, if the volume has any there.
+
+    A small fraction of those requests goes to the volume's gateways at the main site. Volumes without a
+    gateway at a branch are reached through the main site only.
+    """
 
-    roams = ROAMS
+    main_site_fraction = MAIN_SITE_FRACTION
 
-    def __init__(self, *given: Any) -> None:
-        super().__init__(*given)
-        # Blocks of what was accepted last: label and when. No more than the volumes have.
-        self.promised: dict[tuple[int, int], tuple[int, float]] = {}
-        away = {n for b in self.site.branch for n in b.head}
-        self.near: dict[int, list[int]] = {}
+    def __init__(self, *arguments: Any) -> None:
+        super().__init__(*arguments)
+        # Label and time of the last accepted write, by volume and block; at most one entry per block.
+        self.accepted: dict[tuple[int, int], tuple[int, float]] = {}
+        branch_gateways = {n for b in self.site.branch for n in b.head}
+        self.preferred: dict[int, list[int]] = {}  # gateways by volume
         for v in self.volumes:
-            here, there = [n for n in v.head if n in away], [n for n in v.head if n not in away]
-            self.near[v.number] = here or there
+            at_branch = [n for n in v.head if n in branch_gateways]
+            at_main_site = [n for n in v.head if n not in branch_gateways]
+            self.preferred[v.number] = at_branch or at_main_site
 
     def _head_for(self, volume: pb.Volume) -> Any:
-        far = [n for n in volume.head if n not in self.near[volume.number]]
-        if far and self.chance.random() < self.roams:
-            return self.links[far[self.chance.randrange(len(far))]]
-        near = pb.Volume(number=volume.number, head=self.near[volume.number])
-        return super()._head_for(near)
+        preferred = self.preferred[volume.number]
+        others = [n for n in volume.head if n not in preferred]
+        if others and self.chance.random() < self.main_site_fraction:
+            return self.links[others[self.chance.randrange(len(others))]]
+        return super()._head_for(pb.Volume(number=volume.number, head=preferred))
 
     def _one_try(self, t: Any, attempt: int, link: Any) -> Any:
         one: Any = super()._one_try(t, attempt, link)
-        one.begun = self.transport.now()
+        one.started_at = self.transport.now()
         return one
 
     def answered(self, one: Any, how: str, completion: Any, data: bytes) -> None:
@@ -49,25 +56,37 @@
         accepted = how == "honoured" and t.operation == Opcode.WRITE and completion.dw0 == 0
         if accepted:
             self.recorder.saw("accepted", label=t.label, attempt=one.attempt, head=one.link.number)
-            self.promised.update(dict.fromkeys(blocks, (t.label, now)))
+            self.accepted.update(dict.fromkeys(blocks, (t.label, now)))
         elif (
-            how == "honoured" and t.operation == Opcode.READ and one.link.number in self.near[t.volume.number]
+            how == "honoured"
+            and t.operation == Opcode.READ
+            and one.link.number in self.preferred[t.volume.number]
         ):
             for n, block in enumerate(blocks):
-                label, at = self.promised.get(block, (0, now))
-                if at < one.begun and not any(data[n * BLOCK : n * BLOCK + 16]):
+                label, at = self.accepted.get(block, (0, now))
+                if at < one.started_at and not any(data[n * BLOCK : n * BLOCK + 16]):
                     self.recorder.saw("unseen", label=label)
         super().answered(one, how, completion, data)
         if accepted:
-            # Known to be there only where it is not parked: the judge looks at it by itself.
+            # The write may become a dead letter and then need not be read back: check_accepted_writes
+            # checks it instead.
             self.acknowledged.difference_update(blocks)
 
 
 @dataclass
 class AcceptedWrites:
-    """Labels. lost: neither in effect nor parked; doubled: in effect more than once though not redoable;
-    causal_breaks: in effect before one that their client had been answered before; unseen: not seen by a later read
-    at the branch, though not parked."""
+    """The labels of the writes that a branch accepted, by what became of them.
+
+    Attributes:
+        labels: All of them.
+        replayed: Those that ran on a backend.
+        parked: Those that became dead letters.
+        waiting: Those still queued.
+        lost: Neither run, nor dead-lettered, nor queued.
+        doubled: Run more than once though not idempotent.
+        causal_breaks: Run before a write that their client had seen answered before it sent them.
+        unseen: Not returned by a later read at the branch, though neither dead-lettered nor queued.
+    """
 
     labels: set[int] = field(default_factory=set)
     replayed: set[int] = field(default_factory=set)
@@ -80,61 +99,74 @@
 
 
 def queued_write_labels(folders: Iterable[Mapping[str, bytes]]) -> tuple[set[int], set[int]]:
-    """folders: segments of one head's own records each, by name. Labels of queued writes that are parked, and
-    of those that wait."""
+    """Returns the labels of the queued writes that are dead-lettered, and of those that wait.
+
+    Args:
+        folders: For each gateway, the segments of its own log by file name.
+    """
     parked: set[int] = set()
     waiting: set[int] = set()
     for files in folders:
-        table = recover(
-            {n: d for n, d in files.items() if parse_segment_file_name(n) is not None}, None, None
-        ).table
-        for r in table.records.values():
-            if isinstance(r.fact, WriteQueued):
-                step = table.records.get((WRITE_PROGRESS, r.fact.incarnation, r.fact.position))
+        segments = {name: data for name, data in files.items() if parse_segment_file_name(name) is not None}
+        table = recover(segments, None, None).table
+        for record in table.records.values():
+            fact = record.fact
+            if isinstance(fact, WriteQueued):
+                step = table.records.get((WRITE_PROGRESS, fact.incarnation, fact.position))
                 is_parked = (
                     step is not None and isinstance(step.fact, WriteProgress) and step.fact.stage == "parked"
                 )
-                (parked if is_parked else waiting).add(r.fact.label)
+                (parked if is_parked else waiting).add(fact.label)
     return parked, waiting
 
 
 def check_accepted_writes(
     site: pb.Site, records: list[dict[str, Any]], parked: set[int], waiting: set[int]
 ) -> AcceptedWrites:
-    """records: of clients and shelves, in order of time."""
+    """Finds out what became of each accepted write.
+
+    Args:
+        records: The events of clients and backends, in order of time.
+        parked: Labels of dead-lettered writes.
+        waiting: Labels of writes that are still queued.
+    """
     found = AcceptedWrites(parked=parked, waiting=waiting)
     sent: dict[tuple[int, int], dict[str, Any]] = {}
-    taken: list[tuple[float, float, str, int]] = []  # sent and answered at, whose, label
+    accepted: list[tuple[float, float, str, int]] = []  # time sent, time answered, client, label
     ran: dict[int, list[float]] = {}
     profiles: dict[int, int] = {}
-    back = {(r["label"], r["attempt"]) for r in records if r["e"] == "answer" and r["how"] == "pushed back"}
+    rejected = {
+        (r["label"], r["attempt"]) for r in records if r["e"] == "answer" and r["how"] == "pushed back"
+    }
     for r in records:
         if r["e"] == "sent":
             sent[r["label"], r["attempt"]] = r
             profiles[r["label"]] = r["profile"]
-        elif r["e"] == "ran" and (r["label"], r["attempt"]) not in back:
-            # One that was pushed back and may have run is redoable, and another transaction.
+        elif r["e"] == "ran" and (r["label"], r["attempt"]) not in rejected:
+            # A rejected attempt that may have run is idempotent, and its retry is another request.
             ran.setdefault(r["label"], []).append(r["t"])
         elif r["e"] == "accepted" and r["label"] not in found.labels:
             found.labels.add(r["label"])
-            # One whose answer was lost may have been taken by an earlier try.
-            begun = min(
-                s["t"]
-                for k in range(r["attempt"] + 1)
-                if (s := sent.get((r["label"], k))) and (r["label"], k) not in back
+            # An earlier attempt whose response was lost may be the one that was accepted.
+            sent_at = min(
+                first["t"]
+                for attempt in range(r["attempt"] + 1)
+                if (first := sent.get((r["label"], attempt))) and (r["label"], attempt) not in rejected
             )
-            taken.append((begun, r["t"], r["who"], r["label"]))
+            accepted.append((sent_at, r["t"], r["who"], r["label"]))
     found.replayed = found.labels & set(ran)
     found.lost = sorted(found.labels - set(ran) - parked - waiting)
     found.unseen = sorted({r["label"] for r in records if r["e"] == "unseen"} - parked - waiting)
     found.doubled = sorted(
         n for n in found.replayed if len(ran[n]) > 1 and site.profile[profiles[n]].effect != pb.REDOABLE
     )
-    for who in {w for _, _, w, _ in taken}:
-        mine = sorted((a, s, n) for s, a, w, n in taken if w == who)  # by when they were answered
-        for begun, _, n in sorted((s, a, n) for s, a, w, n in taken if w == who):
-            before = [m for a, _, m in mine if a < begun and m != n]
-            # What was parked when this was accepted is for a person; when that was nobody outside knows.
+    for client in {who for _, _, who, _ in accepted}:
+        own = [(sent_at, answered_at, n) for sent_at, answered_at, who, n in accepted if who == client]
+        by_answer = sorted((answered_at, sent_at, n) for sent_at, answered_at, n in own)
+        for sent_at, _, n in sorted(own):
+            before = [m for answered_at, _, m in by_answer if answered_at < sent_at and m != n]
+            # An earlier write that is a dead letter now is left to a person and does not count: when it
+            # became one is not known from outside.
             if n in ran and any(ran[m][0] > ran[n][0] if m in ran else m not in parked for m in before):
                 found.causal_breaks.append(n)
     return found
--- a/gorsethread/simulation/branch_simulation.py
+++ b/gorsethread/simulation/branch_simulation.py
@@ -1,5 +1,8 @@
-"""Worlds with a branch whose link goes: what its heads accepted meanwhile is in effect in the end, once, in
-causal order, or parked with a reason."""
+"""Simulates sites with a branch whose link to the main site fails.
+
+In the end each write that the branch's gateways accepted meanwhile must have run once, in causal order, or be
+dead-lettered with a reason.
+"""
 
 from typing import Any
 
@@ -15,6 +18,12 @@
 
 
 class BranchSimulation(DurableLogSimulation):
+    """One run of a script on a site with a branch.
+
+    Attributes:
+        accepted: What became of the accepted writes; set at the end of the run.
+    """
+
     client_class = BranchClient
     accepted: AcceptedWrites
 
@@ -25,28 +34,31 @@
         if act.kind != "link":
             super()._apply_variant_act(act)
             return
-        away = {n for b in self.site.branch for n in b.head}
-        others = [
+        branch_gateways = {n for b in self.site.branch for n in b.head}
+        main_site = [
             "list",
             *(f"shelf {n}" for n in range(self.script.shelves)),
-            *(f"head {n}" for n in range(self.script.heads) if n not in away),
+            *(f"head {n}" for n in range(self.script.heads) if n not in branch_gateways),
         ]
-        ways = [(act.target, other) for other in others] if act.amount != 2 else []
-        ways += [(other, act.target) for other in others] if act.amount != 1 else []
-        for one, other in ways:
-            self.network.cut(one, other)
-            self.loop.call_later(act.seconds, self.network.heal, one, other)
+        directions = [(act.target, name) for name in main_site] if act.amount != 2 else []
+        directions += [(name, act.target) for name in main_site] if act.amount != 1 else []
+        for source, destination in directions:
+            self.network.cut(source, destination)
+            self.loop.call_later(act.seconds, self.network.heal, source, destination)
 
-    def _follows_discovery(self, head: Any) -> bool:
-        return super()._follows_discovery(head) and not (head.branch is not None and self._unsettled())
+    def _follows_discovery(self, gateway: Any) -> bool:
+        """Also waits, at a branch, until all accepted writes have run or are dead-lettered."""
+        return super()._follows_discovery(gateway) and not (
+            gateway.branch is not None and self._waiting_writes()
+        )
 
-    def _unsettled(self) -> int:
-        """AcceptedWrites writes that are neither in effect nor parked."""
+    def _waiting_writes(self) -> int:
+        """The number of accepted writes that have neither run nor been dead-lettered."""
         return sum(
             not queued.is_dead_lettered
-            for head in self.gateways.values()
-            if head.branch
-            for queued in head.branch.queue
+            for gateway in self.gateways.values()
+            if gateway.branch
+            for queued in gateway.branch.queue
         )
 
     def _check_end_state(self) -> None:
@@ -60,21 +72,23 @@
             for n in self.gateways
         ]
         records = sorted(self.records, key=lambda r: r["t"])
-        a = self.accepted = check_accepted_writes(self.site, records, *queued_write_labels(folders))
-        for what, labels in (
-            ("accepted and lost", a.lost),
-            ("in effect twice", a.doubled),
-            ("out of causal order", a.causal_breaks),
-            ("accepted and not seen", a.unseen),
+        writes = self.accepted = check_accepted_writes(self.site, records, *queued_write_labels(folders))
+        for reason, labels in (
+            ("accepted and lost", writes.lost),
+            ("in effect twice", writes.doubled),
+            ("out of causal order", writes.causal_breaks),
+            ("accepted and not seen", writes.unseen),
         ):
             if labels:
-                self._add_defect(f"{what}: {len(labels)} of {len(a.labels)}, first {labels[0]}")
-        for number, head in self.gateways.items():
-            b = head.branch
-            if b is None or not self.processes[f"head {number}"].alive:
+                self._add_defect(f"{reason}: {len(labels)} of {len(writes.labels)}, first {labels[0]}")
+        for number, gateway in self.gateways.items():
+            branch = gateway.branch
+            if branch is None or not self.processes[f"head {number}"].alive:
                 continue
-            if b.pending_admissions or self._unsettled():
-                self._add_defect(f"not replayed: head {number}: {len(b.queue)} writes, {b.link.state.value}")
-            queued = {each.write.number for each in b.queue}
-            if b.block_view.numbers() - queued - set(b.standby_writes.numbers()):
+            if branch.pending_admissions or self._waiting_writes():
+                self._add_defect(
+                    f"not replayed: head {number}: {len(branch.queue)} writes, {branch.link.state.value}"
+                )
+            queued = {entry.write.number for entry in branch.queue}
+            if branch.block_view.numbers() - queued - set(branch.standby_writes.numbers()):
                 self._add_defect(f"left behind: head {number}: bytes of writes that are over")
