--- a/gorsethread/simulation/__init__.py
+++ b/gorsethread/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The whole program under one seed: scripts of faults, worlds that play them, what is made of a failure."""
+"""Simulates whole sites, each run from one seed: fault scripts, the simulations, and the study of failed runs."""
