--- a/gorsethread/simulation/__init__.py
+++ b/gorsethread/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Simulates whole sites, each run from one seed: fault scripts, the simulations, and the study of failed runs."""
+"""Simulates whole sites, each run from one seed: fault scripts, simulations and the study of failed runs."""
