--- a/gorsethread/experiments/recovery.py
+++ b/gorsethread/experiments/recovery.py
@@ -145,7 +145,7 @@
 
     def _check_end_state(self) -> None:
         """Forgotten owners are counted, not failed on: after the last act all disks may be lost."""
-        self._count()
+        self._check_record_numbers()
 
 
 def judged(
