--- a/gorsethread/simulation/branch_checks.py
+++ b/gorsethread/simulation/branch_checks.py
@@ -51,16 +51,16 @@
         return one
 
     def answered(self, one: Any, how: str, completion: Any, data: bytes) -> None:
-        t, now = one.t, self.transport.now()
-        blocks = [(t.volume.number, t.first_block + n) for n in range(t.blocks)]
-        accepted = how == "honoured" and t.operation == Opcode.WRITE and completion.dw0 == 0
+        request, now = one.t, self.transport.now()
+        blocks = [(request.volume.number, request.first_block + n) for n in range(request.blocks)]
+        accepted = how == "honoured" and request.operation == Opcode.WRITE and completion.dw0 == 0
         if accepted:
-            self.recorder.saw("accepted", label=t.label, attempt=one.attempt, head=one.link.number)
-            self.accepted.update(dict.fromkeys(blocks, (t.label, now)))
+            self.recorder.saw("accepted", label=request.label, attempt=one.attempt, head=one.link.number)
+            self.accepted.update(dict.fromkeys(blocks, (request.label, now)))
         elif (
             how == "honoured"
-            and t.operation == Opcode.READ
-            and one.link.number in self.preferred[t.volume.number]
+            and request.operation == Opcode.READ
+            and one.link.number in self.preferred[request.volume.number]
         ):
             for n, block in enumerate(blocks):
                 label, at = self.accepted.get(block, (0, now))
@@ -80,7 +80,7 @@
     Attributes:
         labels: All of them.
         replayed: Those that ran on a backend.
-        parked: Those that became dead letters.
+        dead_lettered: Those that became dead letters.
         waiting: Those still queued.
         lost: Neither run, nor dead-lettered, nor queued.
         doubled: Run more than once though not idempotent.
@@ -90,7 +90,7 @@
 
     labels: set[int] = field(default_factory=set)
     replayed: set[int] = field(default_factory=set)
-    parked: set[int] = field(default_factory=set)
+    dead_lettered: set[int] = field(default_factory=set)
     waiting: set[int] = field(default_factory=set)
     lost: list[int] = field(default_factory=list)
     doubled: list[int] = field(default_factory=list)
@@ -104,7 +104,7 @@
     Args:
         folders: For each gateway, the segments of its own log by file name.
     """
-    parked: set[int] = set()
+    dead_lettered: set[int] = set()
     waiting: set[int] = set()
     for files in folders:
         segments = {name: data for name, data in files.items() if parse_segment_file_name(name) is not None}
@@ -113,35 +113,35 @@
             fact = record.fact
             if isinstance(fact, WriteQueued):
                 step = table.records.get((WRITE_PROGRESS, fact.incarnation, fact.position))
-                is_parked = (
+                is_dead_letter = (
                     step is not None and isinstance(step.fact, WriteProgress) and step.fact.stage == "parked"
                 )
-                (parked if is_parked else waiting).add(fact.label)
-    return parked, waiting
+                (dead_lettered if is_dead_letter else waiting).add(fact.label)
+    return dead_lettered, waiting
 
 
 def check_accepted_writes(
-    site: pb.Site, records: list[dict[str, Any]], parked: set[int], waiting: set[int]
+    site: pb.Site, records: list[dict[str, Any]], dead_lettered: set[int], waiting: set[int]
 ) -> AcceptedWrites:
     """Finds out what became of each accepted write.
 
     Args:
         records: The events of clients and backends, in order of time.
-        parked: Labels of dead-lettered writes.
+        dead_lettered: Labels of dead-lettered writes.
         waiting: Labels of writes that are still queued.
     """
-    found = AcceptedWrites(parked=parked, waiting=waiting)
+    found = AcceptedWrites(dead_lettered=dead_lettered, waiting=waiting)
     sent: dict[tuple[int, int], dict[str, Any]] = {}
     accepted: list[tuple[float, float, str, int]] = []  # time sent, time answered, client, label
     ran: dict[int, list[float]] = {}
-    profiles: dict[int, int] = {}
+    request_classes: dict[int, int] = {}
     rejected = {
         (r["label"], r["attempt"]) for r in records if r["e"] == "answer" and r["how"] == "pushed back"
     }
     for r in records:
         if r["e"] == "sent":
             sent[r["label"], r["attempt"]] = r
-            profiles[r["label"]] = r["profile"]
+            request_classes[r["label"]] = r["profile"]
         elif r["e"] == "ran" and (r["label"], r["attempt"]) not in rejected:
             # A rejected attempt that may have run is idempotent, and its retry is another request.
             ran.setdefault(r["label"], []).append(r["t"])
@@ -155,10 +155,12 @@
             )
             accepted.append((sent_at, r["t"], r["who"], r["label"]))
     found.replayed = found.labels & set(ran)
-    found.lost = sorted(found.labels - set(ran) - parked - waiting)
-    found.unseen = sorted({r["label"] for r in records if r["e"] == "unseen"} - parked - waiting)
+    found.lost = sorted(found.labels - set(ran) - dead_lettered - waiting)
+    found.unseen = sorted({r["label"] for r in records if r["e"] == "unseen"} - dead_lettered - waiting)
     found.doubled = sorted(
-        n for n in found.replayed if len(ran[n]) > 1 and site.profile[profiles[n]].effect != pb.REDOABLE
+        n
+        for n in found.replayed
+        if len(ran[n]) > 1 and site.profile[request_classes[n]].effect != pb.REDOABLE
     )
     for client in {who for _, _, who, _ in accepted}:
         own = [(sent_at, answered_at, n) for sent_at, answered_at, who, n in accepted if who == client]
@@ -167,6 +169,8 @@
             before = [m for answered_at, _, m in by_answer if answered_at < sent_at and m != n]
             # An earlier write that is a dead letter now is left to a person and does not count: when it
             # became one is not known from outside.
-            if n in ran and any(ran[m][0] > ran[n][0] if m in ran else m not in parked for m in before):
+            if n in ran and any(
+                ran[m][0] > ran[n][0] if m in ran else m not in dead_lettered for m in before
+            ):
                 found.causal_breaks.append(n)
     return found
--- a/gorsethread/simulation/site_simulation.py
+++ b/gorsethread/simulation/site_simulation.py
@@ -36,7 +36,7 @@
 TIMING_SLACK = 0.03
 START_UP = 2.0  # seconds from the start of the first process to the first request
 FINAL_INTERVAL = 2.5  # the last seconds of traffic, in which a gateway that runs must complete some request
-MIN_REQUESTS_TO_JUDGE = 20  # requests within FINAL_INTERVAL, below which a gateway is not checked for that
+MIN_REQUESTS_TO_CHECK = 20  # requests within FINAL_INTERVAL, below which a gateway is not checked for that
 SETTLE_SECONDS = 3.0  # seconds after the last response, within which everything must have come to rest
 CHECK_INTERVAL = 0.1  # seconds between checks of what must be bounded
 MAX_UNSENT_BYTES = 4 << 20  # bytes that one end of a connection may buffer
@@ -274,13 +274,14 @@
     # ---- records
 
     def record_event(self, who: str, event: str, facts: dict[str, Any]) -> None:
+        """Adds an event to the history and passes it to the online checker."""
         record = {"t": self.loop.time(), "who": who, "e": event, **facts}
         self.records.append(record)
         self.online_checker.take(record)
         self.network.add_to_digest(who, event, *facts.values())
 
     def list_update_sent(self, facts: dict[str, Any]) -> None:
-        """Holds the event of an update that the list has just sent until its gateway has received it."""
+        """Keeps the event of an update that the discovery server has just sent until it is received."""
         if self.network.last_written_pipe:
             self._pending_list_updates.setdefault(self.network.last_written_pipe, []).append(
                 (self.loop.time(), facts)
@@ -315,20 +316,20 @@
 
     def _start_discovery(self) -> None:
         process = self._start("list")
-        script = [
+        faults = [
             Fault(self.traffic_start + a.at, a.kind, a.seconds, a.amount)
             for a in self.script.acts
             if a.kind in ("late", "refuse") and self.traffic_start + a.at > self.loop.time()
         ]
         self.discovery = self.discovery_class(
-            process, self.site, MemoryRecorder(self, process, "list"), script, NullLogger()
+            process, self.site, MemoryRecorder(self, process, "list"), faults, NullLogger()
         )
         self.discovery.start()
 
     def _start_backend(self, number: int, warm: bool) -> None:
         name = f"shelf {number}"
         process = self._start(name)
-        script = [
+        faults = [
             Fault(self.traffic_start + a.at, a.kind, a.seconds, a.amount)
             for a in self.script.acts
             if a.target == name
@@ -341,7 +342,7 @@
             number,
             MemoryRecorder(self, process, name),
             "disk",
-            script,
+            faults,
             warm,
             NullLogger(),
             lambda: self._on_backend_overloaded(number),
@@ -461,12 +462,12 @@
 
         The invariant checkers don't expect responses from the gateway to that client then.
         """
-        client, head = (source, destination) if source.startswith("client") else (destination, source)
-        if client.startswith("client") and head.startswith("head"):
+        client, gateway = (source, destination) if source.startswith("client") else (destination, source)
+        if client.startswith("client") and gateway.startswith("head"):
             self.record_event(
                 "day",
                 "apart",
-                {"client": client, "head": int(head.split(" ")[1]), "until": self.loop.time() + seconds},
+                {"client": client, "head": int(gateway.split(" ")[1]), "until": self.loop.time() + seconds},
             )
 
     def _record_act(self, act: Act) -> None:
@@ -752,7 +753,7 @@
                     f"not what the list says: head {number} uses {sorted(used)}, ready are "
                     f"{sorted(listed)}"
                 )
-            if sent_to.get(number, 0) >= MIN_REQUESTS_TO_JUDGE and not succeeded_by.get(number):
+            if sent_to.get(number, 0) >= MIN_REQUESTS_TO_CHECK and not succeeded_by.get(number):
                 self._add_defect(
                     f"does not serve again: head {number} honoured none of the last " f"{sent_to[number]}"
                 )
