--- a/gorsethread/harness/process_faults.py
+++ b/gorsethread/harness/process_faults.py
@@ -114,7 +114,7 @@
                     await self.processes.end(name)
                 else:
                     await self.processes.end(name, signal.SIGKILL)
-                    self.saw("killed", replace(act, whom=name))
+                    self.saw("killed", replace(act, target=name))
             if act.kind in FOLDERS:
                 self.folders(act)
             for name in (act.target, act.to) if act.kind == "swap" else (act.target,):
