--- a/gorsethread/experiments/alternating_load.py
+++ b/gorsethread/experiments/alternating_load.py
@@ -9,10 +9,10 @@
 
 import psutil
 
-from gorsethread.fakes.client import stamped
+from gorsethread.fakes.client import stamped_blocks
 from gorsethread.nvme.command import Completion, Opcode, io_command
 from gorsethread.nvme.subsystem import BLOCK
-from gorsethread.nvme_transport.host_connection import Association, Names, dial
+from gorsethread.nvme_transport.host_connection import Association, AssociationNames, connect_association
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.reading import split_address
 from gorsethread.transport.base import Transport
@@ -44,9 +44,11 @@
 
     async def run(self) -> dict[str, Any]:
         for site in self.sites:
-            names = Names(site.subsystem, site.tenant[0].host[0])
+            names = AssociationNames(site.subsystem, site.tenant[0].host[0])
             self.associations.append(
-                await dial(self.transport, split_address(site.head[0].address), names, within=5.0, size=128)
+                await connect_association(
+                    self.transport, split_address(site.head[0].address), names, timeout=5.0, size=128
+                )
             )
         for stretch in range(self.stretches):
             at = self.start_at + stretch * STRETCH
@@ -66,13 +68,13 @@
         block = self.chance.randrange(volume.blocks)
         write = self.chance.random() < 0.5
         command = io_command(Opcode.WRITE if write else Opcode.READ, volume.number, block)
-        data = stamped(1, volume.number, block, 1) if write else b""
+        data = stamped_blocks(1, volume.number, block, 1) if write else b""
 
         def done(completion: Completion, _: bytes) -> None:
             self.out -= 1
             if self.stretch != stretch:
                 return
-            if not completion.honoured:
+            if not completion.succeeded:
                 self.failed += 1
             elif self.transport.now() >= self.start_at + stretch * STRETCH + EDGE:
                 self.honoured[stretch] += 1
--- a/gorsethread/experiments/bench_peers.py
+++ b/gorsethread/experiments/bench_peers.py
@@ -5,15 +5,15 @@
 
 from hdrh.histogram import HdrHistogram
 
-from gorsethread.fakes.backend import Shelf
-from gorsethread.fakes.client import stamped
+from gorsethread.fakes.backend import FakeBackend
+from gorsethread.fakes.client import stamped_blocks
 from gorsethread.gateway.attempts import Attempt, AttemptResult
 from gorsethread.nvme.command import Completion, Opcode, Status, io_command
 from gorsethread.nvme.subsystem import BLOCK, Namespace, Subsystem
-from gorsethread.nvme_gateway.backend_link import BackendLink, Order
+from gorsethread.nvme_gateway.backend_link import BackendCommand, BackendLink
 from gorsethread.nvme_gateway.extent_placement import SitePlacement
 from gorsethread.nvme_transport.controller_server import IoCommand, QueueServer
-from gorsethread.nvme_transport.host_connection import Association, Names, dial
+from gorsethread.nvme_transport.host_connection import Association, AssociationNames, connect_association
 from gorsethread.scheduling.model import AttemptOutcome
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.reading import split_address
@@ -28,7 +28,7 @@
     def __init__(self, transport: Transport, site: pb.Site, number: int, log: Any) -> None:
         self.transport, self.site, self.number = transport, site, number
         self.placement = SitePlacement(site)
-        names = Names(site.subsystem, f"nqn.2026-12.org.gorsethread:head:{number}")
+        names = AssociationNames(site.subsystem, f"nqn.2026-12.org.gorsethread:head:{number}")
         known = site.links
         self.links = {
             s.shard: BackendLink(
@@ -58,9 +58,9 @@
         self._listener.close()
         self.server.stop("the relay ends")
 
-    def announced(self, io: IoCommand) -> None: ...
+    def command_announced(self, io: IoCommand) -> None: ...
 
-    def taken(self, io: IoCommand, data: bytes) -> None:
+    def command_received(self, io: IoCommand, data: bytes) -> None:
         c = io.command
         extent = c.first_block // self.volumes[c.nsid].extent_blocks
         link = self.links[self.placement.shard_of(c.nsid, extent)]
@@ -70,24 +70,24 @@
             io.answer(Completion(0, Status.SUCCESS if honoured else Status.INTERNAL_ERROR), told.data)
 
         read = 0 if data else c.blocks * BLOCK
-        link.send(Attempt(0, 0, link.shelf, self.transport.now(), Order(c, data, read), ended))
+        link.send(Attempt(0, 0, link.backend, self.transport.now(), BackendCommand(c, data, read), ended))
 
-    def left(self, io: IoCommand) -> None: ...
+    def command_abandoned(self, io: IoCommand) -> None: ...
 
 
 TOLD = Completion(0, dw1=20)  # a service time of 20 microseconds, as shelves tell theirs
 
 
-class Sink(Shelf):
+class Sink(FakeBackend):
     """A shelf without a machine: what comes is answered at once."""
 
-    def announced(self, io: IoCommand) -> None: ...
+    def command_announced(self, io: IoCommand) -> None: ...
 
-    def taken(self, io: IoCommand, data: bytes) -> None:
+    def command_received(self, io: IoCommand, data: bytes) -> None:
         c = io.command
         io.answer(TOLD, b"" if data else bytes(c.blocks * BLOCK))
 
-    def left(self, io: IoCommand) -> None: ...
+    def command_abandoned(self, io: IoCommand) -> None: ...
 
 
 class Load:
@@ -105,9 +105,11 @@
         self.last = start_at
 
     async def run(self) -> dict[str, Any]:
-        names = Names(self.site.subsystem, self.site.tenant[0].host[0])
+        names = AssociationNames(self.site.subsystem, self.site.tenant[0].host[0])
         address = split_address(self.site.head[0].address)
-        self.association: Association = await dial(self.transport, address, names, within=5.0, size=128)
+        self.association: Association = await connect_association(
+            self.transport, address, names, timeout=5.0, size=128
+        )
         await self.transport.sleep(max(0.0, self.first - self.transport.now()))
         if self.rate:
             await self._open_loop()
@@ -146,12 +148,12 @@
         block = self.chance.randrange(volume.blocks)
         write = self.chance.random() < 0.5
         command = io_command(Opcode.WRITE if write else Opcode.READ, volume.number, block)
-        data = stamped(1, volume.number, block, 1) if write else b""
+        data = stamped_blocks(1, volume.number, block, 1) if write else b""
 
         def done(completion: Completion, _: bytes) -> None:
             self.out -= 1
             self.last = self.transport.now()
-            if completion.honoured:
+            if completion.succeeded:
                 self.done += 1
                 self.histogram.record_value(max(1, round((self.last - due) * 1e6)))
             else:
--- a/gorsethread/simulation/branch_checks.py
+++ b/gorsethread/simulation/branch_checks.py
@@ -38,24 +38,24 @@
             at_main_site = [n for n in v.head if n not in branch_gateways]
             self.preferred[v.number] = at_branch or at_main_site
 
-    def _head_for(self, volume: pb.Volume) -> Any:
+    def _choose_gateway(self, volume: pb.Volume) -> Any:
         preferred = self.preferred[volume.number]
         others = [n for n in volume.head if n not in preferred]
         if others and self.chance.random() < self.main_site_fraction:
             return self.links[others[self.chance.randrange(len(others))]]
-        return super()._head_for(pb.Volume(number=volume.number, head=preferred))
+        return super()._choose_gateway(pb.Volume(number=volume.number, head=preferred))
 
-    def _one_try(self, t: Any, attempt: int, link: Any) -> Any:
-        one: Any = super()._one_try(t, attempt, link)
+    def _new_attempt(self, t: Any, attempt: int, link: Any) -> Any:
+        one: Any = super()._new_attempt(t, attempt, link)
         one.started_at = self.transport.now()
         return one
 
     def answered(self, one: Any, how: str, completion: Any, data: bytes) -> None:
-        request, now = one.t, self.transport.now()
+        request, now = one.request, self.transport.now()
         blocks = [(request.volume.number, request.first_block + n) for n in range(request.blocks)]
         accepted = how == "honoured" and request.operation == Opcode.WRITE and completion.dw0 == 0
         if accepted:
-            self.recorder.saw("accepted", label=request.label, attempt=one.attempt, head=one.link.number)
+            self.recorder.record("accepted", label=request.label, attempt=one.attempt, head=one.link.number)
             self.accepted.update(dict.fromkeys(blocks, (request.label, now)))
         elif (
             how == "honoured"
@@ -65,7 +65,7 @@
             for n, block in enumerate(blocks):
                 label, at = self.accepted.get(block, (0, now))
                 if at < one.started_at and not any(data[n * BLOCK : n * BLOCK + 16]):
-                    self.recorder.saw("unseen", label=label)
+                    self.recorder.record("unseen", label=label)
         super().answered(one, how, completion, data)
         if accepted:
             # The write may become a dead letter and then need not be read back: check_accepted_writes
--- a/gorsethread/simulation/durable_log_checks.py
+++ b/gorsethread/simulation/durable_log_checks.py
@@ -19,7 +19,7 @@
     on_write_forgotten: Callable[[int, int], None]
 
     def answered(self, one: Any, how: str, completion: Any, data: bytes) -> None:
-        request = one.t
+        request = one.request
         if completion is not None and completion.status == Status.UNWRITTEN_BLOCK:
             blocks = range(request.first_block, request.first_block + request.blocks)
             if any((request.volume.number, block) in self.acknowledged for block in blocks):
--- a/gorsethread/simulation/durable_log_simulation.py
+++ b/gorsethread/simulation/durable_log_simulation.py
@@ -158,7 +158,7 @@
         self._check_record_numbers()
         self._check_extent_shards()
         for number, gateway in self.gateways.items():
-            log = gateway.promises
+            log = gateway.replicated_log
             if self.processes[f"head {number}"].alive and log is not None:
                 if log.waiting or gateway.driver.awaiting_placement:
                     self._add_defect(f"left behind: head {number}: promises that nobody was told of")
--- a/gorsethread/simulation/http_simulation.py
+++ b/gorsethread/simulation/http_simulation.py
@@ -7,11 +7,11 @@
 import json
 from typing import Any
 
-from gorsethread.fakes.web.backend import WebShelf
-from gorsethread.fakes.web.bad_clients import OWED_WITHIN, RudeClient
-from gorsethread.fakes.web.clients import WebClient, WebLink, WebTry
-from gorsethread.fakes.web.discovery import WebList
-from gorsethread.fakes.web.messages import HEADS_FROM, instance, settings_of
+from gorsethread.fakes.web.backend import HttpFakeBackend
+from gorsethread.fakes.web.bad_clients import ANSWER_WITHIN_SECONDS, MalformedClient
+from gorsethread.fakes.web.clients import HttpAttempt, HttpConnections, HttpLoadClient
+from gorsethread.fakes.web.discovery import HttpFakeDiscovery
+from gorsethread.fakes.web.messages import FIRST_GATEWAY_PORT, instance, settings_of
 from gorsethread.http_gateway.configuration import read_configuration
 from gorsethread.http_gateway.endpoint_list import backend_number
 from gorsethread.http_gateway.gateway import (
@@ -20,7 +20,7 @@
     MAX_COUNTED_WAIT_SECONDS,
     Gateway,
 )
-from gorsethread.invariants.history_checker import MOMENT
+from gorsethread.invariants.history_checker import SAME_INSTANT_SECONDS
 from gorsethread.simulation.script import Act
 from gorsethread.simulation.site_simulation import MemoryRecorder, NullLogger, SiteSimulation
 from gorsethread.simulation.states import WEB_STATES
@@ -43,7 +43,7 @@
 
     known_states = WEB_STATES
     applied_by_fakes = (*SiteSimulation.applied_by_fakes, "spoil")
-    discovery_class, backend_class, client_class = WebList, WebShelf, WebClient
+    discovery_class, backend_class, client_class = HttpFakeDiscovery, HttpFakeBackend, HttpLoadClient
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -55,11 +55,15 @@
 
     def record_event(self, who: str, event: str, facts: dict[str, Any]) -> None:
         """Records an event, or a defect where no correct gateway causes such an event."""
-        if event == "rude" and facts["late"] and self._was_stopped(f"head {facts['head']}", OWED_WITHIN):
+        if (
+            event == "rude"
+            and facts["late"]
+            and self._was_stopped(f"head {facts['head']}", ANSWER_WITHIN_SECONDS)
+        ):
             return
         if event == "shut out":
             links = [client.links.get(facts["head"]) for client in self.clients.values()]
-            facts["held"] = sum(link.open for link in links if isinstance(link, WebLink))
+            facts["held"] = sum(link.open for link in links if isinstance(link, HttpConnections))
         if event == "closed early" and self._may_close_connections(facts["head"]):
             return
         if event in DEFECT_EVENTS:
@@ -94,12 +98,12 @@
     def _start_client(self, tenant: str) -> None:
         super()._start_client(tenant)
         client: Any = self.clients[tenant]
-        client.crosses = self._is_unread
+        client.may_be_unread = self._may_be_unread
 
-    def _is_unread(self, one: WebTry) -> bool:
+    def _may_be_unread(self, one: HttpAttempt) -> bool:
         """Whether a request has not reached its gateway, or too recently for the gateway to have read it."""
-        arrived_at = self.online_checker.seen[one.t.label, one.attempt].came
-        return not arrived_at or self.loop.time() - arrived_at < MOMENT
+        arrived_at = self.online_checker.seen[one.request.label, one.attempt].received_at
+        return not arrived_at or self.loop.time() - arrived_at < SAME_INSTANT_SECONDS
 
     # ---- gateways
 
@@ -122,7 +126,7 @@
         configuration = {
             "name": f"n{number}",
             "listen": gateway.address,
-            "discovery": f"{host}:{HEADS_FROM + number}",
+            "discovery": f"{host}:{FIRST_GATEWAY_PORT + number}",
             "seed": f"{self.script.seed * 1000 + number:016x}",
             "limits": LIMITS,
             "settings": {**settings_of(self.site), "index": self._gateway_index(number)},
@@ -164,7 +168,7 @@
             client_process = self._process("rude")
             target = next(g for g in self.site.head if g.number == number)
             recorder = MemoryRecorder(self, client_process, "rude")
-            client = RudeClient(client_process, self.site, recorder)
+            client = MalformedClient(client_process, self.site, recorder)
             client_process.spawn(client.at(target, client_process.now() + act.seconds))
 
     async def _end_gateway(self, act: Act, gateway: Any) -> None:
@@ -174,7 +178,7 @@
         unanswered = [
             request
             for request in self.online_checker.seen.values()
-            if request.came and not request.how and request.sent["head"] == number
+            if request.received_at and not request.how and request.sent["head"] == number
         ]
         self.loop.call_later(DELIVERY_SECONDS, self._check_graceful_end, act.target, unanswered)
         self.loop.call_soon(self._stop_process, act, act.target, "end")
@@ -189,7 +193,9 @@
             for request in unanswered
             if not any(
                 begin <= self.loop.time() and request.sent["t"] <= until
-                for begin, until in self.online_checker._away[request.sent["who"], request.sent["head"]]
+                for begin, until in self.online_checker._unreachable[
+                    request.sent["who"], request.sent["head"]
+                ]
             )
         ]
         if any(request.how in ("", "unreachable") for request in reached):
@@ -205,7 +211,7 @@
     def _was_stopped(self, name: str, within: float) -> bool:
         """Whether an act of the script paused or ended that gateway in the last `within` seconds.
 
-        Only pauses count unless `within` is OWED_WITHIN.
+        Only pauses count unless `within` is ANSWER_WITHIN_SECONDS.
         """
         now = self.loop.time() - self.traffic_start
         return any(
@@ -214,14 +220,14 @@
             and a.at < now
             and a.end > now - within
             for a in self.script.acts
-            if a.kind == "pause" or within == OWED_WITHIN
+            if a.kind == "pause" or within == ANSWER_WITHIN_SECONDS
         )
 
     def _may_close_connections(self, number: int) -> bool:
         """Whether a gateway got SIGTERM and so may close idle connections, or its death closed them all."""
         now, name = self.loop.time() - self.traffic_start, f"head {number}"
         terminated = any(a.kind == "term" and a.target == name and a.at <= now for a in self.script.acts)
-        return terminated or not self.processes[name].alive or self._was_stopped(name, OWED_WITHIN)
+        return terminated or not self.processes[name].alive or self._was_stopped(name, ANSWER_WITHIN_SECONDS)
 
     # ---- checks
 
--- a/gorsethread/simulation/site_simulation.py
+++ b/gorsethread/simulation/site_simulation.py
@@ -14,21 +14,21 @@
 
 import msgspec
 
-from gorsethread.fakes.backend import Shelf
+from gorsethread.fakes.backend import FakeBackend
 from gorsethread.fakes.client import LoadClient, Surge
-from gorsethread.fakes.discovery import NodeList, Order
+from gorsethread.fakes.discovery import DrainOrder, FakeDiscovery
 from gorsethread.fakes.record import Fault, Recorder
-from gorsethread.invariants.history_checker import Break, Verdict, Witness
-from gorsethread.invariants.online_checker import OnlineWitness
+from gorsethread.invariants.history_checker import HistoryChecker, Verdict, Violation
+from gorsethread.invariants.online_checker import OnlineChecker
 from gorsethread.latency_attribution.snapshots import decode
-from gorsethread.nvme_gateway.gateway import Head
+from gorsethread.nvme_gateway.gateway import NvmeGateway
 from gorsethread.scheduling.model import SlowStartRule
 from gorsethread.simulation.script import ACT_KINDS, DURABLE_LOG_POINTS, Act, Clock, Script
 from gorsethread.simulation.slow_start_checker import SlowStartChecker
 from gorsethread.simulation.states import STATES, current_states
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.reading import split_address
-from gorsethread.site_config.sizing import sized
+from gorsethread.site_config.sizing import resized_site
 from gorsethread.transport.base import StreamClosed, Unreachable
 from gorsethread.transport.virtual import MAX_RESEND_DELAY, Disk, Network, VirtualLoop, VirtualTransport
 
@@ -86,21 +86,23 @@
         },
     ),
     **_point_methods(
-        "promises",
+        "replicated_log",
         "nvme_gateway.replicated_log",
         "ReplicatedLog",
         {"promise": "placed", "flushed": "_on_flushed", "held": "_on_placed", "given": "_on_records_fetched"},
     ),
-    **_point_methods("holding", "nvme_gateway.replica_server", "ReplicaServer", {"greeted": "_greeted"}),
     **_point_methods(
-        "promises.store", "durable_log.log_store", "LogStore", {"segment": "_remove_old_segments"}
+        "replica_server", "nvme_gateway.replica_server", "ReplicaServer", {"greeted": "_greeted"}
+    ),
+    **_point_methods(
+        "replicated_log.store", "durable_log.log_store", "LogStore", {"segment": "_remove_old_segments"}
     ),
 }
 # Counters of a driver that count each request once, when it ends.
 OUTCOME_COUNTERS = ("succeeded", "rejected", "failed", "client left")
 
 
-def unsupported_acts(site: pb.Site, script: Script, web: bool = False, kept: bool = False) -> list[str]:
+def mismatched_acts(site: pb.Site, script: Script, web: bool = False, kept: bool = False) -> list[str]:
     """Returns a message for each thing a script names that this site or kind of gateway does not have.
 
     Args:
@@ -161,7 +163,7 @@
         super().__init__(transport, who, "")
         self._simulation, self._process, self._name = simulation, transport, who
 
-    def saw(self, event: str, **facts: Any) -> None:
+    def record(self, event: str, **facts: Any) -> None:
         if not self._process.alive:
             return
         if event == "told":
@@ -192,18 +194,20 @@
     seconds: float
     records: list[dict[str, Any]] = field(default_factory=list)
     states: dict[str, int] = field(default_factory=dict)
-    online_breaks: list[tuple[float, Break]] = field(default_factory=list)
+    online_breaks: list[tuple[float, Violation]] = field(default_factory=list)
 
     @property
     def good(self) -> bool:
         v = self.verdict
-        return not (v.breaks or self.online_breaks or v.lost or v.duplicated or v.wrong_reads or self.defects)
+        return not (
+            v.violations or self.online_breaks or v.lost or v.duplicated or v.wrong_reads or self.defects
+        )
 
     @property
     def reasons(self) -> list[str]:
         """Short texts of what is wrong. The same fault gives the same text; script reduction relies on it."""
         v = self.verdict
-        rules = {b.rule for b in v.breaks} | {b.rule for _, b in self.online_breaks}
+        rules = {b.rule for b in v.violations} | {b.rule for _, b in self.online_breaks}
         found = [f"rule {n}" for n in sorted(rules)]
         found += ["wrong reads"] if v.wrong_reads else []
         return found + sorted({d.split(":")[0] for d in self.defects})
@@ -222,8 +226,8 @@
     """
 
     known_states = STATES
-    discovery_class: type[NodeList] = NodeList
-    backend_class: type[Shelf] = Shelf
+    discovery_class: type[FakeDiscovery] = FakeDiscovery
+    backend_class: type[FakeBackend] = FakeBackend
     client_class: type[LoadClient] = LoadClient
     applied_by_fakes: tuple[str, ...] = ("late", "refuse", "still", "slow", "errors", "surge")
 
@@ -235,7 +239,7 @@
             *(f"shelf-{n}:4430" for n in range(script.shelves)),
             *(f"head-{n}:4520" for n in range(script.heads)),
         ]
-        self.site = sized(site, script.heads, script.shelves, addresses)
+        self.site = resized_site(site, script.heads, script.shelves, addresses)
         self.loop = VirtualLoop()
         self.network = Network(self.loop, script.seed)
         self.loop.set_exception_handler(self._on_callback_error)
@@ -243,7 +247,7 @@
         self.network.on_lost = lambda source, destination: self._record_unreachable(source, destination, 0.0)
         self.disk = Disk()
         self.records: list[dict[str, Any]] = []
-        self.online_checker = OnlineWitness(self.site, TIMING_SLACK)
+        self.online_checker = OnlineChecker(self.site, TIMING_SLACK)
         self.defects: list[str] = []
         cold = self.site.rules.cold
         if script.seed % 2:
@@ -259,8 +263,8 @@
         self.traffic_start = self.loop.time() + START_UP
         self.day = self._process("day")
         self.processes: dict[str, VirtualTransport] = {}
-        self.discovery: NodeList
-        self.backends: dict[int, Shelf] = {}
+        self.discovery: FakeDiscovery
+        self.backends: dict[int, FakeBackend] = {}
         self.gateways: dict[int, Any] = {}  # their class depends on the variant
         self.clients: dict[str, LoadClient] = {}
         # Updates of the endpoint list that have not arrived yet, with the time each was sent, by pipe.
@@ -277,7 +281,7 @@
         """Adds an event to the history and passes it to the online checker."""
         record = {"t": self.loop.time(), "who": who, "e": event, **facts}
         self.records.append(record)
-        self.online_checker.take(record)
+        self.online_checker.add(record)
         self.network.add_to_digest(who, event, *facts.values())
 
     def list_update_sent(self, facts: dict[str, Any]) -> None:
@@ -356,7 +360,7 @@
     def _start_gateway(self, number: int) -> None:
         name = f"head {number}"
         process = self._start(name)
-        gateway = Head(
+        gateway = NvmeGateway(
             process,
             self.site,
             number,
@@ -398,7 +402,7 @@
         )
         if self.script.volumes:
             client.volumes = [v for v in client.volumes if v.number in self.script.volumes]
-        client.leaves = self.script.leaves
+        client.abandon_fraction = self.script.leaves
         self.clients[tenant] = client
 
         async def run_and_finish() -> None:
@@ -559,7 +563,7 @@
         for _ in range(20):
             try:
                 stream = await self.day.connect(*split_address(self.site.list.address), 2.0)
-                stream.write(msgspec.json.encode(Order(backend, state)) + b"\n")
+                stream.write(msgspec.json.encode(DrainOrder(backend, state)) + b"\n")
                 await stream.read()
                 stream.close()
                 return
@@ -583,8 +587,8 @@
         for name, process in self.processes.items():
             if process.failed is not None:
                 self.defects.append(f"{name.split(' ')[0]} raised: {process.failed!r}")
-        self.online_checker.end(self.loop.time())
-        verdict = Witness(self.site, self.records, TIMING_SLACK).judge()
+        self.online_checker.finish(self.loop.time())
+        verdict = HistoryChecker(self.site, self.records, TIMING_SLACK).check()
         if not verdict.counts["honoured"]:
             self.defects.append("nothing was honoured: this run shows nothing")
         return Outcome(
@@ -595,7 +599,7 @@
             self.loop.time() - self.traffic_start + START_UP,
             self.records,
             self.states,
-            self.online_checker.breaks,
+            self.online_checker.violations,
         )
 
     async def _play(self) -> None:
@@ -629,7 +633,7 @@
 
     def _follows_discovery(self, gateway: Any) -> bool:
         """Whether the gateway has an open stream of updates from the discovery server."""
-        return gateway.follower._stream is not None
+        return gateway.discovery._stream is not None
 
     def _close(self) -> None:
         for process in (*self.processes.values(), self.day):
@@ -673,14 +677,16 @@
                 if attempt in driver.awaiting_placement:
                     continue  # waits for the disk, or for replicas
                 if not attempt.ended and (
-                    link is None or link.out.get(attempt.cid) is not attempt and attempt not in link.waiting
+                    link is None
+                    or link.in_flight.get(attempt.cid) is not attempt
+                    and attempt not in link.awaiting_connection
                 ):
                     self._add_defect(
                         f"forward that no link holds: head {number}, shelf {attempt.backend}, transaction "
                         f"{owner.id}"
                     )
         for link in driver.links.values():
-            for attempt in (*link.out.values(), *link.waiting):
+            for attempt in (*link.in_flight.values(), *link.awaiting_connection):
                 request = driver.open_requests.get(attempt.request)
                 if (
                     not attempt.ended
@@ -688,7 +694,7 @@
                     and (request is None or request.in_flight.get(attempt.number) is not attempt)
                 ):
                     self._add_defect(
-                        f"forward without an owner: head {number}, shelf {link.shelf}, transaction "
+                        f"forward without an owner: head {number}, shelf {link.backend}, transaction "
                         f"{attempt.request}"
                     )
 
--- a/gorsethread/simulation/states.py
+++ b/gorsethread/simulation/states.py
@@ -44,7 +44,7 @@
 }
 STATES: States = COMMON_STATES | {
     "a link is down": lambda gateway: any(link.association is None for link in gateway.driver.links.values()),
-    "the list is not followed": lambda gateway: gateway.follower._stream is None,
+    "the list is not followed": lambda gateway: gateway.discovery._stream is None,
 }
 WEB_STATES: States = COMMON_STATES | {
     "a connection comes up": lambda gateway: gateway.pool.open_connections
--- a/tests/scheduling/test_same_decisions.py
+++ b/tests/scheduling/test_same_decisions.py
@@ -10,12 +10,12 @@
 from gorsethread.gateway.driver import Driver
 from gorsethread.gateway.held_reasons import why_held
 from gorsethread.gateway.scheduler_settings import EFFECTS, IDEMPOTENCY_SCOPES
-from gorsethread.latency_attribution.request_attribution import Accounts
+from gorsethread.latency_attribution.request_attribution import LatencyAccounts
 from gorsethread.logs import log_for, start_logs
 from gorsethread.nvme.command import Opcode, io_command
-from gorsethread.nvme_gateway.backend_link import Order
+from gorsethread.nvme_gateway.backend_link import BackendCommand
 from gorsethread.nvme_gateway.extent_placement import SitePlacement
-from gorsethread.nvme_gateway.scheduler_settings import start_facts
+from gorsethread.nvme_gateway.scheduler_settings import settings_from_site
 from gorsethread.scheduling.model import AttemptOutcome, SchedulerSettings
 from gorsethread.simulator_adapter.events import ATTEMPT_OUTCOMES
 from gorsethread.simulator_adapter.instances import Instances
@@ -40,7 +40,7 @@
 class FakeClient:
     """Ignores all answers."""
 
-    profile = 0
+    request_class = 0
 
     def succeeded(self, shard: int, data: bytes) -> None: ...
     def rejected(self, return_after: float) -> None: ...
@@ -194,13 +194,15 @@
         clock = ManualClock()
         site = parse_site(SITE)
         recorded: list[tuple[Any, ...]] = []
-        driver = Driver(clock, start_facts(site), seed, SitePlacement(site), lambda: None, log_for())  # type: ignore[arg-type]
+        driver = Driver(clock, settings_from_site(site), seed, SitePlacement(site), lambda: None, log_for())  # type: ignore[arg-type]
         driver.recorder = recorded.append
         links = {id: FakeLink() for id in (0, 1)}
         driver.links.update(links)  # type: ignore[arg-type]
         driver.shards.update({0: 0, 1: 1})
         if accounts:
-            driver.accounting.accounts = Accounts([profile.promised for profile in site.profile], clock.time)
+            driver.accounting.accounts = LatencyAccounts(
+                [profile.promised for profile in site.profile], clock.time
+            )
         clock.run_ready()
         driver.endpoints_listed([(0, 0, 0, True, 0.0), (1, 0, 1, True, 0.0)], True, True)
         for step in range(600):
@@ -240,7 +242,7 @@
         self.assertEqual({}, driver.open_requests, "every request has ended")
         self.assertEqual({}, driver.first_writes.pending)
         if driver.accounting.accounts:
-            self.assertEqual(0, driver.accounting.accounts.open)
+            self.assertEqual(0, driver.accounting.accounts.open_count)
             self.assertEqual(0, driver.accounting.accounts.window.remainders)
         return recorded, [entry[1:] for entry in recorded if entry[0] == "act"]
 
@@ -258,7 +260,7 @@
         key = f"{volume}/{extent}" if request_class == 1 else None
         driver.admit(
             FakeClient(),
-            Order(command),
+            BackendCommand(command),
             request_class=request_class,
             service_tier=0,
             key=key,
@@ -268,14 +270,14 @@
             units=float(1 + generator.randrange(8)),
             shard=shard,
             gateways=1,
-            is_retry=command.repeat,
+            is_retry=command.is_retry,
             arrived=driver.transport.now(),
         )
 
     def run_simulator_adapter(self, recorded: list[tuple[Any, ...]], seed: int) -> list[tuple[Any, ...]]:
         """Passes the recorded events to the simulator adapter; returns the scheduler's actions."""
         instances = Instances()
-        up = {"verb": "up", "salt": seed, "setup": simulator_setup(start_facts(parse_site(SITE)))}
+        up = {"verb": "up", "salt": seed, "setup": simulator_setup(settings_from_site(parse_site(SITE)))}
         decided: list[tuple[Any, ...]] = []
         batch: list[dict[str, Any]] = [up]
         page: list[Any] = []
--- a/tests/test_durable_log.py
+++ b/tests/test_durable_log.py
@@ -16,14 +16,14 @@
 from gorsethread.durable_log import replication_messages
 from gorsethread.durable_log.log_store import LogStore
 from gorsethread.durable_log.records import ExtentPlaced, Record
-from gorsethread.harness.durable_log_trial import PLAYED, KeptTrial, Result
-from gorsethread.harness.process_faults import unplayable
+from gorsethread.harness.durable_log_trial import SUPPORTED_ACTS, DurableLogTrial, Result
+from gorsethread.harness.process_faults import unsupported_acts
 from gorsethread.harness.processes import Processes
-from gorsethread.harness.site import PARTIES
+from gorsethread.harness.site import SUPPORTED_PARTIES
 from gorsethread.logs import log_for, start_logs
-from gorsethread.nvme_gateway.peers import fleet_of
+from gorsethread.nvme_gateway.peers import fleet_id
 from gorsethread.recovery.stages import Stage
-from gorsethread.simulation.durable_log_mutants import KEPT_MUTANTS
+from gorsethread.simulation.durable_log_mutants import DURABLE_LOG_MUTANTS
 from gorsethread.simulation.durable_log_simulation import DurableLogSimulation
 from gorsethread.simulation.runs import play, play_many
 from gorsethread.simulation.script import read_script
@@ -103,10 +103,12 @@
         return simulation
 
     def stages(self, simulation: DurableLogSimulation) -> list[Stage]:
-        return [h.promises.recovery.stage for h in simulation.gateways.values()]
+        return [h.replicated_log.recovery.stage for h in simulation.gateways.values()]
 
     def test_random_simulations_keep_every_rule_and_every_acknowledged_record(self) -> None:
-        failed = [(p.seed, p.reasons, p.first) for p in play_many(SITE, range(40), kept=True) if p.reasons]
+        failed = [
+            (p.seed, p.reasons, p.first) for p in play_many(SITE, range(40), durable_log=True) if p.reasons
+        ]
         self.assertEqual([], failed)
 
     def test_without_records_a_restart_forgets_owners(self) -> None:
@@ -120,27 +122,27 @@
         self.assertIn("an owner is forgotten", WithoutRecords(SITE, read_script(text)).play().reasons)
 
     def test_each_planted_defect_is_detected(self) -> None:
-        self.assertEqual(set(KEPT_MUTANTS), set(SCRIPTS_BY_DEFECT))
+        self.assertEqual(set(DURABLE_LOG_MUTANTS), set(SCRIPTS_BY_DEFECT))
         for name, text in SCRIPTS_BY_DEFECT.items():
             with self.subTest(name):
-                self.assertFalse(play(SITE, read_script(text), name, kept=True).good)
+                self.assertFalse(play(SITE, read_script(text), name, durable_log=True).good)
         for text in set(SCRIPTS_BY_DEFECT.values()):
             with self.subTest("no defect planted", text=text):
-                self.assertTrue(play(SITE, read_script(text), kept=True).good)
+                self.assertTrue(play(SITE, read_script(text), durable_log=True).good)
 
     def test_gateways_do_not_wait_for_one_that_stays_down(self) -> None:
         simulation = self.play_good("2 kill head-0 for 0.3\n2 kill head-1 for 0.5\n2 kill head-2 for 5\n")
         self.assertEqual([Stage.COMPLETE] * 3, self.stages(simulation))
-        recovery = simulation.gateways[0].promises.recovery
+        recovery = simulation.gateways[0].replicated_log.recovery
         self.assertLess(recovery.stage_since - recovery.started, 2.2)
 
     def test_an_empty_disk_is_recognised_as_lost_and_refilled(self) -> None:
         simulation = self.play_good("3 wipe head-0 for 0.5\n3 kill head-2 for 3\n")
-        recovery = simulation.gateways[0].promises.recovery
+        recovery = simulation.gateways[0].replicated_log.recovery
         self.assertGreater(
             recovery.stage_since - recovery.started, 2.0, "it waited for the one that may hold more"
         )
-        self.assertGreater(len(simulation.gateways[0].promises.store.table.placements()), 10)
+        self.assertGreater(len(simulation.gateways[0].replicated_log.store.table.placements()), 10)
 
     def test_exchanged_disks_are_recognised(self) -> None:
         self.play_good("3 swap head-0 <-> head-1 for 0.5\n")
@@ -174,7 +176,7 @@
 
         def start_second() -> None:
             """Start another machine with this gateway's number and an empty disk."""
-            earlier = simulation.gateways[0].promises
+            earlier = simulation.gateways[0].replicated_log
             process = VirtualTransport(simulation.network, simulation.disk, "head 0 again")
             simulation.processes["second"] = process
 
@@ -192,7 +194,7 @@
 
         simulation.loop.call_at(simulation.traffic_start + 4.0, start_second)
         outcome = simulation.play()
-        self.assertTrue(simulation.gateways[0].promises.sender.fenced)
+        self.assertTrue(simulation.gateways[0].replicated_log.sender.fenced)
         self.assertEqual(["does not promise again"], outcome.reasons)
 
 
@@ -229,7 +231,7 @@
             transport = RealTransport(1)
             for name, gateway, is_replica in (("own-0", 0, False), ("copies/head-2", 2, True)):
                 store = LogStore(
-                    transport, f"{self.folder}/{name}", fleet_of(SITE), gateway, log_for(), is_replica
+                    transport, f"{self.folder}/{name}", fleet_id(SITE), gateway, log_for(), is_replica
                 )
                 store.open()
                 await store.start_incarnation(1000)
@@ -270,7 +272,7 @@
         status, text = self.run_command("verify", str(self.folder))
         self.assertEqual(1, status)
         self.assertIn(f"own-0/{path.name}: bytes", text)
-        self.assertIn("to do: start the head while the others serve", text)
+        self.assertIn("to do: start the gateway while the others serve", text)
         self.assertEqual(bytes(data), path.read_bytes())
 
     def test_invalid_folders_exit_with_status_2(self) -> None:
@@ -336,7 +338,7 @@
 
         async def work() -> Result:
             with tempfile.TemporaryDirectory() as folder:
-                trial = KeptTrial(
+                trial = DurableLogTrial(
                     RealTransport(3), Processes(Path(folder), SITE), SITE, log_for(), read_script(text), plant
                 )
                 result = await trial.play()
@@ -346,7 +348,7 @@
         return asyncio.run(work())
 
     def test_no_way_to_lose_a_disk_makes_gateways_forget_an_owner(self) -> None:
-        self.assertEqual([], unplayable(read_script(LOSSES), PLAYED, PARTIES))
+        self.assertEqual([], unsupported_acts(read_script(LOSSES), SUPPORTED_ACTS, SUPPORTED_PARTIES))
         result = self.play(LOSSES)
         self.assertTrue(result.good, result)
         self.assertGreater(result.placed, 15)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,8 +14,8 @@
 from gorsethread.cli.fleet import record_as_json
 from gorsethread.experiments.membership_processes import FLEET, PARTIES, PLAYED, RealFleet
 from gorsethread.experiments.operator_queries import NoAnswer, Shown, ask, ask_past
-from gorsethread.harness.process_faults import unplayable
-from gorsethread.harness.processes import Processes, resized
+from gorsethread.harness.process_faults import unsupported_acts
+from gorsethread.harness.processes import Processes, resize_site
 from gorsethread.logs import log_for, start_logs
 from gorsethread.membership.gossip_messages import (
     GossipMessage,
@@ -24,8 +24,8 @@
     MessageKind,
     encode,
 )
-from gorsethread.nvme_gateway.membership_service import FleetSide
-from gorsethread.nvme_gateway.peers import fleet_of
+from gorsethread.nvme_gateway.membership_service import MembershipService
+from gorsethread.nvme_gateway.peers import fleet_id
 from gorsethread.simulation.script import read_script
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.site_config.reading import read_site, split_address
@@ -57,7 +57,7 @@
         self.assertLess(result.bytes_a_head_a_second, 1500)
 
     async def test_gateways_see_a_kill_a_restart_and_a_graceful_shutdown_of_others(self) -> None:
-        site = resized(read_site(Path(__file__).parent.parent / "deploy" / "site.txtpb"), 4, 2)
+        site = resize_site(read_site(Path(__file__).parent.parent / "deploy" / "site.txtpb"), 4, 2)
         transport = RealTransport(3)
 
         async def until(gateway: int, condition: Callable[[Shown], bool]) -> Shown:
@@ -66,7 +66,7 @@
             deadline = transport.now() + 25.0
             while True:
                 try:
-                    shown = await ask(transport, address, fleet_of(site), 1.0)
+                    shown = await ask(transport, address, fleet_id(site), 1.0)
                 except NoAnswer:
                     shown = Shown()
                 if condition(shown):
@@ -121,7 +121,7 @@
             fleet = RealFleet(
                 transport, Processes(Path(folder), pb.Site()), read_script("heads 2\n"), lambda line: None
             )
-            fleet.cast.faults.cut([("head 0", "head 1"), ("head 1", "head 0")], 0.0)
+            fleet.fault_player.faults.cut([("head 0", "head 1"), ("head 1", "head 0")], 0.0)
             await asyncio.gather(*(fleet._start(f"head {n}") for n in range(2)))
             await fleet._settle(6.0, "a cut that stays")
             fleet.script = read_script("heads 2\n")
@@ -132,13 +132,13 @@
 
     def test_unusable_scripts_and_addresses_are_rejected(self) -> None:
         unsupported = read_script("1 slow shelf-0 by 2 for 1\n2 starve head-0 by 1 for 1\n")
-        self.assertEqual(2, len(unplayable(unsupported, PLAYED, PARTIES)))
+        self.assertEqual(2, len(unsupported_acts(unsupported, PLAYED, PARTIES)))
         for arguments, message in (
             (("fleet", "show", "--head", "nowhere"), "no host:port"),
             (("fleet", "show", "--head", "127.0.0.1:9"), "no answer"),
             (("fleet", "history", "--head", "127.0.0.1:9"), "no answer"),
             (("fleet", "watch", "--head", "127.0.0.1:9", "--every", "0"), "0.1 or more"),
-            (("fleet", "show", "--head", "9", "--site", "deploy/site.txtpb"), "no head"),
+            (("fleet", "show", "--head", "9", "--site", "deploy/site.txtpb"), "no gateway"),
             (("fleet", "show", "--head", "0", "--site", "/nowhere"), "can't be read"),
             (("lab", "fleet", "--processes", "1"), "2 or more"),
             (("lab", "fleet", "--script", "/nowhere"), "No such file"),
@@ -158,7 +158,7 @@
         addresses = [("127.0.0.1", 100 + n) for n in range(3)]
         for n in range(3):
             process = VirtualTransport(network, Disk(), f"head {n}")
-            side = FleetSide(
+            side = MembershipService(
                 process,
                 MemberRecord(n, 0, 0, MemberState.ALIVE, 0, 0, *addresses[n], n),
                 addresses[n],
@@ -183,7 +183,9 @@
         after_messages = loop.create_future()
         loop.call_later(10.0, after_messages.set_result, None)
         loop.run_until_complete(after_messages)
-        self.assertEqual({"malformed": 2, "from no peer": 1, "another fleet": 1}, dict(sides[0].wrong))
+        self.assertEqual(
+            {"malformed": 2, "from no peer": 1, "another fleet": 1}, dict(sides[0].dropped_datagrams)
+        )
         self.assertEqual([True] * 3, [side.view.settled for side in sides])
         sides[2].stop()
         after_leaving = loop.create_future()
--- a/tests/test_offline_writes.py
+++ b/tests/test_offline_writes.py
@@ -14,20 +14,20 @@
 
 from gorsethread.cli.main import app
 from gorsethread.durable_log.replication_messages import encode
-from gorsethread.harness.branches import PLAYED, BranchTrial, Result
-from gorsethread.harness.process_faults import unplayable
+from gorsethread.harness.branches import SUPPORTED_ACTS, BranchTrial, Result
+from gorsethread.harness.process_faults import unsupported_acts
 from gorsethread.harness.processes import Processes
-from gorsethread.harness.site import PARTIES
+from gorsethread.harness.site import SUPPORTED_PARTIES
 from gorsethread.logs import log_for, start_logs
-from gorsethread.nvme_gateway.peers import fleet_of
+from gorsethread.nvme_gateway.peers import fleet_id
 from gorsethread.offline_writes import messages as offline_messages
 from gorsethread.offline_writes.messages import OperatorQuery
 from gorsethread.simulation.branch_mutants import BRANCH_MUTANTS
 from gorsethread.simulation.branch_simulation import BranchSimulation
-from gorsethread.simulation.runs import drawn, play, play_many
+from gorsethread.simulation.runs import generate_script, play, play_many
 from gorsethread.simulation.script import read_script
 from gorsethread.site_config import site_pb2 as pb
-from gorsethread.site_config.reading import BadSite, parse_site, read_site
+from gorsethread.site_config.reading import SiteFileError, parse_site, read_site
 from gorsethread.transport.base import StreamClosed
 from gorsethread.transport.real import RealTransport
 from gorsethread.transport.virtual import VirtualTransport
@@ -123,7 +123,7 @@
         self.assertEqual(set(BRANCH_MUTANTS), set(DETECTING_SCRIPTS))
         for mutant, source in DETECTING_SCRIPTS.items():
             with self.subTest(mutant):
-                script = read_script(source) if isinstance(source, str) else drawn(SITE, source)
+                script = read_script(source) if isinstance(source, str) else generate_script(SITE, source)
                 self.assertFalse(play(SITE, script, mutant).good)
         self.assertTrue(play(SITE, read_script(CRASHES_DURING_REPLAY)).good)
 
@@ -220,7 +220,7 @@
 class InvalidMessages(unittest.TestCase):
     def test_invalid_messages_end_their_own_stream_and_harm_nothing_else(self) -> None:
         simulation = BranchSimulation(SITE, read_script(SCRIPT_START))
-        fleet, ended = fleet_of(simulation.site), list[str]()
+        fleet, ended = fleet_id(simulation.site), list[str]()
         process = VirtualTransport(simulation.network, simulation.disk, "stranger")
         simulation.processes["stranger"] = process
 
@@ -264,7 +264,7 @@
         """Plays a simulation in which the first dead letter is released, or the last one discarded."""
         answers: list[Any] = []
         for seed in range(40):
-            simulation, answers = BranchSimulation(SITE, drawn(SITE, seed)), []
+            simulation, answers = BranchSimulation(SITE, generate_script(SITE, seed)), []
 
             def decide(simulation: BranchSimulation = simulation, answers: list[Any] = answers) -> None:
                 for number in (3, 4):
@@ -304,7 +304,7 @@
             "the invariant checker reports the discarded write as lost",
         )
         gateway = last["number"][0]
-        table = simulation.gateways[gateway].promises.store.table
+        table = simulation.gateways[gateway].replicated_log.store.table
         self.assertIn((-3, *last["number"][1:]), table.records)
 
     def test_an_operator_command_for_an_unknown_write_returns_an_error(self) -> None:
@@ -322,7 +322,7 @@
 
     def test_invalid_arguments_are_reported(self) -> None:
         for arguments, expected in (
-            ("show 0", "Name a head that stands in a branch"),
+            ("show 0", "Name a gateway that is in a branch"),
             ("show 3", "See that the head runs"),
             ("release 3 --number x", "is not like"),
             ("discard 3 --number 3/1/1", "--yes"),
@@ -342,7 +342,7 @@
             (("shard: 4 head: 0 head: 1 head: 3 head: 4", "shard: 4 head: 3 head: 4"), "no head of the"),
             ((read_class, f"{read_class} held_when_cut_off: true"), "only writes"),
         ):
-            with self.subTest(expected), self.assertRaises(BadSite) as caught:
+            with self.subTest(expected), self.assertRaises(SiteFileError) as caught:
                 self.assertIn(original, text)
                 parse_site(text.replace(original, changed))
             self.assertIn(expected, str(caught.exception))
@@ -355,9 +355,9 @@
         branch_states: list[dict[str, Any]] = []
 
         class Trial(BranchTrial):
-            async def _settled(self) -> None:
+            async def _clients_finished(self) -> None:
                 """Also runs `branch show` in a process of its own, as an operator would."""
-                await super()._settled()
+                await super()._clients_finished()
                 path = self.processes.folder / "site-of-heads.txtpb"
                 arguments = ["branch", "show", "--site", str(path), "--head", "3", "--json", "-"]
                 shown = await asyncio.to_thread(
@@ -383,7 +383,7 @@
         return asyncio.run(play_trial()), branch_states
 
     def test_link_loss_and_crashes_on_both_sides(self) -> None:
-        self.assertEqual([], unplayable(read_script(REAL_PROCESSES), PLAYED, PARTIES))
+        self.assertEqual([], unsupported_acts(read_script(REAL_PROCESSES), SUPPORTED_ACTS, SUPPORTED_PARTIES))
         result, states = self.play(REAL_PROCESSES)
         self.assertTrue(result.good, result)
         self.assertGreater(result.accepted, 10)
