--- a/gorsethread/cli/faults.py
+++ b/gorsethread/cli/faults.py
@@ -25,8 +25,8 @@
     shrink,
     timeline,
 )
-from gorsethread.simulation.script import KINDS, BadScript, Script, read_script
-from gorsethread.simulation.site_simulation import misfits
+from gorsethread.simulation.script import ACT_KINDS, InvalidScriptError, Script, read_script
+from gorsethread.simulation.site_simulation import mismatched_acts
 from gorsethread.simulation.states import STATES, WEB_STATES
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.sampling import wall_seconds
@@ -70,12 +70,12 @@
         return generate_script(site, int(what), web, with_records)
     try:
         script = read_script(Path(what).read_text())
-        if mismatches := misfits(site, script, web, with_records):
-            raise BadScript(mismatches)
+        if mismatches := mismatched_acts(site, script, web, with_records):
+            raise InvalidScriptError(mismatches)
         return script
     except OSError as error:
         typer.echo(f"{what}: {error.strerror}", err=True)
-    except BadScript as error:
+    except InvalidScriptError as error:
         print_error(error, what)
     raise typer.Exit(2)
 
@@ -118,7 +118,7 @@
             console.print(f"seed {played.seed}: {', '.join(played.reasons)}", markup=False)
             console.print(played.first, markup=False, highlight=False)
     wall = wall_seconds() - began
-    pairs = len(KINDS) * len(WEB_STATES if web else STATES)
+    pairs = len(ACT_KINDS) * len(WEB_STATES if web else STATES)
     unreached = summary.unreached(web)
     console.print(
         f"{summary.worlds} simulations, {summary.taken} requests: {len(summary.failed)} failed. "
@@ -146,17 +146,17 @@
 def kinds() -> None:
     """List the faults that a script may contain: their targets, arguments and effects."""
     table = Table("fault", "targets", "arguments", "effect")
-    for name, kind in KINDS.items():
+    for name, kind in ACT_KINDS.items():
         arguments = [
             word
             for word, needed in (
-                ("-> or <-> whom", kind.to),
-                ("by AMOUNT", kind.by),
+                ("-> or <-> whom", kind.has_peer),
+                ("by AMOUNT", kind.has_amount),
                 ("for SECONDS", kind.lasts),
             )
             if needed
         ]
-        table.add_row(name, ", ".join(kind.strikes), " ".join(arguments), kind.says)
+        table.add_row(name, ", ".join(kind.targets), " ".join(arguments), kind.effect)
     Console().print(table)
 
 
--- a/gorsethread/harness/process_faults.py
+++ b/gorsethread/harness/process_faults.py
@@ -27,7 +27,7 @@
         f"{act}: not for real processes"
         for act in script.acts
         if act.kind not in kinds
-        or not act.whom.startswith(parties)
+        or not act.target.startswith(parties)
         or act.to
         and not act.to.startswith(parties)
     ]
@@ -80,15 +80,15 @@
             return [
                 direction
                 for far_party in self.link_far_side
-                for n, direction in enumerate(((act.whom, far_party), (far_party, act.whom)), 1)
-                if act.by in (0, n)
+                for n, direction in enumerate(((act.target, far_party), (far_party, act.target)), 1)
+                if act.amount in (0, n)
             ]
-        pairs = [(a, b) for a in self.members(act.whom) for b in self.members(act.to) if a != b]
-        return pairs + [(b, a) for a, b in pairs] if act.both else pairs
+        pairs = [(a, b) for a in self.members(act.target) for b in self.members(act.to) if a != b]
+        return pairs + [(b, a) for a, b in pairs] if act.both_ways else pairs
 
     async def apply(self, act: Act) -> float:
         """Starts an act; returns the time at which it will be over, on this machine's clock."""
-        now, kind = self.transport.now(), act.whom.split(" ")[0]
+        now, kind = self.transport.now(), act.target.split(" ")[0]
         if act.kind in ("cut", "link"):
             directions = self.directions(act)
             self.faults.cut(directions, now)
@@ -100,30 +100,30 @@
             for sender, receiver in self.directions(act):
                 (self.streams.reset if act.kind == "reset" else self.streams.mute)(sender, receiver)
         elif act.kind == "lose":
-            self.faults.lossy[act.whom] = act.by
-            self._after(act.seconds, lambda: self.faults.lossy.pop(act.whom, None))
+            self.faults.lossy[act.target] = act.amount
+            self._after(act.seconds, lambda: self.faults.lossy.pop(act.target, None))
         elif act.kind == "stab":
-            self.flag(act).write_text(str(int(act.by)))
+            self.flag(act).write_text(str(int(act.amount)))
             self._tasks.append(asyncio.ensure_future(self._await_kill_point(act)))
         elif kind in self.in_process_acts:
             self._tasks.append(asyncio.ensure_future(self.in_process_acts[kind](act)))
         elif act.kind == "pause":
-            self.signal(act.whom, signal.SIGSTOP)
-            self.stopped.add(act.whom)
+            self.signal(act.target, signal.SIGSTOP)
+            self.stopped.add(act.target)
             self.on_act("stopped", act)
-            self._after(act.seconds, lambda: self.resume(act.whom))
+            self._after(act.seconds, lambda: self.resume(act.target))
         else:
-            for name in (act.whom, act.to) if act.kind == "swap" else (act.whom,):
+            for name in (act.target, act.to) if act.kind == "swap" else (act.target,):
                 self.stopped.discard(name)
                 if act.kind == "term":
                     self.on_act("told to end", act)
                     await self.processes.end(name)
                 else:
                     await self.processes.end(name, signal.SIGKILL)
-                    self.on_act("killed", replace(act, whom=name))
+                    self.on_act("killed", replace(act, target=name))
             if act.kind in FOLDER_ACTS:
                 self.on_folder_act(act)
-            for name in (act.whom, act.to) if act.kind == "swap" else (act.whom,):
+            for name in (act.target, act.to) if act.kind == "swap" else (act.target,):
                 self._tasks.append(asyncio.ensure_future(self._restart(name, act.seconds)))
         return now + act.seconds
 
@@ -136,19 +136,19 @@
 
     def flag(self, act: Act) -> Path:
         """Returns the file that arms the act's kill point in the gateway's process."""
-        return self.processes.folder / f"{act.whom} {act.to}".replace(" ", "-")
+        return self.processes.folder / f"{act.target} {act.to}".replace(" ", "-")
 
     async def _await_kill_point(self, act: Act) -> None:
-        process = self.processes.running[act.whom]
+        process = self.processes.running[act.target]
         try:
             await asyncio.wait_for(process.wait(), KILL_POINT_TIMEOUT_SECONDS)
         except TimeoutError:
             self.unreached_points.append(str(act))
             return
-        self.processes.running.pop(act.whom)
+        self.processes.running.pop(act.target)
         self.flag(act).unlink()
         self.on_act("killed", act)
-        await self._restart(act.whom, act.seconds)
+        await self._restart(act.target, act.seconds)
 
     async def _restart(self, name: str, after: float) -> None:
         await self.transport.sleep(after)
--- a/gorsethread/harness/site.py
+++ b/gorsethread/harness/site.py
@@ -83,7 +83,9 @@
         super().__init__(transport, processes, site, log, script, defect_code)
         self.fault_player.in_process_acts["volume"] = self._volume_act
         # Relaying costs this process time, so only paths that the script disturbs are relayed.
-        named = {name.split(" ")[0] for a in script.acts if a.kind in STREAM_ACTS for name in (a.whom, a.to)}
+        named = {
+            name.split(" ")[0] for a in script.acts if a.kind in STREAM_ACTS for name in (a.target, a.to)
+        }
         self.relayed_kinds = {kind for kind in ("shelf", "client") if kind in named}
         if any(a.kind == "link" for a in script.acts):
             self.relayed_kinds.add("shelf")
@@ -157,7 +159,7 @@
         flags = {
             a.to.split(" ")[1]: self.fault_player.flag(a)
             for a in self.script.acts
-            if a.kind == "stab" and a.whom == name
+            if a.kind == "stab" and a.target == name
         }
         setup_code = f"{kill_point_code(flags) if flags else ''}\n{self.defect_code}"
         await self.processes.start(
--- a/gorsethread/simulation/membership_simulation.py
+++ b/gorsethread/simulation/membership_simulation.py
@@ -237,14 +237,16 @@
 
     def _apply(self, act: Act) -> None:
         if act.kind == "cut":
-            pairs = [(a, b) for a in self._gateways_of(act.whom) for b in self._gateways_of(act.to) if a != b]
-            pairs += [(b, a) for a, b in pairs] if act.both else []
+            pairs = [
+                (a, b) for a in self._gateways_of(act.target) for b in self._gateways_of(act.to) if a != b
+            ]
+            pairs += [(b, a) for a, b in pairs] if act.both_ways else []
             for pair in pairs:
                 self.cuts[pair] += 1
                 self._note_fault(pair)
             self.at(self.now + act.seconds, lambda: self._heal_cuts(pairs))
             return
-        gateway = self.gateways[int(act.whom.split(" ")[1])]
+        gateway = self.gateways[int(act.target.split(" ")[1])]
         if not gateway.running:
             return
         self._note_fault((gateway.number,))
@@ -258,10 +260,10 @@
             gateway.paused = True
             self.at(self.now + act.seconds, lambda: self._resume(gateway))
         elif act.kind == "lose":
-            gateway.loss_probability = act.by
+            gateway.loss_probability = act.amount
             self.at(self.now + act.seconds, lambda: self._end_degradation(gateway))
         elif act.kind == "starve":
-            gateway.extra_delay = act.by
+            gateway.extra_delay = act.amount
             self.at(self.now + act.seconds, lambda: self._end_degradation(gateway))
         else:
             raise ValueError(f"{act}: the membership simulation does not support this act")
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -11,9 +11,15 @@
 from gorsethread.nvme_gateway.gateway import NvmeGateway
 from gorsethread.simulation.rule_mutants import break_rule
 from gorsethread.simulation.runs import play_many, shrink
-from gorsethread.simulation.script import BadScript, read_script
+from gorsethread.simulation.script import InvalidScriptError, read_script
 from gorsethread.simulation.script_generator import ScriptGenerator
-from gorsethread.simulation.site_simulation import ACCOUNTS, Outcome, World, misfits, play
+from gorsethread.simulation.site_simulation import (
+    LATENCY_FOLDER,
+    Outcome,
+    SiteSimulation,
+    mismatched_acts,
+    play,
+)
 from gorsethread.site_config.reading import read_site
 
 SITE = read_site(Path(__file__).parent.parent / "deploy" / "site.txtpb")
@@ -41,7 +47,7 @@
                     SITE, read_script(script(text)), lambda gateway, rule=rule: break_rule(gateway, rule)
                 )
                 self.assertGreater(outcome.verdict.rules[rule - 1], 0)
-                times = [at for at, broken in outcome.as_it_came if broken.rule == rule]
+                times = [at for at, broken in outcome.online_breaks if broken.rule == rule]
                 self.assertTrue(times, "the online checker did not detect it")
                 self.assertLess(times[0], outcome.records[-1]["t"])
 
@@ -52,7 +58,8 @@
 
     def assert_no_break(self, outcome: Outcome) -> None:
         self.assertEqual(
-            ([], [], []), ([str(b) for b in outcome.verdict.violations], outcome.as_it_came, outcome.defects)
+            ([], [], []),
+            ([str(b) for b in outcome.verdict.violations], outcome.online_breaks, outcome.defects),
         )
         self.assertGreater(outcome.verdict.counts["honoured"], 300)
 
@@ -119,14 +126,14 @@
             self.assertEqual(str(generated), str(read_script(str(generated))))
 
     def test_each_invalid_line_is_reported(self) -> None:
-        with self.assertRaises(BadScript) as caught:
+        with self.assertRaises(InvalidScriptError) as caught:
             read_script(
                 "seed 1\nseed -2\n1 kill head-0\n2 kill room-1 for 2\n3 cut head-0 shelf-1 for 1\n"
                 "x kill head-0 for 1\n4 slow shelf-0 by 2 for 3 more\n"
             )
         lines = [int(error.split(":")[0].split()[1]) for error in caught.exception.faults]
         self.assertEqual([2, 3, 4, 5, 6, 7], lines)
-        with self.assertRaises(BadScript) as caught:
+        with self.assertRaises(InvalidScriptError) as caught:
             read_script("heads 1\n1 kill head-1 for 1\n")
         self.assertIn("there is no head 1", caught.exception.faults[0])
 
@@ -135,23 +142,25 @@
             "volumes 1 99\n1 surge volume-77 by 2 for 1\n1 cut room-9 -> list for 1\n"
             "1 cut head-0 -> client-x for 1"
         )
-        self.assertEqual(4, len(misfits(SITE, read_script(text))))
-        self.assertEqual([], misfits(SITE, read_script("volumes 1 2\n1 cut room-1 -> client-archive for 1")))
+        self.assertEqual(4, len(mismatched_acts(SITE, read_script(text))))
+        self.assertEqual(
+            [], mismatched_acts(SITE, read_script("volumes 1 2\n1 cut room-1 -> client-archive for 1"))
+        )
 
 
 class HardCases(unittest.TestCase):
     """One script for each case: no rule may break, and each test checks what else must happen."""
 
-    def simulate(self, text: str) -> World:
-        simulation = World(SITE, read_script(script(text)))
+    def simulate(self, text: str) -> SiteSimulation:
+        simulation = SiteSimulation(SITE, read_script(script(text)))
         outcome = simulation.play()
         self.assertEqual(([], []), ([str(b) for b in outcome.verdict.violations], outcome.defects))
         return simulation
 
-    def event_times(self, simulation: World, event: str, **fields: Any) -> list[float]:
+    def event_times(self, simulation: SiteSimulation, event: str, **fields: Any) -> list[float]:
         """Returns when an event with these fields was recorded, in seconds of the script."""
         return [
-            r["t"] - simulation.zero
+            r["t"] - simulation.traffic_start
             for r in simulation.records
             if r["e"] == event and all(r.get(k) == v for k, v in fields.items())
         ]
@@ -194,7 +203,7 @@
             if r["e"] == "arrived"
             and r["shelf"] == 0
             and r["head"] == 0
-            and 2.0 < r["t"] - simulation.zero < 3.0
+            and 2.0 < r["t"] - simulation.traffic_start < 3.0
         }
         outcomes = {
             r["how"] for r in simulation.records if r["e"] == "answer" and (r["label"], r["attempt"]) in sent
@@ -222,7 +231,7 @@
             if r["e"] == "ended"
             and r["how"] == "honoured"
             and r["head"] == 0
-            and killed - 0.01 < r["t"] - simulation.zero <= killed
+            and killed - 0.01 < r["t"] - simulation.traffic_start <= killed
             and (r["label"], r["attempt"]) not in answered
         ]
         self.assertTrue(unanswered, "every response of the backend had reached its client")
@@ -250,24 +259,24 @@
     def test_a_zone_is_cut_off(self) -> None:
         simulation = self.simulate("2 cut room-0 <-> room-1 for 3\n2 cut room-0 <-> list for 3")
         crossed = [r for r in simulation.records if r["e"] == "arrived" and r["head"] % 2 != r["shelf"] % 2]
-        self.assertEqual([], [r for r in crossed if 2.01 < r["t"] - simulation.zero < 5.0])
-        self.assertTrue([r for r in crossed if r["t"] - simulation.zero > 5.0])
+        self.assertEqual([], [r for r in crossed if 2.01 < r["t"] - simulation.traffic_start < 5.0])
+        self.assertTrue([r for r in crossed if r["t"] - simulation.traffic_start > 5.0])
 
     def test_accounting_windows_survive_wall_clock_jumps(self) -> None:
         """Windows are named after the wall clock; none is lost or overwritten, and their counts add up."""
         simulation = self.simulate("2 wall head-0 by -30\n4 wall head-0 by 60\n5 wall head-1 by -0.5")
         counted = 0
-        for name in simulation.day.list_files(ACCOUNTS):
+        for name in simulation.day.list_files(LATENCY_FOLDER):
             counted += sum(
                 row.requests
                 for row in decode(
-                    simulation.day.load(f"{ACCOUNTS}/{name}") or b"", simulation.site.name
+                    simulation.day.load(f"{LATENCY_FOLDER}/{name}") or b"", simulation.site.name
                 ).all_rows()
             )
-        closed = sum(h.driver.counts["requests"] for h in simulation.heads.values())
+        closed = sum(h.driver.counts["requests"] for h in simulation.gateways.values())
         still_open = sum(
             row.requests
-            for h in simulation.heads.values()
+            for h in simulation.gateways.values()
             if h.accounting
             for row in h.accounting.accounts.close_window(h.transport.now()).all_rows()
         )
