--- a/gorsethread/cli/lab.py
+++ b/gorsethread/cli/lab.py
@@ -29,7 +29,7 @@
 from gorsethread.harness.process_faults import unsupported_acts
 from gorsethread.harness.processes import Processes
 from gorsethread.logs import log_for, start_logs
-from gorsethread.simulation.script import BadScript, Script, read_script
+from gorsethread.simulation.script import InvalidScriptError, Script, read_script
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.real import RealTransport, run
 
@@ -506,11 +506,11 @@
         text = Path(script).read_text() if script else BUILT_IN_SCRIPT
         played_script = replace(read_script(f"heads {processes}\n{text}"), heads=processes, seed=seed)
         if unsupported := unsupported_acts(played_script, PLAYED, PARTIES):
-            raise BadScript(unsupported)
+            raise InvalidScriptError(unsupported)
     except OSError as error:
         typer.echo(f"{script}: {error.strerror}", err=True)
         raise typer.Exit(2) from None
-    except BadScript as error:
+    except InvalidScriptError as error:
         print_error(error, script or "the built-in script")
         raise typer.Exit(2) from None
     console = Console(stderr=True)
--- a/gorsethread/harness/branches.py
+++ b/gorsethread/harness/branches.py
@@ -11,7 +11,7 @@
 from gorsethread.harness.durable_log_trial import DurableLogTrial
 from gorsethread.invariants.history_checker import Verdict
 from gorsethread.nvme_gateway.log_folders import own_log_folder
-from gorsethread.simulation.branch_checks import BranchClient, judge, on_disks
+from gorsethread.simulation.branch_checks import BranchClient, check_accepted_writes, queued_write_labels
 from gorsethread.simulation.script import Script
 from gorsethread.site_config import site_pb2 as pb
 
@@ -86,7 +86,7 @@
                 except FileNotFoundError:  # a running gateway replaced the segment
                     continue
             folders.append(files)
-        return on_disks(folders)
+        return queued_write_labels(folders)
 
     async def _clients_finished(self) -> None:
         deadline = self.transport.now() + REPLAY_TIMEOUT_SECONDS
@@ -98,16 +98,16 @@
         self._count_reused_numbers()
         r = self.result
         parked, waiting = self._queued_labels()
-        accepted = judge(self.site, self.records, parked, waiting)
-        r.accepted, r.replayed = len(accepted.all), len(accepted.replayed)
-        r.parked, r.effects_doubled = len(accepted.all & parked), len(accepted.doubled)
-        r.accepted_lost, r.causal_breaks = len(accepted.lost), len(accepted.causal)
+        accepted = check_accepted_writes(self.site, self.records, parked, waiting)
+        r.accepted, r.replayed = len(accepted.labels), len(accepted.replayed)
+        r.parked, r.effects_doubled = len(accepted.labels & parked), len(accepted.doubled)
+        r.accepted_lost, r.causal_breaks = len(accepted.lost), len(accepted.causal_breaks)
         r.accepted_unseen = len(accepted.unseen)
         r.cuts = sum(act.kind == "link" for act in self.script.acts)
         r.machines_lost = sum(act.kind == "wipe" for act in self.script.acts)
-        if not accepted.all:
+        if not accepted.labels:
             r.reasons.append("nothing was accepted, so this trial proves nothing")
-        if left := waiting & accepted.all:
+        if left := waiting & accepted.labels:
             r.reasons.append(f"{len(left)} accepted writes were not replayed in time")
         r.live_latency_ratio = self._latency_ratio(accepted.replayed)
 
--- a/gorsethread/harness/durable_log_trial.py
+++ b/gorsethread/harness/durable_log_trial.py
@@ -18,8 +18,12 @@
 from gorsethread.harness.site import SiteTrial
 from gorsethread.invariants.history_checker import Verdict
 from gorsethread.nvme_gateway.log_folders import own_log_folder
-from gorsethread.simulation.durable_log_checks import Forgetful, Numbers, rot
-from gorsethread.simulation.durable_log_simulation import parted
+from gorsethread.simulation.durable_log_checks import (
+    RecordNumberChecker,
+    ShardForgettingClient,
+    zero_middle_half,
+)
+from gorsethread.simulation.durable_log_simulation import shards_by_extent
 from gorsethread.simulation.script import Act, Script
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.real import RealTransport
@@ -50,7 +54,7 @@
     """A trial of gateways that keep durable logs."""
 
     result_class: Callable[[int], Any] = Result
-    client_class: type[LoadClient] = Forgetful
+    client_class: type[LoadClient] = ShardForgettingClient
 
     def __init__(
         self,
@@ -63,7 +67,7 @@
     ) -> None:
         super().__init__(transport, processes, site_config, log, script, defect_code)
         self.fault_player.on_folder_act = self._apply_to_folder
-        self.numbers = Numbers()
+        self.numbers = RecordNumberChecker()
         self.shards = {s.shard for s in self.site.shelf}
         self.copies_at: list[tuple[float, int]] = []  # when to copy a folder for `older`, and the gateway
         # Copies of folders for `older`, one per act: time, gateway, path.
@@ -79,12 +83,12 @@
         super()._add_routes()
         for act in self.script.acts:
             if act.kind == "older":
-                self.copies_at.append((max(0.0, act.at - act.by), int(act.whom.split(" ")[1])))
+                self.copies_at.append((max(0.0, act.at - act.amount), int(act.target.split(" ")[1])))
 
     def _clients_started(self) -> None:
         for client in self.clients:
-            assert isinstance(client, Forgetful)
-            client.denied = self._denied
+            assert isinstance(client, ShardForgettingClient)
+            client.on_write_forgotten = self._denied
         for when, gateway in self.copies_at:
             self.transport.call_at(self.zero + when, lambda gateway=gateway: self._copy_folder(gateway))  # type: ignore[misc]
 
@@ -101,7 +105,7 @@
 
     def _apply_to_folder(self, act: Act) -> None:
         """Applies an act to the folder of a gateway that was just killed."""
-        gateway = int(act.whom.split(" ")[1])
+        gateway = int(act.target.split(" ")[1])
         self._count_reused_numbers()
         folder = self.folder(gateway)
         if act.kind == "swap":
@@ -112,7 +116,7 @@
         elif act.kind == "rot":
             names = sorted(Path(own_log_folder(str(folder), gateway)).glob(f"*{SEGMENT_SUFFIX}"))
             for path in names[-1:]:
-                path.write_bytes(rot(path.read_bytes()))
+                path.write_bytes(zero_middle_half(path.read_bytes()))
         else:
             shutil.rmtree(folder, ignore_errors=True)
             past = [path for _, owner, path in self._past if owner == gateway and path.exists()]
@@ -122,7 +126,7 @@
     def _count_reused_numbers(self) -> None:
         for path in self.processes.folder.glob(f"records-*/**/*{SEGMENT_SUFFIX}"):
             with contextlib.suppress(FileNotFoundError):
-                self.result.numbers_reused += len(self.numbers.take(path.read_bytes()))
+                self.result.numbers_reused += len(self.numbers.reused_numbers(path.read_bytes()))
 
     # ---- checks
 
@@ -135,8 +139,8 @@
             for v in self.site.volume
             if (path := folder / f"shard-{s}-volume-{v.number}").exists()
         }
-        shards_by_extent = parted(self.site, files)
-        self.result.placed = len(shards_by_extent)
-        self.result.parted = sum(len(shards) > 1 for shards in shards_by_extent.values())
-        if not shards_by_extent:
+        found = shards_by_extent(self.site, files)
+        self.result.placed = len(found)
+        self.result.parted = sum(len(shards) > 1 for shards in found.values())
+        if not found:
             self.result.reasons.append("nothing was placed, so this trial proves nothing")
--- a/gorsethread/harness/kill_points.py
+++ b/gorsethread/harness/kill_points.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from pathlib import Path
 
-from gorsethread.simulation.site_simulation import POINTS
+from gorsethread.simulation.site_simulation import POINT_METHODS
 
 CODE = """
 import importlib, os, pathlib, signal
@@ -34,4 +34,4 @@
 
     flags: the flag file of each point, by the point's name in scripts.
     """
-    return CODE.replace("{flags!r}", repr([(*POINTS[p][1:], str(flag)) for p, flag in flags.items()]))
+    return CODE.replace("{flags!r}", repr([(*POINT_METHODS[p][1:], str(flag)) for p, flag in flags.items()]))
--- a/gorsethread/harness/service.py
+++ b/gorsethread/harness/service.py
@@ -202,7 +202,7 @@
         flags = {
             a.to.split(" ")[1]: self.fault_player.flag(a)
             for a in self.script.acts
-            if a.kind == "stab" and a.whom == name
+            if a.kind == "stab" and a.target == name
         }
         points = kill_point_code(flags) if flags else ""
         await self.processes.start(
@@ -229,7 +229,9 @@
     def _record_act(self, event: str, act: Act) -> None:
         """Records when gateways were killed, stopped or cut off from clients, for the checker."""
         if event in ("cut", "reset", "mute"):
-            client, gateway = (act.whom, act.to) if act.whom.startswith("client") else (act.to, act.whom)
+            client, gateway = (
+                (act.target, act.to) if act.target.startswith("client") else (act.to, act.target)
+            )
             if client.startswith("client") and gateway.startswith("head"):
                 self.day.record(
                     "apart",
@@ -238,7 +240,7 @@
                     until=self.transport.now() + act.seconds + SETTLE_SECONDS,
                 )
             return
-        number = int(act.whom.split(" ")[1])
+        number = int(act.target.split(" ")[1])
         if event == "stopped":
             for t in self.site.tenant:
                 # Requests that it did not read while stopped, or had no time left for, are not lost.
@@ -252,7 +254,7 @@
             self.day.record("head killed", head=number)
 
     async def _backend_act(self, act: Act) -> None:
-        number = int(act.whom.split(" ")[1])
+        number = int(act.target.split(" ")[1])
         if act.kind == "kill":
             await self.backends[number].end()
             self.day.record("shelf killed", shelf=number)
@@ -263,10 +265,12 @@
             await self.transport.sleep(act.seconds)
             self.discovery.set_state(number, "ready")
         else:
-            self.backends[number].backend._fault(Fault(self.transport.now(), act.kind, act.seconds, act.by))
+            self.backends[number].backend._fault(
+                Fault(self.transport.now(), act.kind, act.seconds, act.amount)
+            )
 
     async def _discovery_act(self, act: Act) -> None:
-        self.discovery._fault(Fault(self.transport.now(), act.kind, act.seconds, act.by))
+        self.discovery._fault(Fault(self.transport.now(), act.kind, act.seconds, act.amount))
 
     def _add_routes(self) -> None:
         """Adds the relay's routes from gateways to discovery, before any gateway starts."""
@@ -297,7 +301,7 @@
             await self._all_listen()
             self.zero = zero = transport.now() + 1.0
             surges = [
-                Surge(int(a.whom.split(" ")[1]), zero + a.at, a.seconds, a.by)
+                Surge(int(a.target.split(" ")[1]), zero + a.at, a.seconds, a.amount)
                 for a in script.acts
                 if a.kind == "surge"
             ]
--- a/gorsethread/simulation/branch_simulation.py
+++ b/gorsethread/simulation/branch_simulation.py
@@ -1,75 +1,94 @@
-"""Worlds with a branch whose link goes: what its heads accepted meanwhile is in effect in the end, once, in
-causal order, or parked with a reason."""
+"""Simulates sites with a branch whose link to the main site fails.
+
+In the end each write that the branch's gateways accepted meanwhile must have run once, in causal order, or be
+dead-lettered with a reason.
+"""
 
 from typing import Any
 
 from gorsethread.nvme_gateway.log_folders import own_log_folder
-from gorsethread.simulation.branch_checks import Accepted, BranchClient, judge, on_disks
-from gorsethread.simulation.durable_log_simulation import RecordsWorld
+from gorsethread.simulation.branch_checks import (
+    AcceptedWrites,
+    BranchClient,
+    check_accepted_writes,
+    queued_write_labels,
+)
+from gorsethread.simulation.durable_log_simulation import DurableLogSimulation
 from gorsethread.simulation.script import Act
 
 
-class BranchWorld(RecordsWorld):
-    client_kind = BranchClient
-    accepted: Accepted
+class BranchSimulation(DurableLogSimulation):
+    """One run of a script on a site with a branch.
+
+    Attributes:
+        accepted: What became of the accepted writes; set at the end of the run.
+    """
+
+    client_class = BranchClient
+    accepted: AcceptedWrites
 
     def _start_client(self, tenant: str) -> None:
-        super(RecordsWorld, self)._start_client(tenant)
+        super(DurableLogSimulation, self)._start_client(tenant)
 
-    def _do_here(self, act: Act) -> None:
+    def _apply_variant_act(self, act: Act) -> None:
         if act.kind != "link":
-            super()._do_here(act)
+            super()._apply_variant_act(act)
             return
-        away = {n for b in self.site.branch for n in b.head}
-        others = [
+        branch_gateways = {n for b in self.site.branch for n in b.head}
+        main_site = [
             "list",
             *(f"shelf {n}" for n in range(self.script.shelves)),
-            *(f"head {n}" for n in range(self.script.heads) if n not in away),
+            *(f"head {n}" for n in range(self.script.heads) if n not in branch_gateways),
         ]
-        ways = [(act.whom, other) for other in others] if act.by != 2 else []
-        ways += [(other, act.whom) for other in others] if act.by != 1 else []
-        for one, other in ways:
-            self.network.cut(one, other)
-            self.loop.call_later(act.seconds, self.network.heal, one, other)
+        directions = [(act.target, name) for name in main_site] if act.amount != 2 else []
+        directions += [(name, act.target) for name in main_site] if act.amount != 1 else []
+        for source, destination in directions:
+            self.network.cut(source, destination)
+            self.loop.call_later(act.seconds, self.network.heal, source, destination)
 
-    def _follows(self, head: Any) -> bool:
-        return super()._follows(head) and not (head.branch is not None and self._unsettled())
+    def _follows_discovery(self, gateway: Any) -> bool:
+        """Also waits, at a branch, until all accepted writes have run or are dead-lettered."""
+        return super()._follows_discovery(gateway) and not (
+            gateway.branch is not None and self._waiting_writes()
+        )
 
-    def _unsettled(self) -> int:
-        """Accepted writes that are neither in effect nor parked."""
+    def _waiting_writes(self) -> int:
+        """The number of accepted writes that have neither run nor been dead-lettered."""
         return sum(
             not queued.is_dead_lettered
-            for head in self.heads.values()
-            if head.branch
-            for queued in head.branch.queue
+            for gateway in self.gateways.values()
+            if gateway.branch
+            for queued in gateway.branch.queue
         )
 
-    def _check_rest(self) -> None:
-        super()._check_rest()
+    def _check_end_state(self) -> None:
+        super()._check_end_state()
         folders = [
             {
                 path.rpartition("/")[2]: bytes(data)
                 for path, data in self.disk.files.items()
-                if path.startswith(own_log_folder(self.records_of(n), n) + "/")
+                if path.startswith(own_log_folder(self.records_folder(n), n) + "/")
             }
-            for n in self.heads
+            for n in self.gateways
         ]
         records = sorted(self.records, key=lambda r: r["t"])
-        a = self.accepted = judge(self.site, records, *on_disks(folders))
-        for what, labels in (
-            ("accepted and lost", a.lost),
-            ("in effect twice", a.doubled),
-            ("out of causal order", a.causal),
-            ("accepted and not seen", a.unseen),
+        writes = self.accepted = check_accepted_writes(self.site, records, *queued_write_labels(folders))
+        for reason, labels in (
+            ("accepted and lost", writes.lost),
+            ("in effect twice", writes.doubled),
+            ("out of causal order", writes.causal_breaks),
+            ("accepted and not seen", writes.unseen),
         ):
             if labels:
-                self._defect(f"{what}: {len(labels)} of {len(a.all)}, first {labels[0]}")
-        for number, head in self.heads.items():
-            b = head.branch
-            if b is None or not self.processes[f"head {number}"].alive:
+                self._add_defect(f"{reason}: {len(labels)} of {len(writes.labels)}, first {labels[0]}")
+        for number, gateway in self.gateways.items():
+            branch = gateway.branch
+            if branch is None or not self.processes[f"head {number}"].alive:
                 continue
-            if b.pending_admissions or self._unsettled():
-                self._defect(f"not replayed: head {number}: {len(b.queue)} writes, {b.link.state.value}")
-            queued = {each.write.number for each in b.queue}
-            if b.block_view.numbers() - queued - set(b.standby_writes.numbers()):
-                self._defect(f"left behind: head {number}: bytes of writes that are over")
+            if branch.pending_admissions or self._waiting_writes():
+                self._add_defect(
+                    f"not replayed: head {number}: {len(branch.queue)} writes, {branch.link.state.value}"
+                )
+            queued = {entry.write.number for entry in branch.queue}
+            if branch.block_view.numbers() - queued - set(branch.standby_writes.numbers()):
+                self._add_defect(f"left behind: head {number}: bytes of writes that are over")
--- a/gorsethread/simulation/runs.py
+++ b/gorsethread/simulation/runs.py
@@ -10,15 +10,15 @@
 from functools import partial
 
 from gorsethread.simulation.branch_mutants import BRANCH_MUTANTS
-from gorsethread.simulation.branch_simulation import BranchWorld
+from gorsethread.simulation.branch_simulation import BranchSimulation
 from gorsethread.simulation.durable_log_mutants import DURABLE_LOG_MUTANTS
-from gorsethread.simulation.durable_log_simulation import RecordsWorld
+from gorsethread.simulation.durable_log_simulation import DurableLogSimulation
 from gorsethread.simulation.http_mutants import HTTP_MUTANTS
-from gorsethread.simulation.http_simulation import WebWorld
+from gorsethread.simulation.http_simulation import HttpSimulation
 from gorsethread.simulation.mutants import MUTANTS
-from gorsethread.simulation.script import KINDS, Script
+from gorsethread.simulation.script import ACT_KINDS, Script
 from gorsethread.simulation.script_generator import BranchScriptGenerator, ScriptGenerator
-from gorsethread.simulation.site_simulation import START_UP, Outcome, World
+from gorsethread.simulation.site_simulation import START_UP, Outcome, SiteSimulation
 from gorsethread.simulation.states import STATES, WEB_STATES
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.sampling import cpu_seconds
@@ -66,12 +66,14 @@
     branches always do.
     """
     if site.branch:
-        return BranchWorld(site, script, BRANCH_MUTANTS.get(mutant)).play()
+        return BranchSimulation(site, script, BRANCH_MUTANTS.get(mutant)).play()
     if durable_log:
-        return RecordsWorld(site, script, DURABLE_LOG_MUTANTS.get(mutant) or MUTANTS.get(mutant)).play()
+        return DurableLogSimulation(
+            site, script, DURABLE_LOG_MUTANTS.get(mutant) or MUTANTS.get(mutant)
+        ).play()
     if http:
-        return WebWorld(site, script, HTTP_MUTANTS.get(mutant)).play()
-    return World(site, script, MUTANTS.get(mutant)).play()
+        return HttpSimulation(site, script, HTTP_MUTANTS.get(mutant)).play()
+    return SiteSimulation(site, script, MUTANTS.get(mutant)).play()
 
 
 def play_one(raw_site: bytes, mutant: str, http: bool, durable_log: bool, seed: int) -> SeedResult:
@@ -89,8 +91,8 @@
         )
     gc.collect()  # each simulation is one large reference cycle; without this many stayed in memory at once
     first = str(outcome.verdict.violations[0]) if outcome.verdict.violations else ""
-    if not first and outcome.as_it_came:
-        first = str(outcome.as_it_came[0][1])
+    if not first and outcome.online_breaks:
+        first = str(outcome.online_breaks[0][1])
     return SeedResult(
         seed,
         outcome.reasons,
@@ -152,9 +154,9 @@
         """Returns the pairs of a kind of act and a gateway state that no simulation has met."""
         names = [
             name
-            for name, kind in KINDS.items()
-            if not (kind.fleet or kind.relay or kind.kept or kind.branch)
-            and not (kind.web if not http else name in NOT_FOR_HTTP)
+            for name, kind in ACT_KINDS.items()
+            if not (kind.membership_only or kind.relay_only or kind.durable_log_only or kind.branch_only)
+            and not (kind.http_only if not http else name in NOT_FOR_HTTP)
         ]
         pairs = [f"{name} | {state}" for name in names for state in (WEB_STATES if http else STATES)]
         return [pair for pair in pairs if pair not in self.states]
@@ -207,7 +209,7 @@
         script = without_clocks
         report("clock errors don't matter")
     for act in script.acts:
-        shorter = replace(act, seconds=round(act.seconds / 4, 3)) if KINDS[act.kind].lasts else act
+        shorter = replace(act, seconds=round(act.seconds / 4, 3)) if ACT_KINDS[act.kind].lasts else act
         fewer = replace(script, acts=tuple(shorter if a is act else a for a in script.acts))
         if shorter.seconds > 0.05 and shorter != act and still_fails(fewer):
             script = fewer
@@ -290,7 +292,7 @@
         for step in broken.history:
             at, text = step[:9], step[9:]
             lines.add((float(at), f"{float(at) - offset:9.3f}{text}"))
-    lines |= {(at - begin, f"{at - start_time:9.3f}  !! {b}") for at, b in outcome.as_it_came[:max_breaks]}
+    lines |= {(at - begin, f"{at - start_time:9.3f}  !! {b}") for at, b in outcome.online_breaks[:max_breaks]}
     ordered = [line for _, line in sorted(lines)]
     return ordered + [f"rule {b.rule}: {b.reason}" for b in chosen] + outcome.defects[:5]
 
--- a/gorsethread/simulation/script_generator.py
+++ b/gorsethread/simulation/script_generator.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from gorsethread.simulation.script import KEPT_POINTS, POINTS, Act, Clock, Script
+from gorsethread.simulation.script import CODE_POINTS, DURABLE_LOG_POINTS, Act, Clock, Script
 from gorsethread.site_config import site_pb2 as pb
 from gorsethread.transport.program import SeededRandom
 
@@ -128,7 +128,7 @@
 
     def stab(self) -> None:
         """Ends a gateway in the middle of its own code."""
-        self._add_stab(POINTS, 60)
+        self._add_stab(CODE_POINTS, 60)
 
     def _add_stab(self, points: tuple[str, ...], visits: int) -> None:
         """Ends one gateway at one of the points, on its n-th visit there; visits: the largest n."""
@@ -241,7 +241,9 @@
         self._add("disk", self._gateway(), 0.5, 3.0)
 
     def wall_clock(self) -> None:
-        self.acts.append(Act(self._time(), "wall", self._gateway(), by=round(self.rng.uniform(-50, 50), 3)))
+        self.acts.append(
+            Act(self._time(), "wall", self._gateway(), amount=round(self.rng.uniform(-50, 50), 3))
+        )
 
     def terminate(self) -> None:
         gateway = self._gateway()
@@ -280,7 +282,7 @@
 
     def stab_in_durable_log(self) -> None:
         """Ends a gateway in the middle of writing to the durable log or of recovering from it."""
-        self._add_stab(KEPT_POINTS, 12)
+        self._add_stab(DURABLE_LOG_POINTS, 12)
 
     def slow_flush(self) -> None:
         self._add("lag", self._gateway(), 0.5, 3.0, by=self.rng.choice((0.01, 0.1, 0.1, 0.8)))
--- a/tests/test_http_simulation.py
+++ b/tests/test_http_simulation.py
@@ -9,7 +9,7 @@
 from gorsethread.simulation.runs import generate_script, play, play_many
 from gorsethread.simulation.script import read_script
 from gorsethread.simulation.script_generator import ScriptGenerator
-from gorsethread.simulation.site_simulation import misfits
+from gorsethread.simulation.site_simulation import mismatched_acts
 from gorsethread.site_config.reading import read_site
 
 SITE = read_site(Path(__file__).parent.parent / "deploy" / "site.txtpb")
@@ -64,7 +64,9 @@
 
     def test_acts_of_http_gateways_are_refused_for_nvme_gateways(self) -> None:
         script = read_script("1 term head-0 for 1\n2 spoil shelf-0 by 0.5 for 1\n")
-        self.assertEqual((2, 0), (len(misfits(SITE, script)), len(misfits(SITE, script, True))))
+        self.assertEqual(
+            (2, 0), (len(mismatched_acts(SITE, script)), len(mismatched_acts(SITE, script, True)))
+        )
         generated_kinds = {
             a.kind for seed in range(60) for a in ScriptGenerator(seed, [1], ["archive"]).generate().acts
         }
