--- a/gorsethread/simulation/branch_checks.py
+++ b/gorsethread/simulation/branch_checks.py
@@ -32,14 +32,14 @@
         # Label and time of the last accepted write, by volume and block; at most one entry per block.
         self.accepted: dict[tuple[int, int], tuple[int, float]] = {}
         branch_gateways = {n for b in self.site.branch for n in b.head}
-        self.preferred: dict[int, list[int]] = {}  # gateways by volume
+        self.preferred_gateways: dict[int, list[int]] = {}  # gateways by volume
         for v in self.volumes:
             at_branch = [n for n in v.head if n in branch_gateways]
             at_main_site = [n for n in v.head if n not in branch_gateways]
-            self.preferred[v.number] = at_branch or at_main_site
+            self.preferred_gateways[v.number] = at_branch or at_main_site
 
     def _choose_gateway(self, volume: pb.Volume) -> Any:
-        preferred = self.preferred[volume.number]
+        preferred = self.preferred_gateways[volume.number]
         others = [n for n in volume.head if n not in preferred]
         if others and self.chance.random() < self.main_site_fraction:
             return self.links[others[self.chance.randrange(len(others))]]
@@ -60,7 +60,7 @@
         elif (
             how == "honoured"
             and request.operation == Opcode.READ
-            and one.link.number in self.preferred[request.volume.number]
+            and one.link.number in self.preferred_gateways[request.volume.number]
         ):
             for n, block in enumerate(blocks):
                 label, at = self.accepted.get(block, (0, now))
