--- a/gorsethread/simulation/branch_checks.py
+++ b/gorsethread/simulation/branch_checks.py
@@ -45,28 +45,30 @@
             return self.links[others[self.chance.randrange(len(others))]]
         return super()._choose_gateway(pb.Volume(number=volume.number, head=preferred))
 
-    def _new_attempt(self, t: Any, attempt: int, link: Any) -> Any:
-        one: Any = super()._new_attempt(t, attempt, link)
-        one.started_at = self.transport.now()
-        return one
+    def _new_attempt(self, request: Any, attempt: int, link: Any) -> Any:
+        created: Any = super()._new_attempt(request, attempt, link)
+        created.started_at = self.transport.now()
+        return created
 
-    def answered(self, one: Any, how: str, completion: Any, data: bytes) -> None:
-        request, now = one.request, self.transport.now()
+    def answered(self, attempt: Any, how: str, completion: Any, data: bytes) -> None:
+        request, now = attempt.request, self.transport.now()
         blocks = [(request.volume.number, request.first_block + n) for n in range(request.blocks)]
         accepted = how == "honoured" and request.operation == Opcode.WRITE and completion.dw0 == 0
         if accepted:
-            self.recorder.record("accepted", label=request.label, attempt=one.attempt, head=one.link.number)
+            self.recorder.record(
+                "accepted", label=request.label, attempt=attempt.attempt, head=attempt.link.number
+            )
             self.accepted.update(dict.fromkeys(blocks, (request.label, now)))
         elif (
             how == "honoured"
             and request.operation == Opcode.READ
-            and one.link.number in self.preferred[request.volume.number]
+            and attempt.link.number in self.preferred[request.volume.number]
         ):
             for n, block in enumerate(blocks):
                 label, at = self.accepted.get(block, (0, now))
-                if at < one.started_at and not any(data[n * BLOCK : n * BLOCK + 16]):
+                if at < attempt.started_at and not any(data[n * BLOCK : n * BLOCK + 16]):
                     self.recorder.record("unseen", label=label)
-        super().answered(one, how, completion, data)
+        super().answered(attempt, how, completion, data)
         if accepted:
             # The write may become a dead letter and then need not be read back: check_accepted_writes
             # checks it instead.
--- a/gorsethread/simulation/durable_log_checks.py
+++ b/gorsethread/simulation/durable_log_checks.py
@@ -18,15 +18,15 @@
 
     on_write_forgotten: Callable[[int, int], None]
 
-    def answered(self, one: Any, how: str, completion: Any, data: bytes) -> None:
-        request = one.request
+    def answered(self, attempt: Any, how: str, completion: Any, data: bytes) -> None:
+        request = attempt.request
         if completion is not None and completion.status == Status.UNWRITTEN_BLOCK:
             blocks = range(request.first_block, request.first_block + request.blocks)
             if any((request.volume.number, block) in self.acknowledged for block in blocks):
                 self.on_write_forgotten(
                     request.volume.number, request.first_block // request.volume.extent_blocks
                 )
-        super().answered(one, how, completion, data)
+        super().answered(attempt, how, completion, data)
         self.shards.clear()
 
 
--- a/gorsethread/simulation/http_simulation.py
+++ b/gorsethread/simulation/http_simulation.py
@@ -100,9 +100,9 @@
         client: Any = self.clients[tenant]
         client.may_be_unread = self._may_be_unread
 
-    def _may_be_unread(self, one: HttpAttempt) -> bool:
+    def _may_be_unread(self, attempt: HttpAttempt) -> bool:
         """Whether a request has not reached its gateway, or too recently for the gateway to have read it."""
-        arrived_at = self.online_checker.seen[one.request.label, one.attempt].received_at
+        arrived_at = self.online_checker.seen[attempt.request.label, attempt.attempt].received_at
         return not arrived_at or self.loop.time() - arrived_at < SAME_INSTANT_SECONDS
 
     # ---- gateways
