--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -57,11 +57,19 @@
         self.assertEqual(1, done.returncode)
         self.assertIn("XPASS(strict)", done.stdout)
 
+    def test_an_intermittent_failure_may_pass_and_may_fail(self) -> None:
+        listed = self.line("test_bad") + self.line("test_worse").strip() + " | intermittent\n"
+        done = self.run_with(listed + self.line("test_good").strip() + " | intermittent\n")
+        self.assertEqual(0, done.returncode, done.stdout)
+        self.assertIn("1 xpassed", done.stdout)
+        self.assertIn("test_good: a fault of ours (issue 1, intermittent)", done.stdout)
+
     def test_a_line_that_names_no_test_or_not_three_things_fails_the_run(self) -> None:
         for listed, said in (
             (self.line("test_gone"), "names no test"),
             ("test_bad\n", "not 'test | cause"),
             ("a | | b\n", "not 'test | cause"),
+            (self.line("test_bad").strip() + " | now and then\n", "not 'test | cause"),
         ):
             done = self.run_with(listed)
             self.assertNotIn(done.returncode, (0, 1, 5))
