--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -134,7 +134,7 @@
         unsupported = read_script("1 slow shelf-0 by 2 for 1\n2 starve head-0 by 1 for 1\n")
         self.assertEqual(2, len(unsupported_acts(unsupported, PLAYED, PARTIES)))
         for arguments, message in (
-            (("fleet", "show", "--head", "nowhere"), "no host:port"),
+            (("fleet", "show", "--head", "nowhere"), "is not host:port"),
             (("fleet", "show", "--head", "127.0.0.1:9"), "no answer"),
             (("fleet", "history", "--head", "127.0.0.1:9"), "no answer"),
             (("fleet", "watch", "--head", "127.0.0.1:9", "--every", "0"), "0.1 or more"),
