--- a/gorsethread/latency_attribution/stages.py
+++ b/gorsethread/latency_attribution/stages.py
@@ -32,6 +32,7 @@
 
 
 STAGES = len(Stage)
+# The labels are values in the JSON of commands, so they keep their words.
 STAGE_LABELS = {
     Stage.RECEIVING: "its data arriving",
     Stage.GATEWAY: "the head's own work",
@@ -90,11 +91,11 @@
 OTHERS = -4  # volumes beyond the bound on blame entries
 NO_LISTED_BACKEND = -5
 HOLDER_LABELS = {
-    BACKEND: "the backend itself",
-    GATEWAY: "the gateway's decision",
+    BACKEND: "the shelf itself",
+    GATEWAY: "the head's decision",
     UNKNOWN: "unknown",
-    OTHERS: "volumes not distinguished",
-    NO_LISTED_BACKEND: "no backend in the list",
+    OTHERS: "volumes not told apart",
+    NO_LISTED_BACKEND: "no shelf in the list",
 }
 
 
